--- a/crates/daemon/src/serve/members.rs
+++ b/crates/daemon/src/serve/members.rs
@@ -41,7 +41,7 @@
 
     /// `granting`: a majority has said, after the report came, that this replica leads.
     pub(super) fn answer_report(&mut self, key: Key, report: &Report, granting: bool) {
-        let (now, writer) = (self.now, ids::mark(&report.name));
+        let (now, writer) = (self.now, ids::name_hash(&report.name));
         let Some(peer) = self.peers.get_mut(key) else { return };
         let service = peer.locality.service_mark();
         let new = self.evidence.hear(now, service, writer, report.incarnation, &report.seen);
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -10,7 +10,7 @@
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Standing as Link, Way};
 use appledyke_lab::rig::processes::beside;
-use appledyke_lab::rig::sidecars::{Sidecars, req};
+use appledyke_lab::rig::sidecars::{Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 80;
@@ -72,7 +72,7 @@
 
     /// Those whose health check says no, or that are not there.
     fn away(&self, names: &[String]) -> usize {
-        names.iter().filter(|name| req(self.sidecars.at(name), "/healthz") != Some(200)).count()
+        names.iter().filter(|name| request(self.sidecars.at(name), "/healthz") != Some(200)).count()
     }
 }
 
@@ -259,11 +259,11 @@
     let ask = |both: &Both, asked: Ask| both.daemons.ask(&asked, PATIENCE).unwrap();
     let view = |both: &Both| {
         for name in names(3).iter().cycle().take(60) {
-            let _ = req(both.sidecars.at(name), "/menu/1");
+            let _ = request(both.sidecars.at(name), "/menu/1");
         }
     };
     view(&both);
-    assert!(both.sidecars.endpoints.iter().all(|endpoint| endpoint.reqs() > 0));
+    assert!(both.sidecars.endpoints.iter().all(|endpoint| endpoint.requests() > 0));
     both.sidecars.process("s2").stop();
     assert_eq!(ask(&both, Ask::Endpoint { name: "e0".into(), out: true, anyway: None }), Reply::Done);
     let holders = |both: &Both| match ask(both, Ask::Outs) {
@@ -284,7 +284,7 @@
     both.daemons.start(leader).unwrap();
     both.sidecars.process("s2").go_on();
     both.daemons.wait("it is empty", |_| holders(&both).is_empty()).unwrap();
-    let before = both.sidecars.endpoints[0].reqs();
+    let before = both.sidecars.endpoints[0].requests();
     both.daemons.wait("nothing is open there", |_| both.sidecars.endpoints[0].open() == 0).unwrap();
     view(&both);
     // One that starts now hears of it before it is counted on, or does not know and holds it up.
@@ -293,15 +293,15 @@
         rows.iter().any(|row| row.name == "s3" && row.standing == Standing::Serving)
     });
     both.daemons.wait("it knows too", |_| holders(&both).is_empty()).unwrap();
-    let all = both.sidecars.endpoints[0].reqs();
+    let all = both.sidecars.endpoints[0].requests();
     view(&both);
-    assert_eq!((both.sidecars.endpoints[0].reqs(), all), (before, before));
+    assert_eq!((both.sidecars.endpoints[0].requests(), all), (before, before));
     // Back in service it has reqs again.
     assert_eq!(ask(&both, Ask::Endpoint { name: "e0".into(), out: false, anyway: None }), Reply::Done);
     both.daemons
         .wait("it has reqs again", |_| {
             view(&both);
-            both.sidecars.endpoints[0].reqs() > before
+            both.sidecars.endpoints[0].requests() > before
         })
         .unwrap();
 }
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -10,7 +10,7 @@
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::Standing as Link;
 use appledyke_lab::rig::processes::beside;
-use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, req};
+use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 60;
@@ -83,12 +83,12 @@
 fn members_act_on_what_is_agreed_and_on_nothing_else() {
     let mut both = Both::begin("agreed", 3);
     let names = ["s0", "s1", "s2"];
-    assert!(names.iter().all(|name| req(both.sidecars.at(name), "/menu/1") == Some(200)));
+    assert!(names.iter().all(|name| request(both.sidecars.at(name), "/menu/1") == Some(200)));
     let first = both.daemons.put(&with_method("soup")).unwrap();
     both.acts_on(&names, first);
     for name in names {
         assert_eq!(
-            (req(both.sidecars.at(name), "/menu/1"), req(both.sidecars.at(name), "/soup/1")),
+            (request(both.sidecars.at(name), "/menu/1"), request(both.sidecars.at(name), "/soup/1")),
             (Some(404), Some(200))
         );
     }
@@ -103,7 +103,7 @@
     both.acts_on(&names, second);
     for name in names {
         assert_eq!(
-            (req(both.sidecars.at(name), "/never/1"), req(both.sidecars.at(name), "/bread/1")),
+            (request(both.sidecars.at(name), "/never/1"), request(both.sidecars.at(name), "/bread/1")),
             (Some(404), Some(200))
         );
     }
@@ -113,7 +113,7 @@
     let back = both.daemons.a_write(What::Back(first), None);
     let Reply::Committed(third) = both.daemons.ask(&Ask::Write(back), PATIENCE).unwrap() else { panic!() };
     both.acts_on(&names, third);
-    assert!(names.iter().all(|name| req(both.sidecars.at(name), "/soup/1") == Some(200)));
+    assert!(names.iter().all(|name| request(both.sidecars.at(name), "/soup/1") == Some(200)));
 }
 
 #[test]
@@ -154,7 +154,7 @@
     // A member that none has ever heard serves by its own file.
     both.start("s2");
     assert_eq!(
-        (req(both.sidecars.at("s1"), "/soup/1"), req(both.sidecars.at("s2"), "/menu/1")),
+        (request(both.sidecars.at("s1"), "/soup/1"), request(both.sidecars.at("s2"), "/menu/1")),
         (Some(200), Some(200))
     );
     assert_eq!(both.sidecars.figure("s1", "sidecar_fleet_settings_number"), Some(1));
@@ -170,7 +170,7 @@
         .line(0, PATIENCE, |line| line.contains("it starts with the file's own"))
         .unwrap();
     assert!(line.contains("settings.methods"), "{line}");
-    assert_eq!(req(both.sidecars.at("s1"), "/menu/1"), Some(200));
+    assert_eq!(request(both.sidecars.at("s1"), "/menu/1"), Some(200));
     for place in both.daemons.places() {
         both.daemons.start(place).unwrap();
     }
@@ -198,7 +198,10 @@
     both.acts_on(&["s0"], version);
     odd.wait("it is found faulty", |odd| odd.figure("odd", "sidecar_fleet_settings_faulty") == Some(1))
         .unwrap();
-    assert_eq!((req(odd.at("odd"), "/menu/1"), req(odd.at("odd"), "/soup/1")), (Some(200), Some(404)));
+    assert_eq!(
+        (request(odd.at("odd"), "/menu/1"), request(odd.at("odd"), "/soup/1")),
+        (Some(200), Some(404))
+    );
     // It says which version it acts on, and is not told the faulty one at each beat.
     both.wait_for("its version", |rows| {
         rows.iter().any(|(name, _, acts_on)| name == "odd" && *acts_on == Some(Version::default()))
@@ -211,7 +214,7 @@
     let mut both = Both::begin("evidence", 2);
     both.sidecars.endpoints[0].answers(How::Fails);
     for _ in 0..60 {
-        let _ = req(both.sidecars.at("s0"), "/menu/1");
+        let _ = request(both.sidecars.at("s0"), "/menu/1");
     }
     both.sidecars
         .wait("the other hears", |sidecars| {
@@ -346,6 +349,6 @@
     });
     let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
-    sidecars.wait("it acts on them", |sidecars| req(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
+    sidecars.wait("it acts on them", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     std::fs::remove_dir_all(&root).unwrap();
 }
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -16,7 +16,7 @@
 use appledyke_lab::rig::links::{Link, Standing as Way};
 use appledyke_lab::rig::operators::Operators;
 use appledyke_lab::rig::processes::{Process, Recipe, beside};
-use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, entry, req};
+use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, entry, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 80;
@@ -155,7 +155,7 @@
         let (own, counted) = (over.clone(), most.clone());
         let thread = std::thread::spawn(move || {
             while !own.load(Ordering::Relaxed) {
-                let says_no = |name: &&String| at(name).and_then(|at| req(at, "/healthz")) != Some(200);
+                let says_no = |name: &&String| at(name).and_then(|at| request(at, "/healthz")) != Some(200);
                 counted.fetch_max(names.iter().filter(says_no).count(), Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(5));
             }
@@ -192,7 +192,7 @@
     both.daemons.start(leader).unwrap();
     let most = referee.most();
     let answers = clients.stop();
-    let lost: u64 = answers.iter().map(|a| a.none + a.failed + a.nacked).sum();
+    let lost: u64 = answers.iter().map(|a| a.none + a.failed + a.rejected).sum();
     assert!(most <= 2, "{most} were out at once");
     assert_eq!(lost, 0, "{answers:?}");
     assert!(answers.iter().all(|a| a.served > 20), "{answers:?}");
@@ -345,7 +345,7 @@
     let sent: Vec<String> = both.release("r").going().map(|(who, _)| who.clone()).collect();
     for name in ["s3", "s4"].iter().filter(|name| !sent.contains(&name.to_string())) {
         assert_eq!(both.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
-        assert_eq!(req(both.sidecars.at(name), "/healthz"), Some(200));
+        assert_eq!(request(both.sidecars.at(name), "/healthz"), Some(200));
     }
     links.iter().for_each(|(_, link)| link.stand(Way::default()));
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
@@ -394,9 +394,9 @@
     let beside = Ask::Endpoint { name: "e0".into(), out: true, anyway: None };
     let said = both.daemons.ask(&beside, PATIENCE).unwrap();
     assert_eq!(said, Reply::Refused("1 of 1 out in pool, which has 2: e1".into()));
-    let before = both.sidecars.endpoints[1].reqs();
+    let before = both.sidecars.endpoints[1].requests();
     both.until("r", "it is back", |release| release.going().all(|(_, going)| going.stage != Stage::Acting));
-    assert!(both.sidecars.endpoints[1].reqs() >= before);
+    assert!(both.sidecars.endpoints[1].requests() >= before);
     both.until("r", "it ends", ended("all are moved"));
     assert_eq!(acts(&both), ["e1 2", "e0 2"]);
     let answers = clients.stop();
@@ -420,14 +420,14 @@
     both.sidecars.process("s2").stop();
     let at = both.sidecars.endpoints[0].at;
     both.sidecars.list.tell(&[entry(0, at, "removed")]);
-    let before = both.sidecars.endpoints[0].reqs();
+    let before = both.sidecars.endpoints[0].requests();
     both.until("r", "e0 is to be back", |r| r.going().any(|(_, going)| going.stage >= Stage::Acted));
-    assert_eq!(both.sidecars.endpoints[0].reqs(), before);
+    assert_eq!(both.sidecars.endpoints[0].requests(), before);
     // It is another process by now, and the list has it again; who was stopped goes on with what it knew, and learns.
     both.sidecars.list.tell(&[entry(0, at, "up")]);
     both.sidecars.process("s2").go_on();
     both.until("r", "it ends", ended("all are moved"));
-    assert!(both.sidecars.endpoints[0].reqs() > before);
+    assert!(both.sidecars.endpoints[0].requests() > before);
     assert_eq!(acts(&both), ["e0 2"]);
     let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
     assert_eq!(lost, 0);
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -16,7 +16,7 @@
 use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
 use appledyke_lab::rig::links::Standing as Link;
 use appledyke_lab::rig::processes::beside;
-use appledyke_lab::rig::sidecars::{Sidecars, req};
+use appledyke_lab::rig::sidecars::{Sidecars, request};
 use serde_json::{Value, json};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -228,7 +228,7 @@
     start(&mut sidecars, daemons, "s2", Value::Null);
     let takes = |sidecars: &Sidecars, name: &str, method: &str| {
         let waited = sidecars.wait(&format!("{name} takes {method}"), |sidecars| {
-            req(sidecars.at(name), &format!("/{method}/1")) == Some(200)
+            request(sidecars.at(name), &format!("/{method}/1")) == Some(200)
         });
         waited.unwrap();
     };
@@ -253,7 +253,7 @@
     puts(daemons, "member=s0", "cake", &[]);
     takes(&sidecars, "s0", "cake");
     assert_eq!(
-        (req(sidecars.at("s1"), "/wine/1"), req(sidecars.at("s2"), "/soup/1")),
+        (request(sidecars.at("s1"), "/wine/1"), request(sidecars.at("s2"), "/soup/1")),
         (Some(200), Some(200))
     );
     // What is taken away uncovers what lies below.
@@ -480,14 +480,14 @@
     let mut sidecars = sidecars(daemons);
     start(&mut sidecars, daemons, "s0", json!({"service": "menu"}));
     let _ = committed(daemons, "service=menu", &with_method("soup"));
-    sidecars.wait("it acts", |sidecars| req(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
+    sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     assert!(sidecars.keep("s0").exists());
     // No daemon is there to say what holds: kept settings of another service would be taken for its own.
     daemons.places().for_each(|place| daemons.kill(place));
     sidecars.kill("s0");
     start(&mut sidecars, daemons, "s0", json!({"service": "bar"}));
     assert_eq!(
-        (req(sidecars.at("s0"), "/soup/1"), req(sidecars.at("s0"), "/menu/1")),
+        (request(sidecars.at("s0"), "/soup/1"), request(sidecars.at("s0"), "/menu/1")),
         (Some(404), Some(200))
     );
     for place in daemons.places() {
@@ -495,7 +495,7 @@
     }
     daemons.wait_for_leader().unwrap();
     let _ = committed(daemons, "service=bar", &with_method("wine"));
-    sidecars.wait("it acts", |sidecars| req(sidecars.at("s0"), "/wine/1") == Some(200)).unwrap();
+    sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/wine/1") == Some(200)).unwrap();
     daemons
         .wait("it is seen", |daemons| {
             (row(daemons, "service=bar").members, row(daemons, "service=menu").members) == (1, 0)
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -21,12 +21,12 @@
 
 /// Outcomes by their codes, the place here; any other says nothing of an endpoint.
 const OUTCOMES: [Outcome; 6] = [
-    Outcome::Satisfied,
-    Outcome::Errored,
-    Outcome::Saturated,
-    Outcome::Overdue,
-    Outcome::RefusedConnection,
-    Outcome::Severed,
+    Outcome::Success,
+    Outcome::Error,
+    Outcome::Overloaded,
+    Outcome::Timeout,
+    Outcome::ConnectFailure,
+    Outcome::Reset,
 ];
 
 /// The code of an outcome that says something of an endpoint.
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -266,7 +266,7 @@
     pub fn book(&mut self, now: Moment, endpoint: u32, method: u32, outcome: u8, part: f32) {
         self.sequence += 1;
         if let Some((_, figures)) = self.looked.get_mut(&endpoint) {
-            let served = evidence::outcome(outcome) == Some(Outcome::Satisfied);
+            let served = evidence::outcome(outcome) == Some(Outcome::Success);
             figures.served += u64::from(served);
             figures.failed += u64::from(!served);
             figures.slow += u64::from(served && part > 1.0);
@@ -452,7 +452,7 @@
             self.looks = looks;
             let before = std::mem::take(&mut self.looked);
             let row = |name: String| {
-                let mark = ids::mark(&name);
+                let mark = ids::name_hash(&name);
                 (mark, before.get(&mark).cloned().unwrap_or((name, Figures::default())))
             };
             self.looked = names.into_iter().map(row).collect();
--- a/crates/lab/src/chain.rs
+++ b/crates/lab/src/chain.rs
@@ -23,7 +23,7 @@
 const BACK: f64 = 0.9;
 const ENDPOINTS: usize = 4;
 const DEADLINE_MS: u64 = 1000;
-/// The fleet's budget of further attempts, for each tier, in a window: a tenth of what is offered.
+/// The fleet's budget of retries, for each tier, in a window: a tenth of what is offered.
 const BUDGET: u64 = 14;
 const BUDGET_MS: u64 = 5000;
 /// Work at one core with which the lowest tier bears 1.43 times the load, and its half 0.71 times.
@@ -66,7 +66,7 @@
     pub policy: Which,
     /// Calls have the time left of the one that makes them; else a whole deadline anew.
     pub deadline_passed: bool,
-    /// Each tier is a fleet with a budget of further attempts.
+    /// Each tier is a fleet with a budget of retries.
     pub budget: bool,
 }
 
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,4 +1,4 @@
-//! One cold endpoint among warm ones, in virtual time: what many instances, each with its own `Choice`, send to it
+//! One cold endpoint among warm ones, in virtual time: what many instances, each with its own `Balancer`, send to it
 //! together in any fall window, against what it is taken to bear. Pure: no sockets, no files, no clock of its own.
 //!
 //! Endpoints answer all at once after the same time, the cold one too: nothing but the instances' own credit holds
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use appledyke::choice::Choice;
+use appledyke::balancer::Balancer;
 use appledyke::ids::Places;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, Outcome};
+use appledyke::{Decision, Entry, Outcome, RequestInfo};
 use oorandom::Rand64;
 use serde::Serialize;
 
@@ -175,7 +175,7 @@
 }
 
 struct Instance {
-    choice: Choice,
+    balancer: Balancer,
     life: usize,
     attempts: HashMap<usize, usize>,
     next_request: usize,
@@ -227,9 +227,9 @@
         for instance in 0..case.instances {
             let weight = if case.uneven { 1.0 + 9.0 * world.chance.rand_float() } else { 1.0 };
             world.weights += weight;
-            let choice = world.choice();
+            let balancer = world.balancer();
             let (attempts, told) = (HashMap::new(), false);
-            world.instances.push(Instance { choice, life: 0, attempts, next_request: 0, told, weight });
+            world.instances.push(Instance { balancer, life: 0, attempts, next_request: 0, told, weight });
             world.lists(instance);
             let after = if case.spread { TOLD_OVER * world.chance.rand_float() } else { Span::ZERO };
             world.schedule(started + after, Event::Told { instance });
@@ -251,9 +251,9 @@
         world
     }
 
-    fn choice(&mut self) -> Choice {
+    fn balancer(&mut self) -> Balancer {
         let seed = self.chance.rand_u64();
-        Choice::new(self.now, self.terms.clone(), seed)
+        Balancer::new(self.now, self.terms.clone(), seed)
     }
 
     fn schedule(&mut self, at: Moment, event: Event) {
@@ -265,16 +265,20 @@
     fn lists(&mut self, instance: usize) {
         let gone = self.now + GONE_FOR >= self.started;
         let i = &mut self.instances[instance];
-        i.choice.list_opens(true);
+        i.balancer.list_begin(true);
         for at in 0..self.case.warm {
-            i.choice.listed(self.now, at, Entry { mark: at as u32, ..Entry::default() });
+            i.balancer.list_entry(self.now, at, Entry { name_hash: at as u32, ..Entry::default() });
         }
         let started = i.told.then_some(self.started);
         if i.told || self.case.back && !gone {
             let mark = self.case.warm as u32;
-            i.choice.listed(self.now, self.case.warm, Entry { started, mark, ..Entry::default() });
+            i.balancer.list_entry(
+                self.now,
+                self.case.warm,
+                Entry { started, name_hash: mark, ..Entry::default() },
+            );
         }
-        i.choice.list_closes(self.now);
+        i.balancer.list_end(self.now);
         self.pull(instance);
     }
 
@@ -300,17 +304,21 @@
         let i = &mut self.instances[instance];
         let request = i.next_request;
         i.next_request += 1;
-        i.choice.arrival(self.now, request, Ask { left: Span::from_millis(3000), ..Ask::default() });
+        i.balancer.arrival(
+            self.now,
+            request,
+            RequestInfo { left: Span::from_millis(3000), ..RequestInfo::default() },
+        );
         self.arrived += usize::from(self.now >= self.started);
         self.pull(instance);
     }
 
     fn pull(&mut self, instance: usize) {
-        while let Some(decision) = self.instances[instance].choice.next_decision(self.now) {
+        while let Some(decision) = self.instances[instance].balancer.next_decision(self.now) {
             let i = &mut self.instances[instance];
             let life = i.life;
             match decision {
-                Decision::Send { req: request, endpoint, .. } => {
+                Decision::Send { request, endpoint, .. } => {
                     let attempt = i.attempts.entry(request).or_default();
                     let answers = Event::Answers { instance, life, request, attempt: *attempt };
                     *attempt += 1;
@@ -323,10 +331,10 @@
                     }
                     self.schedule(self.now + ANSWERS_IN, answers);
                 }
-                Decision::Nack { .. } | Decision::Fail { .. } => {
+                Decision::Reject { .. } | Decision::Fail { .. } => {
                     self.rejected += usize::from(self.now >= self.started);
                 }
-                Decision::ForgetReq { req: request } => {
+                Decision::ForgetRequest { request } => {
                     i.attempts.remove(&request);
                 }
                 Decision::Wake { at } => self.schedule(at.max(self.now), Event::Wakes { instance, life }),
@@ -347,14 +355,14 @@
             Event::Answers { instance, life, request, attempt } => {
                 let i = &mut self.instances[instance];
                 if i.life == life {
-                    i.choice.outcome(self.now, request, attempt, Outcome::Satisfied, true);
+                    i.balancer.outcome(self.now, request, attempt, Outcome::Success, true);
                     self.pull(instance);
                 }
             }
             Event::Wakes { instance, life } => {
                 let i = &mut self.instances[instance];
                 if i.life == life {
-                    i.choice.wake(self.now);
+                    i.balancer.wake(self.now);
                     self.pull(instance);
                 }
             }
@@ -363,9 +371,9 @@
                 self.lists(instance);
             }
             Event::Restarts { instance } => {
-                let choice = self.choice();
+                let balancer = self.balancer();
                 let i = &mut self.instances[instance];
-                (i.choice, i.told) = (choice, true);
+                (i.balancer, i.told) = (balancer, true);
                 i.life += 1;
                 i.attempts.clear();
                 self.lists(instance);
--- a/crates/lab/src/emulate.rs
+++ b/crates/lab/src/emulate.rs
@@ -31,7 +31,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 /// Between two looks at the state of all endpoints.
 const LOOK_EVERY: Span = Span::from_millis(1000);
-/// Of a req that came with no time left to tell.
+/// Of a request that came with no time left to tell.
 const REMAINING_MS: u64 = 10_000;
 /// What a sidecar may use.
 const SOCKETS: u32 = 1024;
@@ -553,7 +553,7 @@
 
     // Endpoints.
 
-    /// Takes in a req. The first on a connection costs the handshake, which the loopback does not.
+    /// Takes in a request. The first on a connection costs the handshake, which the loopback does not.
     fn takes(&mut self, link: Token, endpoint: usize, whole: wire::Whole, fresh: bool) {
         let now = self.now();
         let e = &self.endpoints[endpoint];
@@ -586,7 +586,7 @@
         let service = service::draw(self.scenario, of, &weather, (now, method), &mut self.chance);
         self.jobs[job].fate = service.fate;
         if service.fate == Fate::QuickError {
-            self.seen.ended(now, tier, Outcome::Errored);
+            self.seen.ended(now, tier, Outcome::Error);
             return self.error(job);
         }
         let mut takes = service.takes;
@@ -686,7 +686,7 @@
         let good = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
         if self.jobs[job].fate != Fate::Good {
             let (now, tier) = (self.now(), self.endpoints[endpoint].tier);
-            self.seen.ended(now, tier, Outcome::Errored);
+            self.seen.ended(now, tier, Outcome::Error);
         }
         match self.jobs[job].fate {
             Fate::Good => self.reply(job, good),
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -26,7 +26,7 @@
     pub reset: f64,
     pub lost: f64,
     pub refuses: bool,
-    /// Until when it does not work at all, though it takes reqs.
+    /// Until when it does not work at all, though it takes requests.
     pub paused_until: Option<Moment>,
 }
 
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: an open loop. Reqs are sent at their scheduled times whatever comes back, and latency counts
+//! The load tool: an open loop. Requests are sent at their scheduled times whatever comes back, and latency counts
 //! from the scheduled time. It says how late its own sending ran.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,17 +15,17 @@
 
 /// A run whose sending ran later than this at the 99th percentile, in milliseconds, says little of the sidecars.
 const VOID_LATE_MS: f64 = 20.0;
-/// So long after its deadline a req without an answer counts as lost: the machine is shared, so more than in
+/// So long after its deadline a request without an answer counts as lost: the machine is shared, so more than in
 /// virtual time.
 const ANSWER_SLACK: Span = Span::from_millis(400);
 /// Most that a run may offer.
-const MOST_REQS: usize = 5_000_000;
+const MOST_REQUESTS: usize = 5_000_000;
 
 /// What a load run came to.
 pub struct Loaded {
     pub tally: Tally,
     pub late_p99_ms: f64,
-    /// Reqs without an answer, and answers that were not made for their req.
+    /// Requests without an answer, and answers that were not made for their request.
     pub lost: u64,
     pub foreign: u64,
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Tries(usize),
-    Overdue(usize, u32),
+    TimedOut(usize, u32),
 }
 
 struct Run<'a> {
@@ -112,8 +112,8 @@
     }
     let mut chance = Rand64::new(u128::from(seed));
     let moments = arrivals(scenario, &mut chance, burst);
-    if moments.len() > MOST_REQS {
-        return Err(format!("load.per_second: {} reqs, of {MOST_REQS} at the most", moments.len()));
+    if moments.len() > MOST_REQUESTS {
+        return Err(format!("load.per_second: {} reqs, of {MOST_REQUESTS} at the most", moments.len()));
     }
     let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
     let loaded = Loaded { tally: Tally::new(scenario), late_p99_ms: 0.0, lost: 0, foreign: 0 };
@@ -153,7 +153,7 @@
                 self.due.remove(&(at, due));
                 match due {
                     Due::Tries(client) => self.tries(client),
-                    Due::Overdue(client, attempt) => self.overdue(client, attempt),
+                    Due::TimedOut(client, attempt) => self.timed_out(client, attempt),
                 }
             }
             let next = coming.peek().copied().into_iter().chain(self.due.first().map(|(at, _)| *at)).min();
@@ -204,7 +204,7 @@
         if c.attempt > 1 {
             self.loaded.tally.retried(now);
         }
-        self.due.insert((c.deadline + ANSWER_SLACK, Due::Overdue(client, c.attempt)));
+        self.due.insert((c.deadline + ANSWER_SLACK, Due::TimedOut(client, c.attempt)));
         self.send(client, to, true);
     }
 
@@ -272,7 +272,7 @@
             Ok(None) if !over => {}
             _ => {
                 self.drop_link(token);
-                // A sidecar may close between reqs; one that crossed that is sent once more.
+                // A sidecar may close between requests; one that crossed that is sent once more.
                 if nothing && std::mem::take(&mut self.clients[client].again) {
                     return self.send(client, to, false);
                 }
@@ -282,7 +282,7 @@
     }
 
     /// A try has its answer, or its connection broke, which stands as 0.
-    fn ended(&mut self, client: usize, status: u16, come_back: Option<f64>) {
+    fn ended(&mut self, client: usize, status: u16, retry_after: Option<f64>) {
         let now = self.now();
         let c = &mut self.clients[client];
         if c.done {
@@ -291,21 +291,21 @@
         c.on = None;
         let m = &self.scenario.method[c.method];
         let took = now.since(c.born);
-        self.due.remove(&(c.deadline + ANSWER_SLACK, Due::Overdue(client, c.attempt)));
-        let nacked = matches!(status, 429 | 503);
+        self.due.remove(&(c.deadline + ANSWER_SLACK, Due::TimedOut(client, c.attempt)));
+        let rejected = matches!(status, 429 | 503);
         if status == 200 && now <= c.deadline {
             let in_time = took <= Span::from_millis(m.latency_budget_ms);
             self.loaded.tally.served((c.born, took), c.method, c.tenant, in_time, m);
         } else {
             let back_off = self.scenario.load.back_off_ms as f64 / 1e3;
-            let wait = millis(come_back.unwrap_or(back_off).clamp(0.0, 60.0) * 1e3);
-            let harmless = nacked || m.effect == Effect::Retryable;
+            let wait = millis(retry_after.unwrap_or(back_off).clamp(0.0, 60.0) * 1e3);
+            let harmless = rejected || m.effect == Effect::Retryable;
             if harmless && c.attempt <= self.scenario.load.retries && now + wait < c.deadline {
                 self.due.insert((now + wait, Due::Tries(client)));
                 return;
             }
-            match nacked {
-                true => self.loaded.tally.nacked(c.born, c.method, c.tenant),
+            match rejected {
+                true => self.loaded.tally.rejected(c.born, c.method, c.tenant),
                 false => self.loaded.tally.failed(c.born, c.method, c.tenant),
             }
         }
@@ -313,7 +313,7 @@
         self.open -= 1;
     }
 
-    fn overdue(&mut self, client: usize, attempt: u32) {
+    fn timed_out(&mut self, client: usize, attempt: u32) {
         let c = &mut self.clients[client];
         if c.done || c.attempt != attempt {
             return;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -767,11 +767,14 @@
     });
     println!("  size  seed   worth  nacked%  p99 ms  events  rules");
     for ((times, _, seed), outcomes) in work.iter().zip(&results) {
-        let nacked = outcomes.whole.nacked as f64 / (outcomes.whole.offered as f64).max(1.0) * 100.0;
+        let rejected = outcomes.whole.rejected as f64 / (outcomes.whole.offered as f64).max(1.0) * 100.0;
         let (worth, p99) = (outcomes.whole.goodput(), outcomes.latency_us[2] as f64 / 1e3);
         let rules =
             if outcomes.broken.is_empty() { "kept".to_string() } else { format!("{:?}", outcomes.broken) };
-        println!("{times:>6} {seed:>5} {worth:>7.4} {nacked:>8.2} {p99:>7.1} {:>7} {rules}", outcomes.events);
+        println!(
+            "{times:>6} {seed:>5} {worth:>7.4} {rejected:>8.2} {p99:>7.1} {:>7} {rules}",
+            outcomes.events
+        );
         if let Some(folder) = &asked.out {
             write(&folder.join(format!("{times}-{seed}.json")), &outcomes.json())?;
         }
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -3,11 +3,11 @@
 
 use std::collections::VecDeque;
 
-use appledyke::choice::Choice;
-use appledyke::news::Told;
+use appledyke::balancer::Balancer;
+use appledyke::news::AttemptReport;
 use appledyke::terms::{Effect, Terms};
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, GivenUp, Outcome, Standing};
+use appledyke::{Decision, EndpointState, Entry, GiveUpReason, Outcome, RequestInfo};
 use oorandom::Rand64;
 
 /// The module's: what an arrival pays for, and the most that is saved up.
@@ -25,48 +25,48 @@
 
 /// The module's interface, as a host uses it.
 pub trait Policy {
-    fn arrival(&mut self, now: Moment, req: usize, method: usize, left: Span);
-    fn outcome(&mut self, now: Moment, req: usize, write_out: usize, outcome: Outcome, closed: bool);
-    fn hangup(&mut self, req: usize);
+    fn arrival(&mut self, now: Moment, request: usize, method: usize, left: Span);
+    fn outcome(&mut self, now: Moment, request: usize, attempt: usize, outcome: Outcome, closed: bool);
+    fn client_disconnected(&mut self, request: usize);
     fn list(&mut self, now: Moment, complete: bool, entries: &[Listed]);
     fn list_failed(&mut self, now: Moment);
-    /// Write-outs of other members of the fleet have ended.
-    fn told(&mut self, _: Moment, _: &[Told]) {}
+    /// Attempts of other members of the fleet have ended.
+    fn told(&mut self, _: Moment, _: &[AttemptReport]) {}
     fn wake(&mut self, now: Moment);
     fn next(&mut self, now: Moment) -> Option<Decision>;
 }
 
-impl Policy for Choice {
-    fn arrival(&mut self, now: Moment, req: usize, method: usize, left: Span) {
-        Choice::arrival(self, now, req, Ask { method, left, ..Ask::default() });
+impl Policy for Balancer {
+    fn arrival(&mut self, now: Moment, request: usize, method: usize, left: Span) {
+        Balancer::arrival(self, now, request, RequestInfo { method, left, ..RequestInfo::default() });
     }
 
-    fn outcome(&mut self, now: Moment, req: usize, write_out: usize, outcome: Outcome, closed: bool) {
-        Choice::outcome(self, now, req, write_out, outcome, closed);
+    fn outcome(&mut self, now: Moment, request: usize, attempt: usize, outcome: Outcome, closed: bool) {
+        Balancer::outcome(self, now, request, attempt, outcome, closed);
     }
 
-    fn hangup(&mut self, req: usize) {
-        Choice::hangup(self, req);
+    fn client_disconnected(&mut self, request: usize) {
+        Balancer::client_disconnected(self, request);
     }
 
     fn list(&mut self, now: Moment, complete: bool, entries: &[Listed]) {
-        self.list_opens(complete);
+        self.list_begin(complete);
         for e in entries {
-            self.listed(now, e.endpoint, e.entry);
+            self.list_entry(now, e.endpoint, e.entry);
         }
-        self.list_closes(now);
+        self.list_end(now);
     }
 
     fn list_failed(&mut self, now: Moment) {
-        Choice::list_failed(self, now);
+        Balancer::list_failed(self, now);
     }
 
-    fn told(&mut self, now: Moment, news: &[Told]) {
-        Choice::told(self, now, news.iter().copied(), false);
+    fn told(&mut self, now: Moment, news: &[AttemptReport]) {
+        Balancer::apply_reports(self, now, news.iter().copied(), false);
     }
 
     fn wake(&mut self, now: Moment) {
-        Choice::wake(self, now);
+        Balancer::wake(self, now);
     }
 
     fn next(&mut self, now: Moment) -> Option<Decision> {
@@ -134,21 +134,21 @@
 
     pub fn make(self, now: Moment, terms: Terms, seed: u64) -> Box<dyn Policy> {
         match self {
-            Which::Module => Box::new(Choice::new(now, terms, seed)),
+            Which::Module => Box::new(Balancer::new(now, terms, seed)),
             Which::Unthrottled => {
-                let mut choice = Choice::new(now, terms, seed);
+                let mut balancer = Balancer::new(now, terms, seed);
                 // One with a key, and from then on those without are work within work. It goes before it is looked at.
-                choice.arrival(now, 0, Ask { left: WHOLE, key: Some(0), ..Ask::default() });
-                choice.hangup(0);
-                while choice.next_decision(now).is_some() {}
-                Box::new(choice)
+                balancer.arrival(now, 0, RequestInfo { left: WHOLE, key: Some(0), ..RequestInfo::default() });
+                balancer.client_disconnected(0);
+                while balancer.next_decision(now).is_some() {}
+                Box::new(balancer)
             }
             other => Box::new(Plain {
                 which: other,
                 terms,
                 chance: Rand64::new(u128::from(seed)),
                 endpoints: Vec::new(),
-                reqs: Vec::new(),
+                requests: Vec::new(),
                 purse: PURSE_MOST,
                 out: VecDeque::new(),
             }),
@@ -162,12 +162,12 @@
     terms: Terms,
     chance: Rand64,
     endpoints: Vec<Option<(Listed, i64)>>,
-    reqs: Vec<Option<PlainReq>>,
+    requests: Vec<Option<PlainRequest>>,
     purse: f64,
     out: VecDeque<Decision>,
 }
 
-struct PlainReq {
+struct PlainRequest {
     method: usize,
     deadline: Moment,
     sent_to: Vec<usize>,
@@ -181,7 +181,7 @@
     fn pick(&mut self) -> Option<usize> {
         let drains_too = self.flawed(Flaw::SendsToWhatDrains);
         let open =
-            |e: &Entry| e.standing == Standing::Ready || drains_too && e.standing == Standing::Draining;
+            |e: &Entry| e.state == EndpointState::Ready || drains_too && e.state == EndpointState::Draining;
         let mut listed: Vec<_> =
             self.endpoints.iter().flatten().filter(|(e, _)| open(&e.entry)).copied().collect();
         if self.flawed(Flaw::CrowdsWhatIsCold)
@@ -201,74 +201,74 @@
         Some(if second.1 < first.1 { second } else { first }.0.endpoint)
     }
 
-    fn send(&mut self, req: usize) -> bool {
+    fn send(&mut self, request: usize) -> bool {
         let Some(endpoint) = self.pick() else { return false };
-        let Some(r) = self.reqs[req].as_mut() else { return false };
+        let Some(r) = self.requests[request].as_mut() else { return false };
         r.sent_to.push(endpoint);
         self.endpoints[endpoint].as_mut().expect("picked from these").1 += 1;
-        self.out.push_back(Decision::Send { req, endpoint, give_up: r.deadline });
+        self.out.push_back(Decision::Send { request, endpoint, give_up: r.deadline });
         true
     }
 
-    fn forget(&mut self, req: usize) {
-        self.reqs[req] = None;
-        self.out.push_back(Decision::ForgetReq { req });
+    fn forget(&mut self, request: usize) {
+        self.requests[request] = None;
+        self.out.push_back(Decision::ForgetRequest { request });
     }
 
-    fn end(&mut self, req: usize, harmless: bool) {
+    fn end(&mut self, request: usize, harmless: bool) {
         if !self.flawed(Flaw::GivesNoAnswer) {
-            let come_back = self.terms.longest_come_back.map(|most| most * 0.2);
-            let reason = GivenUp::NoEndpoint;
-            let nack = Decision::Nack { req, come_back, reason };
-            self.out.push_back(if harmless { nack } else { Decision::Fail { req, reason } });
+            let retry_after = self.terms.max_retry_after.map(|most| most * 0.2);
+            let reason = GiveUpReason::NoEndpoint;
+            let reject = Decision::Reject { request, retry_after, reason };
+            self.out.push_back(if harmless { reject } else { Decision::Fail { request, reason } });
         }
-        self.forget(req);
+        self.forget(request);
     }
 }
 
 impl Policy for Plain {
-    fn arrival(&mut self, now: Moment, req: usize, method: usize, left: Span) {
-        self.reqs.resize_with(self.reqs.len().max(req + 1), || None);
-        self.reqs[req] = Some(PlainReq { method, deadline: now + left, sent_to: Vec::new() });
+    fn arrival(&mut self, now: Moment, request: usize, method: usize, left: Span) {
+        self.requests.resize_with(self.requests.len().max(request + 1), || None);
+        self.requests[request] = Some(PlainRequest { method, deadline: now + left, sent_to: Vec::new() });
         self.purse = (self.purse + PURSE_SHARE).min(PURSE_MOST);
-        if !self.send(req) {
-            self.end(req, true);
+        if !self.send(request) {
+            self.end(request, true);
         }
     }
 
-    fn outcome(&mut self, now: Moment, req: usize, write_out: usize, outcome: Outcome, closed: bool) {
-        let Some(Some(r)) = self.reqs.get(req) else { return };
+    fn outcome(&mut self, now: Moment, request: usize, attempt: usize, outcome: Outcome, closed: bool) {
+        let Some(Some(r)) = self.requests.get(request) else { return };
         let (method, deadline, tries) = (r.method, r.deadline, r.sent_to.len());
-        if let Some(Some((_, out))) = self.endpoints.get_mut(r.sent_to[write_out]) {
+        if let Some(Some((_, out))) = self.endpoints.get_mut(r.sent_to[attempt]) {
             *out -= 1;
         }
         if closed {
-            return self.forget(req);
+            return self.forget(request);
         }
         let again = match self.which {
             Which::Bad(Flaw::RepeatsWhatMayHaveRun) | Which::Tries => true,
             Which::TriesByPurse => self.purse >= 1.0,
             _ => false,
         };
-        if again && now < deadline && tries < self.terms.most_write_outs && self.send(req) {
+        if again && now < deadline && tries < self.terms.max_attempts && self.send(request) {
             self.purse -= 1.0;
             return;
         }
         let harmless = self.terms.methods[method].effect == Effect::Retryable || outcome.never_ran();
-        self.end(req, harmless);
+        self.end(request, harmless);
     }
 
-    fn hangup(&mut self, req: usize) {
-        let Some(Some(r)) = self.reqs.get(req) else { return };
-        let write_out = r.sent_to.len().saturating_sub(1);
-        if self.terms.may_revoke && !r.sent_to.is_empty() {
-            self.out.push_back(Decision::Revoke { req, write_out });
+    fn client_disconnected(&mut self, request: usize) {
+        let Some(Some(r)) = self.requests.get(request) else { return };
+        let attempt = r.sent_to.len().saturating_sub(1);
+        if self.terms.may_cancel && !r.sent_to.is_empty() {
+            self.out.push_back(Decision::Cancel { request, attempt });
         }
     }
 
     fn list(&mut self, _: Moment, complete: bool, entries: &[Listed]) {
         if complete {
-            self.endpoints.iter_mut().flatten().for_each(|(e, _)| e.entry.standing = Standing::Gone);
+            self.endpoints.iter_mut().flatten().for_each(|(e, _)| e.entry.state = EndpointState::Gone);
         }
         for e in entries {
             self.endpoints.resize_with(self.endpoints.len().max(e.endpoint + 1), || None);
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -35,7 +35,7 @@
 
 #[derive(Default)]
 pub struct Referee {
-    /// Reqs that clients wait for, with their deadline.
+    /// Requests that clients wait for, with their deadline.
     open: BTreeMap<u64, Moment>,
     ran: BTreeMap<u64, Ran>,
     cold: BTreeMap<(usize, usize), Given>,
@@ -59,26 +59,26 @@
         }
     }
 
-    /// A sidecar has taken a client's req.
-    pub fn taken(&mut self, req: u64, deadline: Moment) {
-        self.open.insert(req, deadline);
+    /// A sidecar has taken a client's request.
+    pub fn taken(&mut self, request: u64, deadline: Moment) {
+        self.open.insert(request, deadline);
     }
 
-    /// The client of a req has an answer, or asks no more; or its sidecar was killed by the schedule.
-    pub fn closed(&mut self, req: u64) -> bool {
-        self.open.remove(&req).is_some()
+    /// The client of a request has an answer, or asks no more; or its sidecar was killed by the schedule.
+    pub fn closed(&mut self, request: u64) -> bool {
+        self.open.remove(&request).is_some()
     }
 
-    pub fn answered(&mut self, now: Moment, req: u64) {
-        if !self.closed(req) {
-            self.breaks(Rule::NoReqLost, now, format!("req {req} has a second answer"));
+    pub fn answered(&mut self, now: Moment, request: u64) {
+        if !self.closed(request) {
+            self.breaks(Rule::NoReqLost, now, format!("req {request} has a second answer"));
         }
     }
 
-    /// The req's deadline has passed by more than the slack.
-    pub fn overdue(&mut self, now: Moment, req: u64) {
-        if self.closed(req) {
-            self.breaks(Rule::NoReqLost, now, format!("req {req} has no answer"));
+    /// The request's deadline has passed by more than the slack.
+    pub fn timed_out(&mut self, now: Moment, request: u64) {
+        if self.closed(request) {
+            self.breaks(Rule::NoReqLost, now, format!("req {request} has no answer"));
         }
     }
 
@@ -86,11 +86,11 @@
         ANSWER_SLACK
     }
 
-    /// An endpoint begins work on a req. Returns whether it takes effect; a repeat may be discarded.
-    pub fn effect(&mut self, now: Moment, req: u64, method: &Method, group: (usize, u64)) -> bool {
-        let Some(ran) = self.ran.get(&req) else {
+    /// An endpoint begins work on a request. Returns whether it takes effect; a repeat may be discarded.
+    pub fn effect(&mut self, now: Moment, request: u64, method: &Method, group: (usize, u64)) -> bool {
+        let Some(ran) = self.ran.get(&request) else {
             if method.effect != Effect::Retryable {
-                self.ran.insert(req, Ran { group, at: now });
+                self.ran.insert(request, Ran { group, at: now });
             }
             return true;
         };
@@ -98,12 +98,12 @@
             && ran.group == group
             && now.since(ran.at) < Span::from_millis(method.window_ms);
         if !kept {
-            self.breaks(Rule::NoEffectTwice, now, format!("req {req} of {} ran twice", method.name));
+            self.breaks(Rule::NoEffectTwice, now, format!("req {request} of {} ran twice", method.name));
         }
         !kept
     }
 
-    /// A write-out sets out to an endpoint, of which its sidecar was told at a moment that it drains.
+    /// An attempt sets out to an endpoint, of which its sidecar was told at a moment that it drains.
     pub fn sent(&mut self, now: Moment, told: Option<Moment>, rules: &Rules, whom: (usize, usize)) {
         if told.is_some_and(|told| now > told + Span::from_millis(rules.drain_grace_ms)) {
             self.breaks(Rule::DrainsKept, now, format!("endpoint {whom:?} was sent to while it drained"));
@@ -134,7 +134,7 @@
         }
         cold.given.push_back((now, work));
         cold.sum += work;
-        // A few reqs are never a crowd, however small the endpoint.
+        // A few requests are never a crowd, however small the endpoint.
         let can = (share * cores * window.secs() * rules.fall_multiple).max(work * 4.0);
         if cold.sum > can && cold.given.len() > 4 {
             let text = format!("endpoint {whom:?} was given {:.2} s of work where {can:.2} fit", cold.sum);
@@ -149,16 +149,16 @@
         self.cold.remove(&whom);
     }
 
-    /// The end of the run: reqs whose time is not up yet are neither answered nor lost.
+    /// The end of the run: requests whose time is not up yet are neither answered nor lost.
     pub fn ends(&mut self, end: Moment) {
         let lost: Vec<u64> = self
             .open
             .iter()
             .filter(|(_, deadline)| **deadline + ANSWER_SLACK < end)
-            .map(|(req, _)| *req)
+            .map(|(request, _)| *request)
             .collect();
-        for req in lost {
-            self.overdue(end, req);
+        for request in lost {
+            self.timed_out(end, request);
         }
     }
 }
@@ -221,13 +221,13 @@
     #[test]
     fn one_answer_is_owed_and_no_more() {
         let mut referee = Referee::default();
-        for req in 0..4 {
-            referee.taken(req, at_ms(100));
+        for request in 0..4 {
+            referee.taken(request, at_ms(100));
         }
         referee.answered(at_ms(50), 0);
         assert!(referee.closed(1) && referee.broken().is_empty());
         referee.answered(at_ms(60), 0);
-        referee.overdue(at_ms(151), 2);
+        referee.timed_out(at_ms(151), 2);
         referee.ends(at_ms(1000));
         assert_eq!(referee.broken()[&Rule::NoReqLost], 3);
         assert_eq!(referee.told().len(), 3);
--- a/crates/lab/src/releases.rs
+++ b/crates/lab/src/releases.rs
@@ -36,11 +36,11 @@
     Noisy,
     /// It takes thrice as long to drain and to start.
     Slow,
-    /// A tenth of its reqs fails.
+    /// A tenth of its requests fails.
     Flawed,
     /// It fails in three of ten once half of the fleet runs it.
     FallsAtHalf,
-    /// The old version is as good; half of all reqs fail for a while, whoever serves them.
+    /// The old version is as good; half of all requests fail for a while, whoever serves them.
     Outage,
 }
 
@@ -89,7 +89,7 @@
     down: Option<u64>,
 }
 
-/// Reqs that come to one in a second, by chance.
+/// Requests that come to one in a second, by chance.
 pub const PER_SECOND: f64 = 20.0;
 const FAILS: f64 = 0.01;
 const SLOW: f64 = 0.03;
@@ -180,8 +180,8 @@
                 (one.down, one.since) = (None, now);
             }
             if one.drained.is_none() {
-                let reqs = PER_SECOND * STEP_MS as f64 / 1e3;
-                let count = reqs as u64 + u64::from(chance.rand_float() < reqs.fract());
+                let requests = PER_SECOND * STEP_MS as f64 / 1e3;
+                let count = requests as u64 + u64::from(chance.rand_float() < requests.fract());
                 let cold = now - one.since < COLD_MS;
                 let (mut fails, mut slow) = (FAILS, SLOW);
                 if one.new {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -32,7 +32,8 @@
     pub offered: u64,
     pub in_time: u64,
     pub late: u64,
-    pub nacked: u64,
+    #[serde(rename = "nacked")]
+    pub rejected: u64,
     pub failed: u64,
     /// Worth asked for, and served in the budget or past it.
     pub asked: f64,
@@ -45,7 +46,7 @@
     pub counts: Counts,
     pub retries: u64,
     pub opened: u64,
-    /// Of each tier: write-outs, and those that failed; endpoints up, reqs inside, and the most inside one.
+    /// Of each tier: attempts, and those that failed; endpoints up, requests inside, and the most inside one.
     pub sent: Vec<u64>,
     pub vain: Vec<u64>,
     pub up: Vec<usize>,
@@ -161,8 +162,8 @@
         }
     }
 
-    pub fn nacked(&mut self, born: Moment, method: usize, tenant: usize) {
-        self.count(born, method, tenant, |c| c.nacked += 1);
+    pub fn rejected(&mut self, born: Moment, method: usize, tenant: usize) {
+        self.count(born, method, tenant, |c| c.rejected += 1);
     }
 
     pub fn failed(&mut self, born: Moment, method: usize, tenant: usize) {
@@ -182,7 +183,7 @@
     }
 
     pub fn ended(&mut self, now: Moment, tier: usize, outcome: Outcome) {
-        let vain = !matches!(outcome, Outcome::Satisfied | Outcome::Recalled | Outcome::NeverSent);
+        let vain = !matches!(outcome, Outcome::Success | Outcome::Cancelled | Outcome::NeverSent);
         self.window(now).vain[tier] += u64::from(vain);
     }
 
@@ -240,7 +241,7 @@
             self.goodput(),
             part(self.in_time),
             part(self.late),
-            part(self.nacked),
+            part(self.rejected),
             part(self.failed)
         )
     }
@@ -280,11 +281,11 @@
         text += "   s offered   worth  nack%  again   opened  write-outs, in vain; up, inside, most inside, by tier\n";
         let every = self.windows.len().div_ceil(30).max(1);
         for (at, w) in self.windows.iter().enumerate().step_by(every) {
-            let nacked = w.counts.nacked as f64 / (w.counts.offered as f64).max(1.0) * 100.0;
+            let rejected = w.counts.rejected as f64 / (w.counts.offered as f64).max(1.0) * 100.0;
             let (worth, offered) = (w.counts.goodput(), w.counts.offered);
             let _ = write!(
                 text,
-                "{at:>4} {offered:>7} {worth:>7.3} {nacked:>6.1} {:>6} {:>8}",
+                "{at:>4} {offered:>7} {worth:>7.3} {rejected:>6.1} {:>6} {:>8}",
                 w.retries, w.opened
             );
             for tier in 0..w.sent.len() {
@@ -312,7 +313,7 @@
         text
     }
 
-    /// Worth served and nacks over time, and reqs inside the first tier, as a drawing.
+    /// Worth served and rejections over time, and requests inside the first tier, as a drawing.
     pub fn svg(&self) -> Result<String, String> {
         let mut drawing = String::new();
         {
@@ -333,7 +334,7 @@
             chart.configure_mesh().x_desc("seconds").y_desc("part").draw().map_err(|e| told(&e))?;
             for (name, colour) in [("worth served", BLUE), ("nacked", RED)] {
                 let part = |c: &Counts| match name {
-                    "nacked" => c.nacked as f64 / (c.offered as f64).max(1.0),
+                    "nacked" => c.rejected as f64 / (c.offered as f64).max(1.0),
                     _ => c.goodput(),
                 };
                 let points =
--- a/crates/lab/src/rig/judge.rs
+++ b/crates/lab/src/rig/judge.rs
@@ -7,7 +7,7 @@
 use appledyke_fleet::budgets::Thing;
 use appledyke_fleet::state::Written;
 
-/// Of the reqs to sidecars that were not struck themselves, the share that may go unserved beyond the paired run's.
+/// Of the requests to sidecars that were not struck themselves, the share that may go unserved beyond the paired run's.
 const UNSERVED_MOST: f64 = 0.01;
 
 /// What an operator was told of a write. Moments are milliseconds of the rig's clock.
@@ -65,13 +65,13 @@
     pub states: Vec<(u16, u64, u64)>,
     /// Places that ought to be there in the end.
     pub places: u16,
-    /// Reqs to sidecars that were not struck: served, and all; and of the paired run without faults, none where there was
+    /// Requests to sidecars that were not struck: served, and all; and of the paired run without faults, none where there was
     /// no such run.
     pub served: (u64, u64),
     pub paired: (u64, u64),
     pub uses: Vec<Used>,
     /// Of releases, where there were any: the most that were out at once of those that nothing had struck, and the most that
-    /// may be; reqs that fronts lost; who was moved to what it ran; what was not over or at one version in the end.
+    /// may be; requests that fronts lost; who was moved to what it ran; what was not over or at one version in the end.
     pub released: Option<Released>,
 }
 
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -12,7 +12,7 @@
 
 use super::fleet::{Daemons, PATIENCE, Shape, ask};
 use super::holders::Holders;
-use super::sidecars::{Clients, Endpoint, How, Sidecars, most_within, req};
+use super::sidecars::{Clients, Endpoint, How, Sidecars, most_within, request};
 
 /// Clock ticks a second in the system's account of a process's time.
 const TICKS: f64 = 100.0;
@@ -237,7 +237,7 @@
             sidecars.start(&name(number), &at, 200)?;
         }
         sidecars.endpoints[..2].iter().for_each(|endpoint| endpoint.answers(How::Fails));
-        let bad = |sidecars: &Sidecars| sidecars.endpoints[..2].iter().map(Endpoint::reqs).sum::<u64>();
+        let bad = |sidecars: &Sidecars| sidecars.endpoints[..2].iter().map(Endpoint::requests).sum::<u64>();
         let play = |sidecars: &Sidecars, who: &[usize], lasts: Duration| {
             let to: Vec<SocketAddr> = who.iter().map(|number| sidecars.at(&name(*number))).collect();
             let until = Instant::now() + lasts;
@@ -246,7 +246,7 @@
                     scope.spawn(move || {
                         let mut asked = 0;
                         while Instant::now() < until {
-                            let _ = req(at, "/menu/1");
+                            let _ = request(at, "/menu/1");
                             asked += 1;
                             std::thread::sleep(Duration::from_millis(5));
                         }
@@ -303,7 +303,7 @@
             let pause = Duration::from_secs_f64(1.0 / wants as f64);
             clients.push(Clients::start(&[sidecars.at(&name)], "/menu/1", pause));
         }
-        let count = |sidecars: &Sidecars| sidecars.endpoints.iter().map(Endpoint::reqs).sum::<u64>();
+        let count = |sidecars: &Sidecars| sidecars.endpoints.iter().map(Endpoint::requests).sum::<u64>();
         std::thread::sleep(Duration::from_secs(5));
         let (before, start) = (count(&sidecars), Instant::now());
         std::thread::sleep(lasts);
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -40,7 +40,7 @@
 const BEAT_MS: u64 = 80;
 /// How long a release that halted is left so, before an operator's word.
 const HALTED_FOR_MS: u64 = 800;
-/// By how much later than another a write-out may be delivered on a busy machine: windows are counted shorter by it.
+/// By how much later than another an attempt may be delivered on a busy machine: windows are counted shorter by it.
 const UNDER_WAY: Duration = Duration::from_millis(60);
 /// Longest that the paired run without faults lasts: its share served settles well within that.
 const PAIR_MOST_MS: u64 = 60_000;
@@ -226,7 +226,7 @@
     pub reads: usize,
     pub versions: usize,
     pub told: usize,
-    /// Reqs served, and all; and in the paired run without faults.
+    /// Requests served, and all; and in the paired run without faults.
     pub served: (u64, u64),
     pub paired: (u64, u64),
     pub entries: u64,
@@ -595,7 +595,7 @@
     // A budget is wanted by all that there are, struck or not, and far above the whole.
     let clients = match scenario.budget.is_empty() {
         true if most.is_some() => {
-            // All have reqs, or none could be judged; those of what is struck are not counted.
+            // All have requests, or none could be judged; those of what is struck are not counted.
             let names: Vec<String> = (0..scenario.sidecars).map(|number| format!("s{number}")).collect();
             Clients::front(&sidecars, &names, 1, "/menu/1", pause)
         }
@@ -673,7 +673,7 @@
     played?;
     let served = answers
         .iter()
-        .map(|a| (a.served, a.served + a.nacked + a.failed + a.none))
+        .map(|a| (a.served, a.served + a.rejected + a.failed + a.none))
         .fold((0, 0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
     run.released.lost = answers.iter().map(|a| a.failed + a.none).sum();
     let result = run.end(keep, served, paired.unwrap_or_default());
--- a/crates/lab/src/rig/sidecars.rs
+++ b/crates/lab/src/rig/sidecars.rs
@@ -26,7 +26,7 @@
     Well,
     Fails,
     BreaksOff,
-    /// Takes a req and never answers.
+    /// Takes a request and never answers.
     Waits,
 }
 
@@ -34,7 +34,7 @@
 pub struct Endpoint {
     pub at: SocketAddr,
     how: Arc<AtomicU8>,
-    reqs: Arc<Mutex<Vec<Instant>>>,
+    requests: Arc<Mutex<Vec<Instant>>>,
     /// Connections open now, and most at once.
     open: Arc<Mutex<(u64, u64)>>,
 }
@@ -88,12 +88,12 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let how = Arc::new(AtomicU8::new(0));
-        let reqs = Arc::new(Mutex::new(Vec::new()));
+        let requests = Arc::new(Mutex::new(Vec::new()));
         let open = Arc::new(Mutex::new((0, 0)));
-        let endpoint = Endpoint { at, how: how.clone(), reqs: reqs.clone(), open: open.clone() };
+        let endpoint = Endpoint { at, how: how.clone(), requests: requests.clone(), open: open.clone() };
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (how, reqs, open) = (how.clone(), reqs.clone(), open.clone());
+                let (how, requests, open) = (how.clone(), requests.clone(), open.clone());
                 thread::spawn(move || {
                     let _ = stream.set_nodelay(true);
                     {
@@ -106,7 +106,7 @@
                         if body(&mut reader, &head).is_none() {
                             break;
                         }
-                        locked(&reqs).push(Instant::now());
+                        locked(&requests).push(Instant::now());
                         let status = match how.load(Ordering::Relaxed) {
                             0 => "200 OK",
                             1 => "500 Internal Server Error",
@@ -135,14 +135,14 @@
         self.how.store(code, Ordering::Relaxed);
     }
 
-    /// Reqs that have reached it.
-    pub fn reqs(&self) -> u64 {
-        locked(&self.reqs).len() as u64
+    /// Requests that have reached it.
+    pub fn requests(&self) -> u64 {
+        locked(&self.requests).len() as u64
     }
 
     /// When each came, by this machine's clock.
     pub fn times(&self) -> Vec<Instant> {
-        locked(&self.reqs).clone()
+        locked(&self.requests).clone()
     }
 
     /// Connections that are open to it now.
@@ -425,14 +425,14 @@
     }
 }
 
-/// A req's id. Danger: a second open req with the id of another is answered 409, and never sent on.
+/// A request's id. Danger: a second open request with the id of another is answered 409, and never sent on.
 fn id() -> u64 {
     static IDS: AtomicU64 = AtomicU64::new(1);
     IDS.fetch_add(1, Ordering::Relaxed)
 }
 
-/// The status that a req gets, over a connection of its own; none where no answer came.
-pub fn req(at: SocketAddr, path: &str) -> Option<u16> {
+/// The status that a request gets, over a connection of its own; none where no answer came.
+pub fn request(at: SocketAddr, path: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream.set_read_timeout(Some(ANSWER_IN)).ok()?;
     write!(stream, "GET {path} HTTP/1.1\r\nX-Txn: {:x}\r\nConnection: close\r\n\r\n", id()).ok()?;
@@ -484,7 +484,7 @@
     }
 }
 
-/// A client that keeps its connection. Danger: one connection for each req leaves thousands that wait in the system, until no
+/// A client that keeps its connection. Danger: one connection for each request leaves thousands that wait in the system, until no
 /// port is free for anyone on the machine.
 struct Client {
     at: Where,
@@ -497,7 +497,7 @@
 const CHECK_EVERY: Duration = Duration::from_millis(100);
 
 impl Client {
-    /// The status that a req gets; none where no answer came.
+    /// The status that a request gets; none where no answer came.
     fn ask(&mut self, path: &str) -> Option<u16> {
         let kept = self.open.is_some();
         // A kept connection may have ended by itself since.
@@ -510,7 +510,7 @@
         if at.elapsed() < CHECK_EVERY {
             return well;
         }
-        let well = self.at.address().and_then(|at| req(at, "/healthz")) == Some(200);
+        let well = self.at.address().and_then(|at| request(at, "/healthz")) == Some(200);
         if !well {
             self.open = None;
         }
@@ -544,15 +544,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
     pub served: u64,
-    pub nacked: u64,
+    pub rejected: u64,
     pub failed: u64,
-    /// No answer came: a req was lost.
+    /// No answer came: a request was lost.
     pub none: u64,
 }
 
 impl Answers {
     pub fn share(&self) -> f64 {
-        let all = self.served + self.nacked + self.failed + self.none;
+        let all = self.served + self.rejected + self.failed + self.none;
         self.served as f64 / (all as f64).max(1.0)
     }
 }
@@ -605,7 +605,7 @@
                     }
                     match client.ask(path) {
                         Some(200) => answers.served += 1,
-                        Some(503) => answers.nacked += 1,
+                        Some(503) => answers.rejected += 1,
                         Some(_) => answers.failed += 1,
                         None => answers.none += 1,
                     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -403,11 +403,11 @@
         let mut marks: HashMap<u32, Vec<u32>> = HashMap::new();
         let mut service_of = HashMap::new();
         for spec in &setup.members {
-            let mark = ids::mark(&spec.name);
+            let mark = ids::name_hash(&spec.name);
             if !spec.real {
                 service_of.insert(mark, spec.service);
             }
-            marks.entry(spec.service).or_default().push(ids::mark(&format!("{}-endpoint", spec.name)));
+            marks.entry(spec.service).or_default().push(ids::name_hash(&format!("{}-endpoint", spec.name)));
         }
         let chance = Rand64::new(u128::from(setup.seed));
         let counts = Counts { lateness: vec![0; LATENESS], ..Counts::default() };
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// What members of a fleet hear of how others' write-outs ended.
+/// What members of a fleet hear of how others' attempts ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Hears {
@@ -186,21 +186,21 @@
     pub endpoints: usize,
     #[serde(default = "one")]
     pub cores: usize,
-    /// Reqs that may be inside at once, waiting ones included.
+    /// Requests that may be inside at once, waiting ones included.
     #[serde(default = "many")]
     pub places: usize,
     #[serde(default = "many")]
     pub connections: usize,
     #[serde(default)]
     pub handshake_ms: f64,
-    /// Work of a req on one core, for each method in its order, or one for all.
+    /// Work of a request on one core, for each method in its order, or one for all.
     pub work_ms: Vec<f64>,
     #[serde(default)]
     pub spread: Spread,
     /// Relative difference in speed between the quickest and the slowest endpoint.
     #[serde(default)]
     pub uneven: f64,
-    /// Calls of a req to the next tier, one after the other.
+    /// Calls of a request to the next tier, one after the other.
     #[serde(default)]
     pub calls: usize,
     /// Endpoints that discard each other's repeats.
--- a/crates/lab/src/service.rs
+++ b/crates/lab/src/service.rs
@@ -1,4 +1,4 @@
-//! What an endpoint does with a req: how long it works, and how that ends. Written once, for endpoints in virtual
+//! What an endpoint does with a request: how long it works, and how that ends. Written once, for endpoints in virtual
 //! time and for those on sockets.
 
 use appledyke::units::{Moment, Span};
@@ -7,7 +7,7 @@
 use crate::faults::Weather;
 use crate::scenario::{Group, Scenario, Spread, millis};
 
-/// What comes back for a req, if anything does.
+/// What comes back for a request, if anything does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Good,
@@ -20,7 +20,7 @@
     Lost,
 }
 
-/// One req's service.
+/// One request's service.
 pub struct Service {
     pub fate: Fate,
     /// For which a core works on it.
@@ -29,7 +29,7 @@
     pub work: f64,
 }
 
-/// Draws the service of a req of this method at an endpoint: its tier, speed and start, and its weather.
+/// Draws the service of a request of this method at an endpoint: its tier, speed and start, and its weather.
 pub fn draw(
     scenario: &Scenario,
     (tier, speed, started): (usize, f64, Option<Moment>),
@@ -66,7 +66,7 @@
     Service { fate: drawn.map_or(Fate::Good, |(_, fate)| fate), takes, work: work / 1e3 }
 }
 
-/// The group within which an endpoint's repeats of a method's req are discarded.
+/// The group within which an endpoint's repeats of a method's request are discarded.
 pub fn group(scenario: &Scenario, tier: usize, number: usize, method: usize) -> (usize, u64) {
     let group = match scenario.method[method].group {
         Group::All => 0,
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -5,9 +5,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use appledyke::ids::{self, Names};
-use appledyke::news::Told as Ended;
+use appledyke::news::AttemptReport as Ended;
 use appledyke::units::{Moment, Span};
-use appledyke::{Decision, Entry, Outcome, Standing};
+use appledyke::{Decision, EndpointState, Entry, Outcome};
 use appledyke_fleet::evidence::{self, Cursor, Evidence, Passed, Seen};
 use oorandom::Rand64;
 
@@ -51,7 +51,7 @@
         node: usize,
         life: u32,
     },
-    /// A write-out's last byte reaches its endpoint.
+    /// An attempt's last byte reaches its endpoint.
     Reaches {
         job: usize,
     },
@@ -117,22 +117,22 @@
 /// `Outcome` in an order, as events want one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Told {
-    Satisfied,
-    Errored,
-    Saturated,
+    Served,
+    Error,
+    Overloaded,
     Refused,
-    Severed,
+    Reset,
     NeverSent,
 }
 
 impl Told {
     fn outcome(self) -> Outcome {
         match self {
-            Told::Satisfied => Outcome::Satisfied,
-            Told::Errored => Outcome::Errored,
-            Told::Saturated => Outcome::Saturated,
-            Told::Refused => Outcome::RefusedConnection,
-            Told::Severed => Outcome::Severed,
+            Told::Served => Outcome::Success,
+            Told::Error => Outcome::Error,
+            Told::Overloaded => Outcome::Overloaded,
+            Told::Refused => Outcome::ConnectFailure,
+            Told::Reset => Outcome::Reset,
             Told::NeverSent => Outcome::NeverSent,
         }
     }
@@ -141,7 +141,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Answer {
     Served,
-    Nacked { come_back: Option<u64> },
+    Rejected { retry_after: Option<u64> },
     Failed,
 }
 
@@ -169,22 +169,22 @@
     Job(usize),
 }
 
-/// For a req at a sidecar, until nothing more can be heard of it.
-struct Req {
+/// For a request at a sidecar, until nothing more can be heard of it.
+struct Request {
     from: From,
     method: usize,
     effect: u64,
     deadline: Moment,
-    write_outs: Vec<usize>,
+    attempts: Vec<usize>,
     answered: bool,
 }
 
-/// For a write-out, and the work that it makes at its endpoint.
+/// For an attempt, and the work that it makes at its endpoint.
 struct Job {
     node: usize,
     life: u32,
-    req: usize,
-    write_out: usize,
+    request: usize,
+    attempt: usize,
     endpoint: usize,
     /// Which process of the endpoint it was written to.
     process: u32,
@@ -229,7 +229,7 @@
     /// By the index that the policy knows it by: which endpoint, which process, and since when it is known to
     /// drain.
     known: Vec<(usize, u32, Option<Moment>)>,
-    reqs: Vec<Option<Req>>,
+    requests: Vec<Option<Request>>,
     free: Vec<usize>,
     /// Idle connections, by endpoint and process.
     idle: BTreeMap<(usize, u32), usize>,
@@ -243,7 +243,7 @@
 struct News {
     endpoint: usize,
     process: u32,
-    standing: Standing,
+    standing: EndpointState,
     started: Option<Moment>,
 }
 
@@ -268,7 +268,7 @@
     referee: Referee,
     pub tally: Tally,
     work: Vec<usize>,
-    /// What daemons hold of the members' write-outs, how many each has told, and up to where each has heard.
+    /// What daemons hold of the members' attempts, how many each has told, and up to where each has heard.
     evidence: Evidence,
     sequences: Vec<u64>,
     cursors: Vec<Cursor>,
@@ -420,7 +420,7 @@
             Event::GiveUp { job } => {
                 if self.jobs[job].awaited {
                     self.withdraw(job);
-                    self.heard(job, Outcome::Overdue, false);
+                    self.heard(job, Outcome::Timeout, false);
                 }
             }
             Event::Answered { client, attempt, answer } => self.answered(client, attempt, answer),
@@ -508,11 +508,11 @@
             return self.soon(self.hop() * 2.0, Event::Answered { client, attempt, answer: Answer::Failed });
         }
         let from = From::Client { client, attempt };
-        let req = self.arrival(node, from, method, effect, deadline);
+        let request = self.arrival(node, from, method, effect, deadline);
         self.effects += 1;
         let open = self.effects;
         self.referee.taken(open, deadline);
-        (self.clients[client].at, self.clients[client].open) = (Some((node, req)), Some(open));
+        (self.clients[client].at, self.clients[client].open) = (Some((node, request)), Some(open));
         // An answer at the very deadline is still on its way when the client's time is up.
         self.schedule(deadline + self.referee.slack(), Event::Goes { client, attempt });
         if self.chance.rand_float() < self.scenario.load.impatient {
@@ -535,12 +535,12 @@
     fn arrival(&mut self, node: usize, from: From, method: usize, effect: u64, deadline: Moment) -> usize {
         let now = self.now;
         let n = &mut self.nodes[node];
-        let at = n.free.pop().unwrap_or(n.reqs.len());
-        let req = Req { from, method, effect, deadline, write_outs: Vec::new(), answered: false };
-        if at == n.reqs.len() {
-            n.reqs.push(Some(req));
+        let at = n.free.pop().unwrap_or(n.requests.len());
+        let request = Request { from, method, effect, deadline, attempts: Vec::new(), answered: false };
+        if at == n.requests.len() {
+            n.requests.push(Some(request));
         } else {
-            n.reqs[at] = Some(req);
+            n.requests[at] = Some(request);
         }
         let life = n.life;
         self.with(node, life, |policy| policy.arrival(now, at, method, deadline.since(now)));
@@ -557,12 +557,12 @@
         let open = c.open.take();
         self.tally.failed(c.born, c.method, c.tenant);
         if let Some(open) = open {
-            self.referee.overdue(self.now, open);
+            self.referee.timed_out(self.now, open);
         }
         let c = &mut self.clients[client];
-        if let Some((node, req)) = c.at.take() {
+        if let Some((node, request)) = c.at.take() {
             let life = self.nodes[node].life;
-            self.with(node, life, |policy| policy.hangup(req));
+            self.with(node, life, |policy| policy.client_disconnected(request));
         }
     }
 
@@ -579,9 +579,9 @@
             let in_time = took <= Span::from_millis(m.latency_budget_ms);
             return self.tally.served((c.born, took), c.method, c.tenant, in_time, m);
         }
-        let harmless = matches!(answer, Answer::Nacked { .. }) || m.effect == Effect::Retryable;
+        let harmless = matches!(answer, Answer::Rejected { .. }) || m.effect == Effect::Retryable;
         let told = match answer {
-            Answer::Nacked { come_back: Some(nanos) } => Span::from_nanos(nanos),
+            Answer::Rejected { retry_after: Some(nanos) } => Span::from_nanos(nanos),
             _ => Span::from_millis(self.scenario.load.back_off_ms),
         };
         if harmless && c.attempt <= self.scenario.load.retries && self.now + told < c.deadline {
@@ -589,7 +589,7 @@
         }
         c.done = true;
         match answer {
-            Answer::Nacked { .. } => self.tally.nacked(c.born, c.method, c.tenant),
+            Answer::Rejected { .. } => self.tally.rejected(c.born, c.method, c.tenant),
             _ => self.tally.failed(c.born, c.method, c.tenant),
         }
     }
@@ -666,7 +666,7 @@
         let told = passed.iter().filter_map(|Passed { seen, .. }| {
             let (method, part) = (seen.method as usize, f64::from(seen.part));
             Some(Ended {
-                mark: seen.endpoint,
+                name_hash: seen.endpoint,
                 method,
                 outcome: evidence::outcome(seen.outcome)?,
                 part,
@@ -683,7 +683,7 @@
     /// The whole list of a tier as it is now.
     fn whole(&self, tier: usize) -> Vec<News> {
         let listed = self.endpoints.iter().enumerate().filter(|(_, e)| e.tier == tier && (e.up || e.silent));
-        let standing = |e: &Endpoint| if e.drains { Standing::Draining } else { Standing::Ready };
+        let standing = |e: &Endpoint| if e.drains { EndpointState::Draining } else { EndpointState::Ready };
         let news = |(endpoint, e): (usize, &Endpoint)| News {
             endpoint,
             process: e.process,
@@ -704,17 +704,17 @@
             let name = format!("{}.{}", told.endpoint, told.process);
             let index = n.names.index(&name);
             n.known.resize(n.known.len().max(index + 1), (usize::MAX, 0, None));
-            let drains = (told.standing != Standing::Ready).then_some(now);
+            let drains = (told.standing != EndpointState::Ready).then_some(now);
             let before = n.known[index];
             let since = if before.0 == told.endpoint { before.2.filter(|_| drains.is_some()) } else { None };
             n.known[index] = (told.endpoint, told.process, since.or(drains));
             let entry = Entry {
-                standing: told.standing,
+                state: told.standing,
                 started: told.started,
                 zone,
                 cell,
                 kind: 0,
-                mark: ids::mark(&name),
+                name_hash: ids::name_hash(&name),
             };
             entries.push(Listed { endpoint: index, entry });
         }
@@ -738,13 +738,13 @@
         n.names = Names::default();
         n.known.clear();
         n.free.clear();
-        let reqs = std::mem::take(&mut n.reqs);
+        let requests = std::mem::take(&mut n.requests);
         let idle = std::mem::take(&mut n.idle);
         for ((endpoint, process), count) in idle {
             self.release(endpoint, process, count);
         }
-        for r in reqs.into_iter().flatten() {
-            for job in &r.write_outs {
+        for r in requests.into_iter().flatten() {
+            for job in &r.attempts {
                 if self.jobs[*job].awaited {
                     self.withdraw(*job);
                 }
@@ -776,28 +776,32 @@
     fn carry_out(&mut self, node: usize, decision: Decision) {
         let life = self.nodes[node].life;
         match decision {
-            Decision::Send { req, endpoint, give_up } => self.send(node, req, endpoint, give_up),
-            Decision::Nack { req, come_back, .. } => {
-                self.final_answer(node, req, Answer::Nacked { come_back: come_back.map(Span::nanos) });
+            Decision::Send { request, endpoint, give_up } => self.send(node, request, endpoint, give_up),
+            Decision::Reject { request, retry_after, .. } => {
+                self.final_answer(
+                    node,
+                    request,
+                    Answer::Rejected { retry_after: retry_after.map(Span::nanos) },
+                );
             }
-            Decision::Fail { req, .. } => self.final_answer(node, req, Answer::Failed),
-            Decision::Revoke { req, write_out } => {
-                let job = self.nodes[node].reqs[req].as_ref().map(|r| r.write_outs[write_out]);
+            Decision::Fail { request, .. } => self.final_answer(node, request, Answer::Failed),
+            Decision::Cancel { request, attempt } => {
+                let job = self.nodes[node].requests[request].as_ref().map(|r| r.attempts[attempt]);
                 if let Some(job) = job.filter(|job| self.jobs[*job].awaited) {
                     self.withdraw(job);
-                    self.heard(job, Outcome::Recalled, true);
+                    self.heard(job, Outcome::Cancelled, true);
                 }
             }
             // The laboratory has neither load reports nor messages, and its terms say so.
-            Decision::Probe { .. } | Decision::Tell { .. } => {}
+            Decision::Probe { .. } | Decision::TellPeer { .. } => {}
             Decision::CloseIdle { endpoint } => {
                 let (at, process, _) = self.nodes[node].known[endpoint];
                 let count = self.nodes[node].idle.remove(&(at, process)).unwrap_or(0);
                 self.release(at, process, count);
             }
-            Decision::ForgetReq { req } => {
-                self.nodes[node].reqs[req] = None;
-                self.nodes[node].free.push(req);
+            Decision::ForgetRequest { request } => {
+                self.nodes[node].requests[request] = None;
+                self.nodes[node].free.push(request);
             }
             Decision::ForgetEndpoint { endpoint } => self.nodes[node].names.release(endpoint),
             Decision::Wake { at } => self.schedule(at.max(self.now), Event::Wake { node, life }),
@@ -810,8 +814,8 @@
         }
     }
 
-    fn final_answer(&mut self, node: usize, req: usize, answer: Answer) {
-        let Some(r) = self.nodes[node].reqs[req].as_mut().filter(|r| !r.answered) else { return };
+    fn final_answer(&mut self, node: usize, request: usize, answer: Answer) {
+        let Some(r) = self.nodes[node].requests[request].as_mut().filter(|r| !r.answered) else { return };
         r.answered = true;
         match r.from {
             From::Client { client, attempt } => {
@@ -826,18 +830,18 @@
         }
     }
 
-    fn send(&mut self, node: usize, req: usize, index: usize, give_up: Moment) {
+    fn send(&mut self, node: usize, request: usize, index: usize, give_up: Moment) {
         let (endpoint, process, drains) = self.nodes[node].known[index];
         let n = &mut self.nodes[node];
-        let Some(r) = n.reqs[req].as_mut() else { return };
+        let Some(r) = n.requests[request].as_mut() else { return };
         let job = self.jobs.len();
-        let (write_out, method, effect, deadline) = (r.write_outs.len(), r.method, r.effect, r.deadline);
-        r.write_outs.push(job);
+        let (attempt, method, effect, deadline) = (r.attempts.len(), r.method, r.effect, r.deadline);
+        r.attempts.push(job);
         self.jobs.push(Job {
             node,
             life: n.life,
-            req,
-            write_out,
+            request,
+            attempt,
             endpoint,
             process,
             method,
@@ -848,7 +852,7 @@
             inside: false,
             works: false,
             calls_left: 0,
-            told: Told::Satisfied,
+            told: Told::Served,
             lost: false,
             holds_connection: false,
         });
@@ -856,7 +860,7 @@
             let started = self.endpoints[endpoint].started;
             let cold =
                 started.is_some_and(|at| self.now.since(at) < Span::from_millis(self.scenario.rules.cold_ms));
-            if !shares.may_send(self.now, node, write_out > 0, cold) {
+            if !shares.may_send(self.now, node, attempt > 0, cold) {
                 return self.schedule(self.now, Event::Back { job, outcome: Told::NeverSent });
             }
         }
@@ -874,7 +878,7 @@
         let hop = self.hop();
         self.schedule(give_up.max(self.now), Event::GiveUp { job });
         if kept {
-            // On a connection that is there, the req goes out whatever has become of the other side.
+            // On a connection that is there, the request goes out whatever has become of the other side.
             self.jobs[job].holds_connection = true;
             return self.soon(hop, Event::Reaches { job });
         }
@@ -901,7 +905,7 @@
         }
     }
 
-    /// The sidecar waits no more for a write-out; its connection is closed, which tells the endpoint.
+    /// The sidecar waits no more for an attempt; its connection is closed, which tells the endpoint.
     fn withdraw(&mut self, job: usize) {
         let j = &mut self.jobs[job];
         let (endpoint, process) = (j.endpoint, j.process);
@@ -916,15 +920,15 @@
         }
     }
 
-    /// The sidecar hears how a write-out ended.
+    /// The sidecar hears how an attempt ended.
     fn heard(&mut self, job: usize, outcome: Outcome, closed: bool) {
         let j = &mut self.jobs[job];
         if !std::mem::take(&mut j.awaited) {
             return;
         }
-        let (node, life, req, write_out, endpoint, process) =
-            (j.node, j.life, j.req, j.write_out, j.endpoint, j.process);
-        let keeps = matches!(outcome, Outcome::Satisfied | Outcome::Errored | Outcome::Saturated);
+        let (node, life, request, attempt, endpoint, process) =
+            (j.node, j.life, j.request, j.attempt, j.endpoint, j.process);
+        let keeps = matches!(outcome, Outcome::Success | Outcome::Error | Outcome::Overloaded);
         if std::mem::take(&mut j.holds_connection) {
             if keeps && self.endpoints[endpoint].process == process && self.nodes[node].life == life {
                 *self.nodes[node].idle.entry((endpoint, process)).or_default() += 1;
@@ -945,19 +949,19 @@
             let seen = Seen {
                 sequence: self.sequences[node],
                 age_ms: 0,
-                endpoint: ids::mark(&format!("{endpoint}.{process}")),
+                endpoint: ids::name_hash(&format!("{endpoint}.{process}")),
                 method: method as u32,
                 outcome: code,
                 part: (self.now.since(sent).secs() / budget.secs().max(1e-6)) as f32,
             };
             self.evidence.hear(self.now, 0, node as u32, u64::from(life), &[seen]);
         }
-        if outcome == Outcome::Satisfied {
-            self.final_answer(node, req, Answer::Served);
+        if outcome == Outcome::Success {
+            self.final_answer(node, request, Answer::Served);
         }
-        let closed = closed || self.nodes[node].reqs[req].as_ref().is_none_or(|r| r.answered);
+        let closed = closed || self.nodes[node].requests[request].as_ref().is_none_or(|r| r.answered);
         let now = self.now;
-        self.with(node, life, |policy| policy.outcome(now, req, write_out, outcome, closed));
+        self.with(node, life, |policy| policy.outcome(now, request, attempt, outcome, closed));
     }
 
     fn back(&mut self, job: usize, outcome: Outcome) {
@@ -981,24 +985,24 @@
         }
         let hop = self.hop();
         if !e.up || e.process != process {
-            return self.soon(hop, Event::Back { job, outcome: Told::Severed });
+            return self.soon(hop, Event::Back { job, outcome: Told::Reset });
         }
         let weather = self.faults.weather(tier, number, self.now);
         if e.drains {
-            return self.soon(hop, Event::Back { job, outcome: Told::Saturated });
+            return self.soon(hop, Event::Back { job, outcome: Told::Overloaded });
         }
         let of = (tier, e.speed, e.started);
         let service = service::draw(self.scenario, of, &weather, (self.now, method), &mut self.chance);
         let j = &mut self.jobs[job];
         (j.told, j.lost) = match service.fate {
-            Fate::Good => (Told::Satisfied, false),
-            Fate::QuickError | Fate::Error | Fate::Spoilt => (Told::Errored, false),
-            Fate::Cut | Fate::Reset => (Told::Severed, false),
-            Fate::Lost => (Told::Satisfied, true),
+            Fate::Good => (Told::Served, false),
+            Fate::QuickError | Fate::Error | Fate::Spoilt => (Told::Error, false),
+            Fate::Cut | Fate::Reset => (Told::Reset, false),
+            Fate::Lost => (Told::Served, true),
         };
         if service.fate == Fate::QuickError {
             let after = hop + millis(QUICK_ERROR_MS);
-            return self.soon(after, Event::Back { job, outcome: Told::Errored });
+            return self.soon(after, Event::Back { job, outcome: Told::Error });
         }
         j.calls_left = self.scenario.tier[tier].calls;
         let e = &mut self.endpoints[endpoint];
@@ -1013,7 +1017,7 @@
             );
         }
         match e.station.admit(self.now, job, service.takes) {
-            Admission::Full => self.soon(hop, Event::Back { job, outcome: Told::Saturated }),
+            Admission::Full => self.soon(hop, Event::Back { job, outcome: Told::Overloaded }),
             Admission::Waits => {
                 self.jobs[job].inside = true;
                 e.inside_jobs.push(job);
@@ -1127,14 +1131,14 @@
         }
         let e = &self.endpoints[endpoint];
         let standing = match turn {
-            Turn::Drains => Standing::Draining,
-            Turn::Ends | Turn::Vanishes => Standing::Gone,
-            Turn::Starts | Turn::Returns => Standing::Ready,
+            Turn::Drains => EndpointState::Draining,
+            Turn::Ends | Turn::Vanishes => EndpointState::Gone,
+            Turn::Starts | Turn::Returns => EndpointState::Ready,
         };
         let (started, process) = (e.started, e.process);
         if turn == Turn::Starts && process > 0 {
             // The process before is gone for good.
-            let gone = News { endpoint, process: process - 1, standing: Standing::Gone, started: None };
+            let gone = News { endpoint, process: process - 1, standing: EndpointState::Gone, started: None };
             self.spread(tier, gone);
         }
         self.spread(tier, News { endpoint, process, standing, started });
@@ -1144,7 +1148,7 @@
     fn breaks(&mut self, endpoint: usize) {
         for job in std::mem::take(&mut self.endpoints[endpoint].inside_jobs) {
             self.jobs[job].inside = false;
-            self.soon(self.hop(), Event::Back { job, outcome: Told::Severed });
+            self.soon(self.hop(), Event::Back { job, outcome: Told::Reset });
         }
     }
 
@@ -1205,7 +1209,7 @@
 /// A job whose call failed answers with an error, whatever it was to answer.
 fn j_fails(job: &mut Job) {
     job.calls_left = 0;
-    job.told = Told::Errored;
+    job.told = Told::Error;
 }
 
 impl Node {
@@ -1216,7 +1220,7 @@
             policy: None,
             names: Names::default(),
             known: Vec::new(),
-            reqs: Vec::new(),
+            requests: Vec::new(),
             free: Vec::new(),
             idle: BTreeMap::new(),
             subscribed: false,
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -161,7 +161,7 @@
     }
 
     /// It can be reached from now on.
-    pub fn come_back(&self) {
+    pub fn retry_after(&self) {
         let mut state = self.lock();
         if std::mem::replace(&mut state.down, false) {
             state.reachable_since = self.recorder.now();
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -136,7 +136,7 @@
     fn happens(&mut self, event: Event) -> Result<(), String> {
         match event {
             Event::DiscoveryDown => self.discovery.go_down(),
-            Event::DiscoveryBack => self.discovery.come_back(),
+            Event::DiscoveryBack => self.discovery.retry_after(),
             Event::WatchesSilent => self.discovery.watches_fall_silent(),
             Event::WatchesReset => self.discovery.reset_watches(),
             Event::Drains(endpoint) => self.change(endpoint, "draining"),
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -121,7 +121,7 @@
     Ok((input.len() >= whole.body.1).then_some(whole))
 }
 
-/// A req of a method, as clients and endpoints send it to a sidecar.
+/// A request of a method, as clients and endpoints send it to a sidecar.
 pub fn request(method: &str, reads: bool, id: u64, key: u64, remaining_ms: u64) -> Vec<u8> {
     let (verb, mark) = match reads {
         true => ("GET", String::new()),
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -42,7 +42,7 @@
         assert!(outcomes.broken.is_empty(), "{name}: {:?} {:?}", outcomes.broken, outcomes.told);
         let sent: Vec<u64> = (0..2).map(|tier| outcomes.windows.iter().map(|w| w.sent[tier]).sum()).collect();
         let vain: u64 = outcomes.windows.iter().flat_map(|w| &w.vain).sum();
-        // Each req that was served has been to both tiers.
+        // Each request that was served has been to both tiers.
         let served = outcomes.whole.in_time + outcomes.whole.late;
         assert!(served > 0 && sent.iter().all(|sent| *sent >= served), "{name}: {served} of {sent:?}");
         (outcomes, vain)
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn load_goes_to_the_loopback_only_and_tells_of_reqs_without_an_answer() {
+fn load_goes_to_the_loopback_only_and_tells_of_requests_without_an_answer() {
     let scenario = Scenario::parse(&ROUGH.replace("length_ms=3000", "length_ms=200")).unwrap();
     let away: SocketAddr = "192.0.2.1:80".parse().unwrap();
     let said = load::run(&scenario, 1, &[away], |_| 1.0).err().unwrap();
     assert_eq!(said, "--to: 192.0.2.1:80 is not on the loopback");
-    // One that takes connections and never answers: each req is lost, and said so.
+    // One that takes connections and never answers: each request is lost, and said so.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let loaded = load::run(&scenario, 1, &[silent.local_addr().unwrap()], |_| 1.0).unwrap();
     let offered = loaded.tally.outcomes("nobody", 1).whole.offered;
--- a/crates/lab/tests/world.rs
+++ b/crates/lab/tests/world.rs
@@ -31,14 +31,14 @@
 #[test]
 fn each_fault_does_what_it_says_and_nothing_goes_wrong_without() {
     let calm = outcomes(CALM, Which::Random, 5);
-    assert_eq!((in_vain(&calm), calm.whole.failed, calm.whole.nacked), (0, 0, 0));
+    assert_eq!((in_vain(&calm), calm.whole.failed, calm.whole.rejected), (0, 0, 0));
     assert!(calm.whole.in_time == calm.whole.offered && calm.broken.is_empty());
     let up = |of: &Outcomes, at: usize| of.windows[at].up[0];
     assert!((0..12).all(|at| up(&calm, at) == 8));
     for kind in ["quick-errors", "spoilt", "cut", "reset", "lost-answers", "refuse", "silence", "crash"] {
         let struck = outcomes(&with_fault(&format!("kind='{kind}'\nshare=0.25")), Which::Random, 5);
         assert!(in_vain(&struck) > 0, "{kind}");
-        assert!(struck.whole.failed + struck.whole.nacked > 0, "{kind}");
+        assert!(struck.whole.failed + struck.whole.rejected > 0, "{kind}");
         // Before it begins all is as without it.
         assert_eq!(struck.windows[..3], calm.windows[..3], "{kind}");
     }
@@ -113,9 +113,9 @@
 #[test]
 fn small_worlds_and_ends_of_schedules() {
     for which in [Which::Module, Which::Random, Which::LeastOfTwo] {
-        // No endpoint: all are nacked, none is lost.
+        // No endpoint: all are rejected, none is lost.
         let none = outcomes(&CALM.replace("endpoints=8", "endpoints=0"), which, 1);
-        assert_eq!((none.whole.nacked, none.broken.len()), (none.whole.offered, 0), "{which:?}");
+        assert_eq!((none.whole.rejected, none.broken.len()), (none.whole.offered, 0), "{which:?}");
         // One endpoint of each tier, a fault over all, and one that outlasts the run.
         let one = CALM.replace("endpoints=8", "endpoints=1");
         let all = format!("{one}[[fault]]\nkind='silence'\nfrom_ms=4000\nfor_ms=100000000\nshare=1.0\n");
@@ -139,12 +139,12 @@
         [[method]]\nname='view'\nshare=1.0\neffect='retryable'\nlatency_budget_ms=500\ndeadline_ms=900\n\
         [[tier]]\nsidecars=1\nendpoints=1\nplaces=1\nwork_ms=[10]\nspread='fixed'\n";
     let of = outcomes(text, Which::Random, 1);
-    assert_eq!((of.whole.in_time, of.whole.nacked), (1, 1));
+    assert_eq!((of.whole.in_time, of.whole.rejected), (1, 1));
 }
 
 #[test]
 fn an_endpoint_that_dies_loses_what_waits_and_the_answer_under_way() {
-    // One core, ten reqs at once: the first is answered at 20 ms, the endpoint dies at 35.
+    // One core, ten requests at once: the first is answered at 20 ms, the endpoint dies at 35.
     let trace = ["10"; 10].join(", ");
     let text = format!(
         "name='dies'\nlength_ms=1000\n[load]\nper_second=0\ntrace_ms=[{trace}]\n[net]\nhop_ms=0\n\
@@ -180,17 +180,17 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Danger: a sidecar that gets many times its part of the load is slow to see that its bound is in use, and nacks
+/// Danger: a sidecar that gets many times its part of the load is slow to see that its bound is in use, and rejections
 /// for as long as that lasts while the endpoints have room.
 #[test]
-fn hot_sidecars_of_a_fleet_with_room_soon_nack_few() {
+fn hot_sidecars_of_a_fleet_with_room_soon_reject_few() {
     let text = "name='hot'\nlength_ms=12000\n[load]\nper_second=1500\nretries=2\n\
         [[method]]\nname='view'\nshare=1.0\neffect='retryable'\nlatency_budget_ms=1000\ndeadline_ms=3000\n\
         [[tier]]\nsidecars=100\nendpoints=100\ncores=2\nwork_ms=[60]\n\
         [[fault]]\nkind='hot-sidecar'\nfrom_ms=2000\nfor_ms=10000\nids=[0, 1, 2]\nsize=15\n";
     for seed in 1..3 {
         let of = outcomes(text, Which::Module, seed);
-        // From two seconds on, of some 3,800 reqs that come to the three: a fifth, not a third.
+        // From two seconds on, of some 3,800 requests that come to the three: a fifth, not a third.
         let again: u64 = of.windows[4..12].iter().map(|w| w.retries).sum();
         assert!(again < 800 && of.broken.is_empty(), "seed {seed}: {again} nacked and tried again");
     }
--- a/crates/sidecar/src/figures.rs
+++ b/crates/sidecar/src/figures.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use appledyke::{GivenUp, Outcome};
+use appledyke::{GiveUpReason, Outcome};
 
-/// How a req ended, for its method.
+/// How a request ended, for its method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    Satisfied,
-    Nacked,
+    Served,
+    Rejected,
     Failed,
 }
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnsweredHere {
     /// By decision.
-    GivenUp(GivenUp),
+    GiveUpReason(GiveUpReason),
     /// Its body came too slowly.
     SlowRequest,
     /// Its body can't be read.
@@ -31,7 +31,7 @@
 impl AnsweredHere {
     /// All of them, in the order of their indices.
     fn all() -> impl Iterator<Item = AnsweredHere> {
-        let decided = GivenUp::ALL.into_iter().map(AnsweredHere::GivenUp);
+        let decided = GiveUpReason::ALL.into_iter().map(AnsweredHere::GiveUpReason);
         let others = [
             AnsweredHere::SlowRequest,
             AnsweredHere::BadRequest,
@@ -44,7 +44,7 @@
     /// A short name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            AnsweredHere::GivenUp(reason) => reason.name(),
+            AnsweredHere::GiveUpReason(reason) => reason.name(),
             AnsweredHere::SlowRequest => "slow_request",
             AnsweredHere::BadRequest => "bad_request",
             AnsweredHere::ClientUnseen => "client_unseen",
@@ -71,9 +71,9 @@
 /// What is counted by moments, not by events; asked for when the figures are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Reqs taken and not ended.
+    /// Requests taken and not ended.
     pub open: usize,
-    /// Write-outs whose last byte was written, from the start on.
+    /// Attempts whose last byte was written, from the start on.
     pub written: u64,
     /// Endpoints in the list, and those of them that are avoided.
     pub listed: usize,
@@ -83,7 +83,7 @@
 
 #[derive(Default)]
 pub struct Figures {
-    /// By the method's name, which may be dropped and come back: satisfied, nacked, failed.
+    /// By the method's name, which may be dropped and come back: served, rejected, failed.
     ends: BTreeMap<String, [u64; 3]>,
     /// By outcome: attempts, and of these the ones that a retry followed.
     attempts: [u64; Outcome::ALL.len()],
@@ -117,7 +117,7 @@
         self.attempts[outcome as usize] += 1;
     }
 
-    /// A further attempt begins, after one that ended so.
+    /// A retry begins, after one that ended so.
     pub fn retried(&mut self, after: Outcome) {
         self.retries[after as usize] += 1;
     }
@@ -183,11 +183,11 @@
     use super::*;
 
     #[test]
-    fn each_end_counts_once_and_a_method_without_reqs_stands_at_nought() {
+    fn each_end_counts_once_and_a_method_without_requests_stands_at_nought() {
         let mut figures = Figures::default();
         figures.offer("view");
-        figures.ended("odd\"one\\", End::Nacked);
-        figures.ended("odd\"one\\", End::Nacked);
+        figures.ended("odd\"one\\", End::Rejected);
+        figures.ended("odd\"one\\", End::Rejected);
         let text = figures.text(&Now { open: 3, written: 7, listed: 2, avoided: 1, ..Now::default() });
         for line in [
             "sidecar_completed{lane=\"view\"} 0",
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -246,7 +246,7 @@
 pub enum News {
     /// Settings that are to be checked whole, and acted on.
     Settings(Version, String),
-    /// How others' write-outs ended.
+    /// How others' attempts ended.
     Ends(Vec<Passed>),
     /// These endpoints are out of service, and no others.
     Outs(Vec<String>),
@@ -256,8 +256,8 @@
     Sent(bool),
 }
 
-/// A write-out that is to be: again for the same req, to an endpoint that is cold, where this process has so many connections
-/// and so many write-outs out, or has an idle one.
+/// An attempt that is to be: again for the same request, to an endpoint that is cold, where this process has so many connections
+/// and so many attempts out, or has an idle one.
 pub struct Wish {
     pub again: bool,
     pub cold: bool,
@@ -328,7 +328,7 @@
         }
     }
 
-    pub fn overdue(&mut self, turn: &mut Turn) -> Vec<News> {
+    pub fn timed_out(&mut self, turn: &mut Turn) -> Vec<News> {
         self.deadline = None;
         let done = self.member.due(turn.now);
         let mut news = self.carry_out(done, turn);
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Whether the fleet's budgets allow this write-out. The moment is that of the sending. Danger: a turn's own may lie before
+    /// Whether the fleet's budgets allow this attempt. The moment is that of the sending. Danger: a turn's own may lie before
     /// a stop that outlasted the lease.
     pub fn may_send(&mut self, now: Moment, wish: &Wish) -> bool {
         let limits = &mut self.member.limits;
@@ -408,15 +408,15 @@
         (self.member.open, self.member.lacks) = (open as u64, lacks);
     }
 
-    /// A req has ended, and served took longer than its latency budget or not.
+    /// A request has ended, and served took longer than its latency budget or not.
     pub fn ended(&mut self, end: End, slow: bool) {
         let figures = &mut self.member.figures;
         match end {
-            End::Satisfied => {
+            End::Served => {
                 figures.served += 1;
                 figures.slow += u64::from(slow);
             }
-            End::Nacked => figures.nacked += 1,
+            End::Rejected => figures.nacked += 1,
             End::Failed => figures.failed += 1,
         }
     }
--- a/crates/sidecar/src/handover.rs
+++ b/crates/sidecar/src/handover.rs
@@ -1,4 +1,4 @@
-//! How the latest write-outs of a process have ended, for another process at the same address: during an upgrade the
+//! How the latest attempts of a process have ended, for another process at the same address: during an upgrade the
 //! new one would meet again what the old one knows to avoid.
 
 use std::collections::VecDeque;
@@ -10,10 +10,10 @@
 
 /// The first line of the file: its kind and version.
 const HEAD: &str = "appledyke handover 1";
-/// Write-outs that are kept, and for how long: what is older has mostly faded with those who heard it.
+/// Attempts that are kept, and for how long: what is older has mostly faded with those who heard it.
 const MOST: usize = 256;
 const KEPT: Span = Span::from_millis(8000);
-/// How a write-out ended: endpoint and method by the marks of their names.
+/// How an attempt ended: endpoint and method by the marks of their names.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ended {
     pub at: Moment,
@@ -99,37 +99,34 @@
     #[test]
     fn each_end_is_heard_once_while_it_is_fresh() {
         let (mut old, mut new) = (Latest::default(), Latest::default());
-        old.book(ended(1000, Outcome::Severed));
-        old.book(ended(8000, Outcome::Satisfied));
+        old.book(ended(1000, Outcome::Reset));
+        old.book(ended(8000, Outcome::Success));
         // It says nothing of the endpoint.
-        old.book(ended(8500, Outcome::Recalled));
+        old.book(ended(8500, Outcome::Cancelled));
         assert_eq!(
             new.hear(&old.text(at(8900)), at(9000)),
-            [ended(1000, Outcome::Severed), ended(8000, Outcome::Satisfied)]
+            [ended(1000, Outcome::Reset), ended(8000, Outcome::Success)]
         );
-        old.book(ended(9500, Outcome::Overdue));
-        assert_eq!(new.hear(&old.text(at(9600)), at(9700)), [ended(9500, Outcome::Overdue)]);
+        old.book(ended(9500, Outcome::Timeout));
+        assert_eq!(new.hear(&old.text(at(9600)), at(9700)), [ended(9500, Outcome::Timeout)]);
         assert_eq!(new.hear(&old.text(at(9600)), at(9800)), []);
         // A process that was not there to hear it has nothing of long ago.
         assert_eq!(
             Latest::default().hear(&old.text(at(17_000)), at(17_000)),
-            [ended(9500, Outcome::Overdue)]
+            [ended(9500, Outcome::Timeout)]
         );
-        (0..1000).for_each(|ms| old.book(ended(20_000 + ms, Outcome::Errored)));
+        (0..1000).for_each(|ms| old.book(ended(20_000 + ms, Outcome::Error)));
         assert_eq!(old.text(at(21_000)).lines().count(), 1 + MOST);
     }
 
     #[test]
     fn a_file_that_is_damaged_or_of_another_version_is_passed_over() {
         let mut old = Latest::default();
-        (0..4).for_each(|ms| old.book(ended(1000 + ms, Outcome::Errored)));
+        (0..4).for_each(|ms| old.book(ended(1000 + ms, Outcome::Error)));
         let text = old.text(at(1100));
         for cut in 0..text.len() {
             let heard = Latest::default().hear(&text[..cut], at(1100));
-            assert!(
-                heard.iter().all(|heard| heard.outcome == Outcome::Errored && heard.part == 0.25),
-                "{cut}"
-            );
+            assert!(heard.iter().all(|heard| heard.outcome == Outcome::Error && heard.part == 0.25), "{cut}");
             assert_eq!(heard.len(), text[..cut].matches('\n').count().saturating_sub(1), "{cut}");
         }
         for other in ["", "appledyke handover 2\n", "1000 ab 7 0 0.5\n"] {
--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -111,7 +111,7 @@
     pub watched: Option<Terms>,
     /// What a later file must have too.
     pub kept: Kept,
-    /// The settings that narrow where and until when a req may go, as they stand in the file.
+    /// The settings that narrow where and until when a request may go, as they stand in the file.
     pub bound: Vec<String>,
     /// What the settings allow and this program cannot do, by key.
     pub unmet: Vec<String>,
@@ -137,7 +137,7 @@
     }
 }
 
-/// The settings that narrow where and until when a req may go, where the file has them: each as it stands there. One
+/// The settings that narrow where and until when a request may go, where the file has them: each as it stands there. One
 /// of a kind that cannot be read would be passed over when it is taken apart, and bind nothing.
 fn bound(key: &str, file: &Value) -> Result<Vec<String>, String> {
     let row = |value: &Value| match value {
@@ -226,7 +226,7 @@
     if let Some(at) = terms.methods.iter().position(|method| method.deadline == Span::ZERO) {
         return Err(format!("{key}.methods.{at}.deadlineNs: expected a positive whole number"));
     }
-    if terms.most_write_outs == 0 {
+    if terms.max_attempts == 0 {
         return Err(format!("{key}.ceilings.mostWriteOuts: expected a positive whole number"));
     }
     if terms.reply_slots == Some(0) {
@@ -467,7 +467,7 @@
         assert_eq!(before.differs(&read(&other).unwrap()), ["operator", "limits", "watch"]);
         other["operator"] = "nowhere".into();
         assert_eq!(read(&other).unwrap_err(), "operator: expected address:port, not 'nowhere'");
-        // What narrows where a req may go is shown, and never passed over for its form.
+        // What narrows where a request may go is shown, and never passed over for its form.
         let bound = |path: &str, value: Value| {
             let mut other = file.clone();
             *other.pointer_mut(path).expect("a place in the example").as_object_mut().unwrap() =
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! `appledyke-sidecar`: one program for every tier. It takes reqs from clients, and carries out what the
+//! `appledyke-sidecar`: one program for every tier. It takes requests from clients, and carries out what the
 //! decision module of the package `appledyke` decides about them. Nothing is decided here.
 
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use appledyke_sidecar::logger;
 use appledyke_sidecar::sidecar::Sidecar;
 
-/// A sidecar that balances reqs over endpoints.
+/// A sidecar that balances requests over endpoints.
 #[derive(FromArgs)]
 struct Line {
     #[argh(subcommand)]
--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the listener, reqs in, answers out. One req at a time on a connection.
+//! The clients' side: the listener, requests in, answers out. One request at a time on a connection.
 
 use std::collections::HashSet;
 use std::io;
@@ -19,11 +19,11 @@
 use super::servers::Message;
 use super::slots::{Key, Peer, Slots};
 
-/// The label that tells a req's work, in nanoseconds.
+/// The label that tells a request's work, in nanoseconds.
 const WORK: &str = "costGuessNs";
 /// Part of all connections that clients may take. Danger: with none left for endpoints nothing can be served.
 const CLIENTS_SHARE: f64 = 0.75;
-/// How long a connection may stand idle between reqs: longer than most clients pause, and those that ask once
+/// How long a connection may stand idle between requests: longer than most clients pause, and those that ask once
 /// and never close are not to fill the house.
 const IDLE_MOST: Span = Span::from_millis(10_000);
 /// In which a new connection must have brought a whole head, any other from its first byte on: a client may take
@@ -37,11 +37,11 @@
 const UNREAD_MOST: Span = Span::from_millis(15_000);
 /// How long a connection that is being closed may take to read its last answer.
 const LINGER: Span = Span::from_millis(1000);
-/// How long a connection may bring its next req once connections part: it was opened for one.
+/// How long a connection may bring its next request once connections part: it was opened for one.
 const LEAVE_IDLE: Span = Span::from_millis(300);
-/// The same for the rest of a req that it has begun: clients may be slow.
+/// The same for the rest of a request that it has begun: clients may be slow.
 const LEAVE_BEGUN: Span = Span::from_millis(1200);
-/// How long a new connection, or one with part of a req, is safe from making room: the rest is on its way.
+/// How long a new connection, or one with part of a request, is safe from making room: the rest is on its way.
 const FRESH: Span = Span::from_millis(1000);
 /// Once others have waited outside for `FRESH` on end, only who has brought something within this time is. Danger: a crowd
 /// that rests, silent or with half a head, goes through the places once in that time, and whoever asks for health waits
@@ -67,15 +67,15 @@
 /// Until accepting is tried again where there was no room.
 const ACCEPT_AGAIN: Span = Span::from_millis(100);
 
-/// Stands for a req where a connection has an answer due that is not of one.
-const NO_REQ: usize = usize::MAX;
-/// The header that holds a req's id.
+/// Stands for a request where a connection has an answer due that is not of one.
+const NO_REQUEST: usize = usize::MAX;
+/// The header that holds a request's id.
 const ID: &str = "X-Txn";
 
 enum Stage {
     Reading,
     Waiting {
-        req: usize,
+        request: usize,
         frame: Frame,
     },
     /// Its answer passes through, from this connection of an endpoint.
@@ -91,13 +91,13 @@
 struct Client {
     connection: Connection,
     stage: Stage,
-    /// Part of a req has come, and there is a time for the rest.
+    /// Part of a request has come, and there is a time for the rest.
     timed: bool,
     /// Leave to send a body was given.
     leave_given: bool,
-    /// What is still to come of the req that it waits for, behind the head, where that is long.
+    /// What is still to come of the request that it waits for, behind the head, where that is long.
     coming: Option<Body>,
-    /// Since when, with this req, more may stand unread than is taken from it.
+    /// Since when, with this request, more may stand unread than is taken from it.
     full_since: Option<Moment>,
     /// How long its first request may have waited outside to be taken. Danger: its time runs from its last byte, and an
     /// attempt would tell its endpoint more than is left of it.
@@ -123,9 +123,9 @@
         frame: Frame,
     },
     Hangup {
-        req: usize,
+        request: usize,
     },
-    /// More of the body of the req that it waits for.
+    /// More of the body of the request that it waits for.
     More,
     /// It has taken what was there of the answer that passes from this connection.
     Takes {
@@ -137,9 +137,9 @@
     },
     /// It has brought something while its time ran out.
     Brought,
-    /// Its body fell silent: the req that it waits for is to be answered so.
+    /// Its body fell silent: the request that it waits for is to be answered so.
     Silent {
-        req: usize,
+        request: usize,
     },
 }
 
@@ -161,7 +161,7 @@
 pub struct Clients {
     listener: Option<TcpListener>,
     slots: Slots<Client>,
-    /// The ids of the reqs that clients wait for.
+    /// The ids of the requests that clients wait for.
     open: HashSet<Box<str>>,
     /// Most connections that clients may take.
     most: usize,
@@ -174,7 +174,7 @@
     held_since: Option<Moment>,
     /// New clients are to go elsewhere, but those that come are served.
     away: bool,
-    /// Connections close between reqs.
+    /// Connections close between requests.
     parting: bool,
     last_accept: Moment,
     /// Since when what a turn finds may have stood there.
@@ -182,10 +182,10 @@
     head: Vec<u8>,
 }
 
-/// What a req's head asks for.
+/// What a request's head asks for.
 enum Asked {
     Health,
-    Req { method: usize, left: Span, work: Option<Span>, id: Box<str> },
+    Request { method: usize, left: Span, work: Option<Span>, id: Box<str> },
 }
 
 fn id(head: &[u8]) -> Box<str> {
@@ -208,7 +208,7 @@
         if (verb == "GET") != (m.effect == Effect::Retryable) {
             return Err(Bad(405));
         }
-        // Danger: a req that no endpoint can tell from its repeats would have its effect twice.
+        // Danger: a request that no endpoint can tell from its repeats would have its effect twice.
         let mark = |name| text(name)?.filter(|mark| !mark.is_empty()).ok_or(Bad(400));
         let id = mark(ID)?.into();
         if m.effect == Effect::Deduplicated {
@@ -223,7 +223,7 @@
         let labels = text("X-Labels").ok().flatten().unwrap_or("");
         let mut labels = labels.split(',').filter_map(|label| label.trim().split_once('='));
         let work = labels.find(|(name, _)| *name == WORK).and_then(|(_, nanos)| nanos.parse().ok());
-        Ok(Asked::Req { method, left, work: work.map(Span::from_nanos), id })
+        Ok(Asked::Request { method, left, work: work.map(Span::from_nanos), id })
     };
     http::with_request(head, read).unwrap_or(Err(Bad(400)))
 }
@@ -357,7 +357,7 @@
         turn.deadlines.shift(Due::Accept, &mut self.accept_at, Some(turn.now + ACCEPT_AGAIN));
     }
 
-    /// Closes the connection that has been idle for longest. Danger: clients that never end a req could keep
+    /// Closes the connection that has been idle for longest. Danger: clients that never end a request could keep
     /// all others out, so these go next, and first those that have brought nothing for longest.
     pub fn make_room(&mut self, turn: &mut Turn, brought: &mut Vec<Key>) -> bool {
         self.make_room_for(false, turn, brought)
@@ -376,8 +376,8 @@
         }
     }
 
-    /// Danger: a req that the kernel already holds is taken; so a last look before a connection goes that
-    /// waits for one. Who has brought part of a req is told to come again.
+    /// Danger: a request that the kernel already holds is taken; so a last look before a connection goes that
+    /// waits for one. Who has brought part of a request is told to come again.
     fn close_unread(&mut self, key: Key, turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get_mut(key) else { return false };
         let before = client.connection.input.len();
@@ -398,24 +398,24 @@
     }
 
     fn close(&mut self, key: Key, turn: &mut Turn) {
-        self.end_req(key);
+        self.end_request(key);
         let Some(mut client) = self.slots.remove(key) else { return };
         turn.room += 1;
         turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
         client.connection.close(&turn.registry);
     }
 
-    /// The client waits no more for the req that this connection has brought, if there is one.
-    fn end_req(&mut self, key: Key) {
+    /// The client waits no more for the request that this connection has brought, if there is one.
+    fn end_request(&mut self, key: Key) {
         let Some(client) = self.slots.get(key) else { return };
-        if let Stage::Waiting { req, frame } = client.stage
-            && req != NO_REQ
+        if let Stage::Waiting { request, frame } = client.stage
+            && request != NO_REQUEST
         {
             self.open.remove(&id(frame.head_in(&client.connection.input)));
         }
     }
 
-    fn wait_for_req(&mut self, key: Key, turn: &mut Turn) {
+    fn wait_for_request(&mut self, key: Key, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         (client.stage, client.timed, client.leave_given, client.since) =
             (Stage::Reading, false, false, turn.now);
@@ -436,7 +436,7 @@
     }
 
     /// Whether a client is there for whom an attempt is about to begin. Danger: its end may stand behind so much that the
-    /// machine takes no more of it, and is told by no event. A long req is read on as it goes, up to its client's end.
+    /// machine takes no more of it, and is told by no event. A long request is read on as it goes, up to its client's end.
     pub fn sight(&mut self, key: Key, within: Span, now: Moment) -> Sight {
         let Some(client) = self.slots.get_mut(key) else { return Sight::Left };
         let since = client.full_since.filter(|_| client.coming.is_none());
@@ -459,7 +459,7 @@
     }
 
     /// Reads and writes what a connection is ready for, and says what it brought. To be called again after an
-    /// answer, as the next req may have come already.
+    /// answer, as the next request may have come already.
     pub fn ready(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> Said {
         let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
         let (unsent, before) = (client.connection.unsent(), client.connection.input.len());
@@ -483,7 +483,7 @@
         // A client that ends its sending has gone away.
         if !works || client.connection.ended {
             let said = match client.stage {
-                Stage::Waiting { req, .. } => Said::Hangup { req },
+                Stage::Waiting { request, .. } => Said::Hangup { request },
                 Stage::Passing { from, .. } => Said::Gone { from },
                 _ => Said::Nothing,
             };
@@ -500,7 +500,7 @@
             Stage::Waiting { .. } if client.coming.is_some() => return Said::More,
             Stage::Closing if client.connection.all_sent() => client.connection.finish(),
             Stage::Reading if client.connection.all_sent() && !client.connection.input.is_empty() => {
-                let said = self.read_req(key, terms, turn);
+                let said = self.read_request(key, terms, turn);
                 // Danger: no event tells of what is left behind that much, and no answer of an endpoint either.
                 let left = self.slots.get(key).is_some_and(|c| c.reading() && c.connection.full);
                 return if left && matches!(said, Said::Nothing) { Said::Brought } else { said };
@@ -510,7 +510,7 @@
         Said::Nothing
     }
 
-    fn read_req(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> Said {
+    fn read_request(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> Said {
         loop {
             let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
             let input = &mut client.connection.input;
@@ -528,7 +528,7 @@
                 Ok(Read::Whole(frame)) => (frame, None),
                 Ok(Read::Long(frame, body)) => (frame, Some(body)),
                 Ok(Read::Head) => {
-                    // Danger: the time of a first req that began anew with its first byte would be twice as long.
+                    // Danger: the time of a first request that began anew with its first byte would be twice as long.
                     if !std::mem::replace(&mut client.timed, true) && client.answered {
                         self.time_out(key, turn.now + HEAD_IN, turn);
                     }
@@ -551,8 +551,8 @@
             let head = asked(frame.head_in(input), terms);
             client.coming = long;
             match head {
-                Ok(Asked::Req { method, left, work, id }) => {
-                    // Danger: two reqs of one id would pass for repeats of each other wherever they go.
+                Ok(Asked::Request { method, left, work, id }) => {
+                    // Danger: two requests of one id would pass for repeats of each other wherever they go.
                     if self.open.insert(id) {
                         turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
                         let left = left.less(std::mem::take(&mut client.waited));
@@ -573,10 +573,10 @@
         }
     }
 
-    /// Answers what this connection has brought, with no req of it.
+    /// Answers what this connection has brought, with no request of it.
     fn answer_own(&mut self, key: Key, frame: Frame, status: u16, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
-        client.stage = Stage::Waiting { req: NO_REQ, frame };
+        client.stage = Stage::Waiting { request: NO_REQUEST, frame };
         let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, None, keep);
         self.answer(key, head, b"", turn);
     }
@@ -588,14 +588,14 @@
         self.answer_own(key, frame, status, turn);
     }
 
-    /// The connection now waits for the answer to this req.
-    pub fn waits(&mut self, key: Key, req: usize, frame: Frame) {
+    /// The connection now waits for the answer to this request.
+    pub fn waits(&mut self, key: Key, request: usize, frame: Frame) {
         if let Some(client) = self.slots.get_mut(key) {
-            client.stage = Stage::Waiting { req, frame };
+            client.stage = Stage::Waiting { request, frame };
         }
     }
 
-    /// The req that this connection waits for, as it goes to an endpoint.
+    /// The request that this connection waits for, as it goes to an endpoint.
     pub fn message(&self, key: Key) -> Option<Message<'_>> {
         let client = self.slots.get(key)?;
         let Stage::Waiting { frame, .. } = client.stage else { return None };
@@ -604,14 +604,14 @@
         Some(Message { head: frame.head_in(input), body: frame.body_in(input), coming })
     }
 
-    // Long reqs.
+    // Long requests.
 
-    /// The req that this connection waits for, of which more is to come.
+    /// The request that this connection waits for, of which more is to come.
     pub fn brings(&self, key: Key) -> Option<usize> {
         let client = self.slots.get(key)?;
         match client.stage {
-            Stage::Waiting { req, .. } if client.coming.as_ref().is_some_and(|body| !body.done()) => {
-                Some(req)
+            Stage::Waiting { request, .. } if client.coming.as_ref().is_some_and(|body| !body.done()) => {
+                Some(request)
             }
             _ => None,
         }
@@ -623,7 +623,7 @@
         let (Stage::Waiting { frame, .. }, Some(body)) = (&client.stage, &mut client.coming) else {
             return Piece::Broken;
         };
-        // Danger: the last bytes of a client that has gone could make its req whole, and it would run.
+        // Danger: the last bytes of a client that has gone could make its request whole, and it would run.
         let piece = body.next(&mut client.connection, frame.end, false);
         let until = match piece {
             Piece::Later => Some(body_until(client.body_until, 0, turn.now)),
@@ -657,7 +657,7 @@
 
     // Long answers.
 
-    /// Begins the answer to the req that this connection waits for; the rest passes through, from this connection of
+    /// Begins the answer to the request that this connection waits for; the rest passes through, from this connection of
     /// an endpoint. `head` writes its head. Returns whether that could be.
     pub fn begin(
         &mut self,
@@ -667,7 +667,7 @@
         head: impl FnOnce(&mut Vec<u8>, Length, bool),
         turn: &mut Turn,
     ) -> bool {
-        self.end_req(key);
+        self.end_request(key);
         let Some(client) = self.slots.get_mut(key) else { return false };
         let Stage::Waiting { frame, .. } = client.stage else { return false };
         let chunks = http::takes_chunks(frame.head_in(&client.connection.input));
@@ -730,10 +730,10 @@
         self.after_answer(key, keep, turn);
     }
 
-    /// Answers the req that this connection waits for. `head` writes the answer's head, and is told whether
+    /// Answers the request that this connection waits for. `head` writes the answer's head, and is told whether
     /// the connection stays open.
     pub fn answer(&mut self, key: Key, head: impl FnOnce(&mut Vec<u8>, bool), body: &[u8], turn: &mut Turn) {
-        self.end_req(key);
+        self.end_request(key);
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Waiting { frame, .. } = client.stage else { return };
         let keep = client.keeps(frame) && !self.parting;
@@ -752,7 +752,7 @@
         let Some(client) = self.slots.get_mut(key) else { return };
         let all_sent = client.connection.all_sent();
         if keep {
-            self.wait_for_req(key, turn);
+            self.wait_for_request(key, turn);
         } else if all_sent {
             // Danger: closed outright with something unread, the answer itself could be lost on the way.
             client.connection.finish();
@@ -762,14 +762,14 @@
         }
     }
 
-    /// Whether the connection may hold a req that is still to be read.
+    /// Whether the connection may hold a request that is still to be read.
     pub fn has_more(&self, key: Key) -> bool {
         let more = |c: &Client| c.reading() && (c.connection.full || !c.connection.input.is_empty());
         self.slots.get(key).is_some_and(more)
     }
 
     /// A connection's time is up.
-    pub fn overdue(&mut self, key: Key, turn: &mut Turn) -> Said {
+    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> Said {
         let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
         client.deadline = None;
         match client.stage {
@@ -777,13 +777,13 @@
                 if self.close_unread(key, turn) {
                     return Said::Nothing;
                 }
-                // Danger: what has come in this moment may be half a req, and would have no time left to be ended by.
+                // Danger: what has come in this moment may be half a request, and would have no time left to be ended by.
                 self.time_out(key, turn.now + LEAVE_IDLE, turn);
                 return Said::Brought;
             }
             // What is not whole was never taken: it may come again, where this process leaves.
             _ if client.begun() => self.answer_last(key, if self.parting { 503 } else { 408 }, turn),
-            Stage::Waiting { req, .. } if client.coming.is_some() => return Said::Silent { req },
+            Stage::Waiting { request, .. } if client.coming.is_some() => return Said::Silent { request },
             Stage::Passing { from, .. } => {
                 self.close(key, turn);
                 return Said::Gone { from };
@@ -822,12 +822,12 @@
         brought
     }
 
-    /// Connections close between reqs, those that still come too. To be called until none is left or clients
+    /// Connections close between requests, those that still come too. To be called until none is left or clients
     /// may stay again. Those that have brought something are returned.
     pub fn part(&mut self, turn: &mut Turn) -> Vec<Key> {
         self.parting = true;
         let brought = self.accept(turn);
-        // The next req of any of them may be under way, so it has a moment for it.
+        // The next request of any of them may be under way, so it has a moment for it.
         let between = self.slots.iter().filter_map(|(key, c)| {
             let until = match c {
                 _ if c.idle() => turn.now + LEAVE_IDLE,
@@ -842,8 +842,8 @@
         brought
     }
 
-    /// All must have been taken by now: what waits for a req goes, and half a req is told to come again. Those that have
-    /// brought something are returned. Danger: a req that is whole only after the last look has no answer.
+    /// All must have been taken by now: what waits for a request goes, and half a request is told to come again. Those that have
+    /// brought something are returned. Danger: a request that is whole only after the last look has no answer.
     pub fn part_at_once(&mut self, turn: &mut Turn) -> Vec<Key> {
         let mut brought = self.part(turn);
         let between = self.slots.iter().filter(|(_, c)| c.idle() || c.begun());
@@ -866,13 +866,13 @@
 }
 
 impl Client {
-    /// Whether the connection may carry another req after this one: not where part of its body is left.
+    /// Whether the connection may carry another request after this one: not where part of its body is left.
     fn keeps(&self, frame: Frame) -> bool {
         frame.keep && self.coming.as_ref().is_none_or(Body::done)
     }
 
-    /// Danger: a first req that comes just after its connection was closed is lost, as its client does not
-    /// send it again. One between reqs does so with the next.
+    /// Danger: a first request that comes just after its connection was closed is lost, as its client does not
+    /// send it again. One between requests does so with the next.
     fn may_go(&self, now: Moment, crowded: bool, for_new_client: bool) -> bool {
         if self.idle() && self.answered {
             return now > self.since;
@@ -887,7 +887,7 @@
         matches!(self.stage, Stage::Reading)
     }
 
-    /// Part of a req has come.
+    /// Part of a request has come.
     fn begun(&self) -> bool {
         self.timed && self.reading()
     }
@@ -911,7 +911,7 @@
             ("", None),
         ] {
             let head = format!("GET /view HTTP/1.1\r\nX-Txn: 1\r\n{labels}\r\n");
-            let Ok(Asked::Req { work, .. }) = asked(head.as_bytes(), &terms) else {
+            let Ok(Asked::Request { work, .. }) = asked(head.as_bytes(), &terms) else {
                 panic!("refused: {labels}")
             };
             assert_eq!(work, wanted, "{labels}");
@@ -921,7 +921,7 @@
     /// Danger: a connection whose time was up in the moment in which its first byte came had no time left to be ended by,
     /// and held its place for ever.
     #[test]
-    fn half_a_req_that_comes_as_its_connection_is_overdue_has_a_time_to_end() {
+    fn half_a_request_that_comes_as_its_connection_is_timed_out_has_a_time_to_end() {
         let poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let now = Moment::from_nanos(1);
@@ -939,7 +939,7 @@
             clients.slots.get_mut(key).unwrap().connection.fill(1).unwrap();
         }
         clients.slots.get_mut(key).unwrap().connection.input.clear();
-        assert!(matches!(clients.overdue(key, &mut turn), Said::Brought));
+        assert!(matches!(clients.timed_out(key, &mut turn), Said::Brought));
         let terms = crate::launch::plain_terms("view", &[]);
         assert!(matches!(clients.ready(key, &terms, &mut turn), Said::Nothing));
         assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= LEAVE_IDLE));
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -14,7 +14,7 @@
 /// Room that an idle connection may keep, in bytes.
 const KEPT_ROOM: usize = 8192;
 
-/// Every way in which a write-out's connection can end, or its turn on one.
+/// Every way in which an attempt's connection can end, or its turn on one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// The whole answer came.
@@ -23,7 +23,7 @@
     NeverUp,
     /// There was no room here for a connection.
     NoRoom,
-    /// It broke, or ended with no whole answer. `whole`: after the req's last byte was written.
+    /// It broke, or ended with no whole answer. `whole`: after the request's last byte was written.
     Broken { whole: bool },
     /// What came back is no answer.
     Garbled,
@@ -37,20 +37,20 @@
     /// What this means to the decisions.
     pub fn outcome(self) -> Outcome {
         match self {
-            Ending::Answered { status: 200, .. } => Outcome::Satisfied,
-            Ending::Answered { status: 503 | 504, turned_away: true } => Outcome::Saturated,
+            Ending::Answered { status: 200, .. } => Outcome::Success,
+            Ending::Answered { status: 503 | 504, turned_away: true } => Outcome::Overloaded,
             // Danger: what a bad client sends would be sent on from endpoint to endpoint, and held against each.
-            Ending::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::Rejected,
-            Ending::Answered { .. } | Ending::Garbled => Outcome::Errored,
-            // Danger: before its last byte left, a req cannot have run; after it, it may have, whatever came.
+            Ending::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::ClientError,
+            Ending::Answered { .. } | Ending::Garbled => Outcome::Error,
+            // Danger: before its last byte left, a request cannot have run; after it, it may have, whatever came.
             Ending::NeverUp | Ending::Broken { whole: false } | Ending::GivenUp { whole: false } => {
-                Outcome::RefusedConnection
+                Outcome::ConnectFailure
             }
-            Ending::Broken { whole: true } => Outcome::Severed,
-            Ending::GivenUp { whole: true } => Outcome::Overdue,
+            Ending::Broken { whole: true } => Outcome::Reset,
+            Ending::GivenUp { whole: true } => Outcome::Timeout,
             // Danger: a shortage of our own, told as a refusal, would be held against the endpoint.
             Ending::NoRoom | Ending::Withdrawn { whole: false } => Outcome::NeverSent,
-            Ending::Withdrawn { whole: true } => Outcome::Recalled,
+            Ending::Withdrawn { whole: true } => Outcome::Cancelled,
         }
     }
 }
--- a/crates/sidecar/src/net/http.rs
+++ b/crates/sidecar/src/net/http.rs
@@ -240,14 +240,14 @@
     }
 }
 
-/// Reads the head of a req that is known to be whole.
+/// Reads the head of a request that is known to be whole.
 pub fn with_request<T>(head: &[u8], read: impl FnOnce(&Request) -> T) -> Option<T> {
     let mut headers = [EMPTY_HEADER; HEADERS_MOST];
     let mut request = Request::new(&mut headers);
     request.parse(head).ok().filter(Status::is_complete).map(|_| read(&request))
 }
 
-/// The first req in the buffer.
+/// The first request in the buffer.
 pub fn request(buffer: &mut [u8]) -> Result<Read, Bad> {
     let mut headers = [EMPTY_HEADER; HEADERS_MOST];
     let mut request = Request::new(&mut headers);
@@ -262,12 +262,12 @@
     with_request(head, |request| request.version == Some(1)).unwrap_or(false)
 }
 
-/// Whether the client waits for leave to send the body of the req whose head has come.
+/// Whether the client waits for leave to send the body of the request whose head has come.
 pub fn expects_leave(buffer: &[u8]) -> bool {
     with_request(buffer, |request| lists(request.headers, "Expect", "100-continue")).unwrap_or(false)
 }
 
-/// The first answer in the buffer: its status, and whether it says that the req was turned away. `late`: one of
+/// The first answer in the buffer: its status, and whether it says that the request was turned away. `late`: one of
 /// unknown length has been held for long, and is to pass through from here.
 pub fn answer(buffer: &mut Vec<u8>, ended: bool, late: bool) -> Result<(Read, u16, bool), Bad> {
     loop {
@@ -337,7 +337,7 @@
 }
 
 /// An answer of our own.
-pub fn own_answer(out: &mut Vec<u8>, status: u16, come_back: Option<Span>, keep: bool) {
+pub fn own_answer(out: &mut Vec<u8>, status: u16, retry_after: Option<Span>, keep: bool) {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -352,7 +352,7 @@
         _ => "",
     };
     write(out, format_args!("HTTP/1.1 {status} {reason}\r\n"));
-    if let Some(wait) = come_back {
+    if let Some(wait) = retry_after {
         write(out, format_args!("Retry-After: {:.3}\r\n", wait.secs()));
     }
     finish_head(out, Length::Known(0), keep);
--- a/crates/sidecar/src/net/list.rs
+++ b/crates/sidecar/src/net/list.rs
@@ -312,7 +312,7 @@
 
     /// The deadline has passed: of a watch that is silent, or of the wait for the next. Returns whether a
     /// call has failed by that.
-    pub fn overdue(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
+    pub fn timed_out(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
         self.deadline = None;
         match self.open {
             Some(key) => {
--- a/crates/sidecar/src/net/list/format.rs
+++ b/crates/sidecar/src/net/list/format.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use appledyke::Standing;
+use appledyke::EndpointState;
 use appledyke::units::Moment;
 use serde_json::Value;
 
@@ -16,19 +16,19 @@
 /// Reads the entries of such a list, and tells of each its name, address, zone, cell and kind, standing and start.
 pub fn entries(
     list: &Value,
-    mut tell: impl FnMut(&str, Option<SocketAddr>, (&str, u64, &str), Standing, Option<Moment>),
+    mut tell: impl FnMut(&str, Option<SocketAddr>, (&str, u64, &str), EndpointState, Option<Moment>),
 ) -> Result<(), String> {
     for entry in list["endpoints"].as_array().ok_or("endpoints: missing, or no list")? {
         let name = entry["name"].as_str().ok_or("endpoints.name: missing, or no text")?;
         let faulty = |key: &str| format!("endpoints.{key}: unreadable value {} of {name}", entry[key]);
         let standing = match entry["status"].as_str() {
-            Some("up") => Standing::Ready,
-            Some("draining") => Standing::Draining,
-            Some("removed") => Standing::Gone,
+            Some("up") => EndpointState::Ready,
+            Some("draining") => EndpointState::Draining,
+            Some("removed") => EndpointState::Gone,
             _ => return Err(faulty("status")),
         };
         let address = match &entry["address"] {
-            Value::Null if standing == Standing::Gone => None,
+            Value::Null if standing == EndpointState::Gone => None,
             at => Some(at.as_str().and_then(|at| at.parse().ok()).ok_or_else(|| faulty("address"))?),
         };
         let since = match &entry["since_ms"] {
--- a/crates/sidecar/src/net/list/tests.rs
+++ b/crates/sidecar/src/net/list/tests.rs
@@ -41,11 +41,11 @@
         while list.open.is_some() {
             turn.now = turn.deadlines.next().unwrap();
             turn.deadlines.pop(turn.now);
-            list.overdue(|| true, turn);
+            list.timed_out(|| true, turn);
         }
         turn.now = turn.deadlines.next().unwrap();
         turn.deadlines.pop(turn.now);
-        list.overdue(|| true, turn);
+        list.timed_out(|| true, turn);
         up(list, turn, poll);
         let _ = listener.accept().unwrap();
     }
--- a/crates/sidecar/src/net/operator.rs
+++ b/crates/sidecar/src/net/operator.rs
@@ -188,7 +188,7 @@
     }
 
     /// A connection's time is up.
-    pub fn overdue(&mut self, key: Key, turn: &mut Turn) {
+    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) {
         let Some(caller) = self.slots.get_mut(key) else { return };
         caller.deadline = None;
         if caller.answered {
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -1,4 +1,4 @@
-//! The endpoints' side: connections to them, write-outs and what comes back. One write-out at a time on a
+//! The endpoints' side: connections to them, attempts and what comes back. One attempt at a time on a
 //! connection.
 
 use std::net::SocketAddr;
@@ -16,25 +16,25 @@
 
 /// Part of the endpoints' limit on idle connections after which this side closes one: well before them.
 const IDLE_SHARE: f64 = 0.75;
-/// How long a connection rests after an answer before it carries the next req: what follows an answer shows by then,
+/// How long a connection rests after an answer before it carries the next request: what follows an answer shows by then,
 /// 1 to 3.5 ms late where it was seen. Where bytes that nobody asked for have come of late, another is opened rather
 /// than one used that has not rested. Else the one that has rested for longest does, as another costs the endpoint work.
 const REST: Span = Span::from_millis(4);
 const WARY_FOR: Span = Span::from_millis(60_000);
 /// How long an answer of unknown length is held for its end while more of it comes.
 const HELD_MOST: Span = Span::from_millis(500);
-/// How long an endpoint may bring nothing of a long answer that it has begun, or take nothing of a long req: peers
+/// How long an endpoint may bring nothing of a long answer that it has begun, or take nothing of a long request: peers
 /// take seconds, and what it still gives is not to be cut off.
 const PASS_SILENT: Span = Span::from_millis(10_000);
 
-/// In place of a req's index: its connection carries a probe, and in place of a write-out's number stands the endpoint.
+/// In place of a request's index: its connection carries a probe, and in place of an attempt's number stands the endpoint.
 pub const PROBE: usize = usize::MAX;
 
-/// A write-out that a connection carries.
+/// An attempt that a connection carries.
 #[derive(Clone, Copy)]
 pub struct Carried {
-    pub req: usize,
-    pub write_out: usize,
+    pub request: usize,
+    pub attempt: usize,
     pub give_up: Moment,
 }
 
@@ -48,9 +48,9 @@
     /// Where the end of its head is to stand in what is kept until it is up. Danger: an attempt that told the time left at
     /// its decision, and waited for its connect, had its endpoint go on for longer than the client waits.
     head_ends: Option<usize>,
-    /// The write-out that it carries is counted as written whole.
+    /// The attempt that it carries is counted as written whole.
     counted: bool,
-    /// When that set out, and how what is to come of its req is framed, behind what was written.
+    /// When that set out, and how what is to come of its request is framed, behind what was written.
     sent: Moment,
     coming: Option<Length>,
     /// Since when an answer of unknown length is held that is not whole.
@@ -62,13 +62,13 @@
 struct Passing {
     client: Key,
     method: usize,
-    /// How the req ends once it has passed.
+    /// How the request ends once it has passed.
     end: End,
     body: Body,
     keep: bool,
 }
 
-/// A req as it goes to an endpoint: what of its body is held, or how what is to come is framed.
+/// A request as it goes to an endpoint: what of its body is held, or how what is to come is framed.
 #[derive(Clone, Copy)]
 pub struct Message<'a> {
     pub head: &'a [u8],
@@ -85,14 +85,14 @@
 }
 
 impl Link {
-    /// 1 once the last byte of the write-out that it carries is written, 0 before and after.
+    /// 1 once the last byte of the attempt that it carries is written, 0 before and after.
     fn newly_written(&mut self) -> u64 {
-        let req = self.carries.is_some_and(|carried| carried.req != PROBE);
-        let newly = req && self.whole() && !std::mem::replace(&mut self.counted, true);
+        let request = self.carries.is_some_and(|carried| carried.request != PROBE);
+        let newly = request && self.whole() && !std::mem::replace(&mut self.counted, true);
         u64::from(newly)
     }
 
-    /// Until when it has for what it carries. Danger: a req's times run from its last byte, so while it goes on in
+    /// Until when it has for what it carries. Danger: a request's times run from its last byte, so while it goes on in
     /// pieces only a standstill ends it.
     fn until(&self, give_up: Moment, now: Moment) -> Moment {
         if self.coming.is_some() { now + PASS_SILENT } else { give_up }
@@ -114,9 +114,9 @@
     }
 }
 
-/// How a write-out ended, and the answer if it has one, still in its connection's buffer.
+/// How an attempt ended, and the answer if it has one, still in its connection's buffer.
 pub struct Ended {
-    /// Where it was to, and since when: for a req that went in pieces, since its last byte.
+    /// Where it was to, and since when: for a request that went in pieces, since its last byte.
     pub endpoint: usize,
     pub sent: Moment,
     pub carried: Carried,
@@ -134,7 +134,7 @@
     /// Until when connections rest.
     wary_until: Moment,
     head: Vec<u8>,
-    /// Write-outs whose last byte was written; probes are none.
+    /// Attempts whose last byte was written; probes are none.
     pub written: u64,
     /// Most connections to one endpoint, where something limits them.
     pub most_at_one: Option<u64>,
@@ -155,9 +155,9 @@
     }
 
     /// Other limits hold from now on.
-    pub fn retune(&mut self, idle_limit: Span, connect_timeout: Span, turn: &mut Turn) {
+    pub fn update_terms(&mut self, idle_limit: Span, connect_timeout: Span, turn: &mut Turn) {
         (self.idle_most, self.connect_timeout) = (idle_limit * IDLE_SHARE, connect_timeout);
-        // Danger: kept for as long as the limits of before allowed, one would be ended by its endpoint just as a req is
+        // Danger: kept for as long as the limits of before allowed, one would be ended by its endpoint just as a request is
         // written to it.
         for (key, since) in self.places.iter().flat_map(|place| &place.idle) {
             if let Some(link) = self.links.get_mut(*key) {
@@ -167,7 +167,7 @@
     }
 
     /// Where an endpoint is to be found from now on, and since when. Danger: a machine that was cut off comes
-    /// back without a word to the connections of before; a req written to one of them ends as a reset, and
+    /// back without a word to the connections of before; a request written to one of them ends as a reset, and
     /// may have run for all that can be told.
     pub fn place(&mut self, endpoint: usize, at: SocketAddr, started: Option<Moment>, turn: &mut Turn) {
         if self.places.len() <= endpoint {
@@ -192,7 +192,7 @@
         self.places.get(endpoint)?.started
     }
 
-    /// Connections to an endpoint, and how many of them carry a write-out.
+    /// Connections to an endpoint, and how many of them carry an attempt.
     pub fn held(&self, endpoint: usize) -> (usize, usize) {
         let links = self.links.iter().filter(|(_, link)| link.endpoint == endpoint);
         links.fold((0, 0), |(all, out), (_, link)| (all + 1, out + usize::from(link.carries.is_some())))
@@ -202,7 +202,7 @@
         self.places.get(endpoint).is_some_and(|place| !place.idle.is_empty())
     }
 
-    /// The most connections, and the most write-outs, at one endpoint.
+    /// The most connections, and the most attempts, at one endpoint.
     pub fn most_held(&self) -> (usize, usize) {
         let mut held = vec![(0, 0); self.places.len()];
         for (_, link) in self.links.iter() {
@@ -244,7 +244,7 @@
         self.close(key, turn);
     }
 
-    /// Starts a write-out of the req with this head and body, on an idle connection or a new one.
+    /// Starts an attempt of the request with this head and body, on an idle connection or a new one.
     pub fn send(
         &mut self,
         endpoint: usize,
@@ -256,7 +256,7 @@
         let length = coming.unwrap_or(Length::Known(body.len() as u64));
         let out = &mut self.head;
         http::with_request(head, |request| http::forwarded_head(out, request, length));
-        // Danger: what comes late behind an answer would pass for the answer to the next req.
+        // Danger: what comes late behind an answer would pass for the answer to the next request.
         let now = turn.now;
         let wary = now < self.wary_until;
         let rested = |place: &mut Place| {
@@ -266,7 +266,7 @@
         };
         while let Some(key) = self.places.get_mut(endpoint).and_then(rested) {
             let Some(link) = self.links.get_mut(key) else { continue };
-            // Danger: written to a connection that the endpoint has ended, a req may have run for all that
+            // Danger: written to a connection that the endpoint has ended, a request may have run for all that
             // can be told; so look for an end, and for bytes nobody asked for, before it is used again.
             if !link.still_idle() {
                 self.close_unasked(key, turn);
@@ -344,7 +344,7 @@
         true
     }
 
-    /// Reads and writes what a connection is ready for; says so if its write-out has ended by that.
+    /// Reads and writes what a connection is ready for; says so if its attempt has ended by that.
     pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
         let link = self.links.get_mut(key)?;
         let Some(carried) = link.carries else {
@@ -438,12 +438,12 @@
         self.places[link.endpoint].idle.push((key, turn.now));
     }
 
-    // Long reqs.
+    // Long requests.
 
-    /// The req whose body this connection still waits for.
+    /// The request whose body this connection still waits for.
     pub fn awaits(&self, key: Key) -> Option<usize> {
         let link = self.links.get(key).filter(|link| link.coming.is_some())?;
-        link.carries.map(|carried| carried.req)
+        link.carries.map(|carried| carried.request)
     }
 
     /// Whether the endpoint has taken all that was written, and more is to come.
@@ -451,7 +451,7 @@
         self.links.get(key).is_some_and(|link| link.up && link.coming.is_some() && link.connection.all_sent())
     }
 
-    /// More of a req's body, or its end. Says so if the write-out has ended by that.
+    /// More of a request's body, or its end. Says so if the attempt has ended by that.
     pub fn feed(&mut self, key: Key, data: Option<&[u8]>, turn: &mut Turn) -> Option<Ended> {
         let link = self.links.get_mut(key)?;
         let (carried, coming) = (link.carries?, link.coming?);
@@ -480,7 +480,7 @@
         link.passes = Some(Passing { client, method, end, body, keep: frame.keep });
     }
 
-    /// The client that this connection's answer passes to, the method of its req, and how that ends.
+    /// The client that this connection's answer passes to, the method of its request, and how that ends.
     pub fn passes(&self, key: Key) -> Option<(Key, usize, End)> {
         let passing = self.links.get(key)?.passes.as_ref()?;
         Some((passing.client, passing.method, passing.end))
@@ -528,10 +528,10 @@
         self.release(key, Frame { head: 0, body: 0, end: 0, keep }, turn);
     }
 
-    /// The req of the write-out that a connection carries, if its last byte is not written yet.
+    /// The request of the attempt that a connection carries, if its last byte is not written yet.
     pub fn unwritten(&self, key: Key) -> Option<usize> {
         let link = self.links.get(key).filter(|link| !link.whole())?;
-        link.carries.map(|carried| carried.req)
+        link.carries.map(|carried| carried.request)
     }
 
     /// Whether nothing was written yet of what a connection carries.
@@ -539,15 +539,15 @@
         self.links.get(key).is_some_and(|link| !link.up)
     }
 
-    /// Stops waiting for a write-out. Closing its connection tells the endpoint.
+    /// Stops waiting for an attempt. Closing its connection tells the endpoint.
     pub fn withdraw(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
         let link = self.links.get(key)?;
         let whole = link.whole();
         self.end(key, Ending::Withdrawn { whole }, turn)
     }
 
-    /// A connection's time is up: it did not come up, its write-out is given up, or it stood idle for long.
-    pub fn overdue(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
+    /// A connection's time is up: it did not come up, its attempt is given up, or it stood idle for long.
+    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
         let link = self.links.get_mut(key)?;
         link.deadline = None;
         let Some(carried) = link.carries else {
@@ -604,33 +604,33 @@
     fn a_connect_that_never_comes_up_never_ran_and_leaves_nothing_behind() {
         let (_listener, _poll, mut turn, mut servers) = before_one();
         let give_up = turn.now + Span::from_millis(2000);
-        let carried = Carried { req: 0, write_out: 0, give_up };
+        let carried = Carried { request: 0, attempt: 0, give_up };
         let message = Message { head: HEAD, body: b"", coming: None };
         let send = |servers: &mut Servers, turn: &mut Turn| servers.send(0, carried, message, turn);
         let key = send(&mut servers, &mut turn).unwrap();
         send(&mut servers, &mut turn).unwrap();
-        // Both carry a req, so there is no room for a third.
+        // Both carry a request, so there is no room for a third.
         assert_eq!(send(&mut servers, &mut turn), Err(Ending::NoRoom));
         assert_eq!(Ending::NoRoom.outcome(), Outcome::NeverSent);
         // No event has told of it by the time that a connect may take.
         turn.now = turn.now + Span::from_millis(200);
         assert_eq!(turn.deadlines.pop(turn.now), Some(Due::Server(key)));
-        let ended = servers.overdue(key, &mut turn).unwrap();
-        assert_eq!((ended.ending, ended.ending.outcome()), (Ending::NeverUp, Outcome::RefusedConnection));
+        let ended = servers.timed_out(key, &mut turn).unwrap();
+        assert_eq!((ended.ending, ended.ending.outcome()), (Ending::NeverUp, Outcome::ConnectFailure));
         // What is still heard of the old connection finds nothing.
-        assert!(servers.ready(key, &mut turn).is_none() && servers.overdue(key, &mut turn).is_none());
+        assert!(servers.ready(key, &mut turn).is_none() && servers.timed_out(key, &mut turn).is_none());
         assert!(send(&mut servers, &mut turn).is_ok());
     }
 
     #[test]
     fn idle_connections_keep_to_the_limits_of_new_settings() {
         let (listener, mut poll, mut turn, mut servers) = before_one();
-        let carried = Carried { req: 0, write_out: 0, give_up: turn.now + Span::from_millis(2000) };
+        let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
         let key =
             servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, &mut turn).unwrap();
         let (mut peer, _) = listener.accept().unwrap();
         answer(&mut servers, &mut turn, &mut poll, key, &mut peer);
-        servers.retune(Span::from_millis(4000), Span::from_millis(200), &mut turn);
+        servers.update_terms(Span::from_millis(4000), Span::from_millis(200), &mut turn);
         assert!(servers.has_idle(0));
         assert_eq!(turn.deadlines.next(), Some(turn.now + Span::from_millis(4000) * IDLE_SHARE));
     }
@@ -641,7 +641,7 @@
     fn a_connect_that_comes_up_in_the_turn_in_which_its_time_is_over_carries_nothing() {
         for (give_up, ending) in [(100, Ending::GivenUp { whole: false }), (2000, Ending::NeverUp)] {
             let (listener, mut poll, mut turn, mut servers) = before_one();
-            let carried = Carried { req: 0, write_out: 0, give_up: turn.now + Span::from_millis(give_up) };
+            let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(give_up) };
             let key =
                 servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, &mut turn).unwrap();
             let (mut peer, _) = listener.accept().unwrap();
@@ -651,7 +651,7 @@
             }
             turn.now = turn.now + Span::from_millis(200);
             let ended = servers.ready(key, &mut turn).expect("its time is over");
-            assert_eq!((ended.ending, ended.ending.outcome()), (ending, Outcome::RefusedConnection));
+            assert_eq!((ended.ending, ended.ending.outcome()), (ending, Outcome::ConnectFailure));
             assert_eq!(std::io::Read::read(&mut peer, &mut [0]).unwrap(), 0);
         }
     }
@@ -663,7 +663,7 @@
         let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         for (successor, stays) in [(None, true), (Some(other.local_addr().unwrap()), false)] {
             let (listener, mut poll, mut turn, mut servers) = before_one();
-            let carried = Carried { req: 0, write_out: 0, give_up: turn.now + Span::from_millis(2000) };
+            let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
             let key =
                 servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, &mut turn).unwrap();
             let (mut peer, _) = listener.accept().unwrap();
@@ -676,7 +676,7 @@
                     break ended;
                 }
             };
-            servers.pass(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, End::Satisfied));
+            servers.pass(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, End::Served));
             servers.forget(0, &mut turn);
             servers.place(0, successor.unwrap_or(listener.local_addr().unwrap()), None, &mut turn);
             std::io::Write::write_all(&mut peer, &[b'x'; 69_000]).unwrap();
@@ -693,12 +693,12 @@
         }
     }
 
-    /// Danger: what comes late behind an answer passes for the answer to the next req on its connection.
+    /// Danger: what comes late behind an answer passes for the answer to the next request on its connection.
     #[test]
     fn a_connection_that_has_just_been_answered_is_used_last() {
         let (listener, mut poll, mut turn, mut servers) = before_one();
         let send = |servers: &mut Servers, turn: &mut Turn| {
-            let carried = Carried { req: 0, write_out: 0, give_up: turn.now + Span::from_millis(2000) };
+            let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
             servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, turn).unwrap()
         };
         let mut answered = |servers: &mut Servers, turn: &mut Turn, key, peer: &mut std::net::TcpStream| {
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,7 +1,7 @@
 //! The loop: poll, take the time once, feed what was heard, pull decisions until there is none, write.
 
 mod process;
-mod reqs;
+mod requests;
 
 use std::collections::{HashMap, HashSet};
 use std::convert::Infallible;
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use appledyke::ids::{self, Names, Places};
-use appledyke::news::Told;
+use appledyke::news::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, Outcome, Standing as EndpointStanding};
+use appledyke::{Decision, EndpointState as EndpointStanding, Entry, Outcome, RequestInfo};
 use mio::{Events, Interest, Poll};
 use serde_json::Value;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -41,7 +41,7 @@
 /// Events that one poll brings beside one of each connection that there may be: the fixed peers' own. Danger: of what a
 /// poll leaves for the next, decisions know nothing.
 const EVENTS_MORE: usize = 512;
-/// Reqs that may have come already and are looked at in one turn, before others have theirs: well over what a turn
+/// Requests that may have come already and are looked at in one turn, before others have theirs: well over what a turn
 /// brings, and some milliseconds.
 const LOOKS_MOST: usize = 256;
 /// Longest from the close of a client that has reached this machine to an attempt that still begins for it.
@@ -70,15 +70,15 @@
     }
 }
 
-/// For one req, until nothing more can be heard of it.
-struct Req {
+/// For one request, until nothing more can be heard of it.
+struct Request {
     method: usize,
     /// When it came.
     since: Moment,
     /// Who waits for the answer; none once it is given or the client has gone.
     client: Option<Key>,
-    /// The connections of its write-outs, as long as they are out.
-    write_outs: Vec<Option<Key>>,
+    /// The connections of its attempts, as long as they are out.
+    attempts: Vec<Option<Key>>,
     /// How its last attempt ended.
     last_outcome: Option<Outcome>,
     /// What its client calls it; empty where single requests are not logged.
@@ -98,14 +98,14 @@
     signals: Signals,
     clock: Clock,
     turn: Turn,
-    choice: Decider,
-    reqs: Slots<Req>,
+    balancer: Decider,
+    requests: Slots<Request>,
     endpoints: Names,
     places: Places,
     clients: Clients,
     servers: Servers,
     list: List,
-    /// Clients whose next req may have come already.
+    /// Clients whose next request may have come already.
     look_again: Vec<Key>,
     /// Connections with more to pass on than a turn may take up: of clients, and of endpoints.
     pass_again: Vec<Peer>,
@@ -146,8 +146,8 @@
 
 /// An endpoint's entry as the fleet has it: one that is out of service drains, by the module's own rule.
 fn in_service(entry: Entry, out: bool) -> Entry {
-    let drains = out && entry.standing == EndpointStanding::Ready;
-    Entry { standing: if drains { EndpointStanding::Draining } else { entry.standing }, ..entry }
+    let drains = out && entry.state == EndpointStanding::Ready;
+    Entry { state: if drains { EndpointStanding::Draining } else { entry.state }, ..entry }
 }
 
 /// Who calls the service that tells the list, as the settings have it.
@@ -201,8 +201,8 @@
             signals,
             clock,
             turn,
-            choice: Decider::new(now, launch.terms, launch.watched, launch.seed),
-            reqs: Slots::default(),
+            balancer: Decider::new(now, launch.terms, launch.watched, launch.seed),
+            requests: Slots::default(),
             endpoints: Names::default(),
             places,
             clients,
@@ -233,7 +233,7 @@
             read_at: None,
             poll,
         };
-        sidecar.choice.terms().methods.iter().for_each(|method| sidecar.figures.offer(&method.name));
+        sidecar.balancer.terms().methods.iter().for_each(|method| sidecar.figures.offer(&method.name));
         if let Some(folder) = &launch.folder {
             let at = sidecar.clients.address().unwrap_or(listen);
             match Presence::announce(folder, at, std::process::id()) {
@@ -268,7 +268,7 @@
 
     /// Logs the settings by which the calls to discovery are judged.
     fn log_terms(&self) {
-        let terms = self.choice.terms();
+        let terms = self.balancer.terms();
         let ask_within = terms.ask_within.map_or("never".to_string(), |span| format!("{:.1} s", span.secs()));
         log::info!("settings: {} instances, discovery is asked within {ask_within}", terms.instances);
     }
@@ -415,29 +415,29 @@
     fn due(&mut self, due: Due) {
         let (now, turn) = (self.turn.now, &mut self.turn);
         match due {
-            Due::Wake => self.choice.wake(now),
+            Due::Wake => self.balancer.wake(now),
             Due::Client(key) => {
-                let said = self.clients.overdue(key, turn);
+                let said = self.clients.timed_out(key, turn);
                 self.said(key, said);
             }
             Due::Server(key) if self.servers.passes(key).is_some() => self.break_off(key),
             Due::Server(key) => {
-                let ended = self.servers.overdue(key, turn);
+                let ended = self.servers.timed_out(key, turn);
                 self.ended(key, ended);
             }
             Due::List => {
                 let may = may_call_list(&mut self.fleet, &self.clock);
-                let failed = self.list.overdue(may, turn);
+                let failed = self.list.timed_out(may, turn);
                 let failed = self.call_list_again() || failed;
                 self.list_failed(failed);
             }
             Due::Accept => self.accept(),
             Due::Away => self.away_further(),
             Due::Others => self.look_at_others(),
-            Due::Fleet => self.fleet_overdue(),
+            Due::Fleet => self.fleet_due(),
             Due::Operators => self.accept_operators(),
             Due::Settings => self.read_again(),
-            Due::Operator(key) => self.operators.iter_mut().for_each(|o| o.overdue(key, turn)),
+            Due::Operator(key) => self.operators.iter_mut().for_each(|o| o.timed_out(key, turn)),
         }
     }
 
@@ -457,33 +457,34 @@
             self.listed(false, &list);
         }
         if failed {
-            self.choice.list_failed(self.turn.now);
+            self.balancer.list_failed(self.turn.now);
         }
     }
 
     /// A list that has been found readable.
     fn listed(&mut self, complete: bool, list: &Value) {
-        let Sidecar { turn, choice, servers, endpoints, places, entries, outs, fleet, states, .. } = self;
+        let Sidecar { turn, balancer, servers, endpoints, places, entries, outs, fleet, states, .. } = self;
         if complete {
             entries.clear();
         }
         states.open();
-        choice.list_opens(complete);
+        balancer.list_begin(complete);
         let told = list::entries(list, |name, address, (zone, cell, kind), standing, started| {
             let endpoint = endpoints.index(name);
             let (zone, kind) = (places.zones.index(zone), places.kinds.index(kind));
-            let mut entry = Entry { standing, started, zone, cell, kind, mark: ids::mark(name) };
+            let mut entry =
+                Entry { state: standing, started, zone, cell, kind, name_hash: ids::name_hash(name) };
             if fleet.is_some() {
                 entries.insert(name.to_string(), entry);
                 entry = in_service(entry, outs.contains(name));
             }
             states.observe(endpoint, standing);
-            choice.listed(turn.now, endpoint, entry);
+            balancer.listed(turn.now, endpoint, entry);
             if let Some(address) = address {
                 servers.place(endpoint, address, started, turn);
             }
         });
-        choice.list_closes(turn.now);
+        balancer.list_end(turn.now);
         if let Some(changes) = states.close(complete, |endpoint| endpoints.name(endpoint)) {
             log::info!("list version {}: {changes}", list["index"]);
         }
@@ -495,7 +496,7 @@
     fn decide(&mut self) {
         let mut looks = 0;
         loop {
-            while let Some(decision) = self.choice.next_decision(self.turn.now) {
+            while let Some(decision) = self.balancer.next_decision(self.turn.now) {
                 self.carry_out(decision);
             }
             // Danger: a client that asks again at once, and is answered at once, would keep all others waiting.
@@ -514,7 +515,7 @@
         let may = may_call_list(&mut self.fleet, &self.clock);
         let failed = self.list.watch(may, &mut self.turn);
         if self.call_list_again() || failed {
-            self.choice.list_failed(self.turn.now);
+            self.balancer.list_failed(self.turn.now);
         }
     }
 
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -15,7 +15,7 @@
 /// sent it ends what is left soon after.
 const LEAVE_DEADLINE: Span = Span::from_millis(3000);
 const LEAVE_MORE: Span = Span::from_millis(400);
-/// Part of that time in which reqs are taken as ever: other sidecars may be away as well, and clients lose
+/// Part of that time in which requests are taken as ever: other sidecars may be away as well, and clients lose
 /// least while the connections that they have go on. The rest is time to answer.
 const LEAVE_TAKING: f64 = 0.6;
 /// Least time in which new connections may still come.
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes over what can change while reqs are under way: the settings, and where the list is asked. The rest is for a
+    /// Takes over what can change while requests are under way: the settings, and where the list is asked. The rest is for a
     /// start.
     pub(super) fn read_again(&mut self) {
         self.turn.deadlines.shift(Due::Settings, &mut self.read_at, None);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// What may change while reqs are under way is taken over.
+    /// What may change while requests are under way is taken over.
     fn take_over(&mut self, launch: Launch) {
         self.list.set_callers(callers(&launch.terms));
         let may = may_call_list(&mut self.fleet, &self.clock);
@@ -85,31 +85,32 @@
         lists.into_iter().for_each(|(complete, list)| self.listed(complete, &list));
         let failed = self.call_list_again() || failed;
         self.list_failed(failed);
-        self.servers.retune(launch.connection_idle, launch.connect_timeout, &mut self.turn);
-        self.retune(launch.terms, launch.watched);
+        self.servers.update_terms(launch.connection_idle, launch.connect_timeout, &mut self.turn);
+        self.update_terms(launch.terms, launch.watched);
     }
 
-    /// Other terms hold for reqs that arrive from now on; open ones keep the methods that they came with.
-    pub(super) fn retune(&mut self, terms: Terms, watched: Option<Terms>) {
-        let held = self.reqs.iter().map(|(_, req)| req.method).chain(self.servers.passing());
+    /// Other terms hold for requests that arrive from now on; open ones keep the methods that they came with.
+    pub(super) fn update_terms(&mut self, terms: Terms, watched: Option<Terms>) {
+        let held = self.requests.iter().map(|(_, request)| request.method).chain(self.servers.passing());
         let held: HashSet<usize> = held.collect();
-        let (terms, places) = terms.after(self.choice.terms(), |at| held.contains(&at));
+        let (terms, places) = terms.after(self.balancer.terms(), |at| held.contains(&at));
         let names = places.iter().map(|(at, _)| terms.methods[*at].name.as_str()).collect::<Vec<_>>();
         if !names.is_empty() {
             log::info!("new or changed methods: {}", names.join(", "));
         }
         let offered = terms.methods.iter().zip(&terms.offered).filter(|(_, offered)| **offered);
         offered.for_each(|(method, _)| self.figures.offer(&method.name));
-        self.choice.retune(terms, watched, &places);
+        self.balancer.update_terms(terms, watched, &places);
     }
 
     pub(super) fn tell_watch(&self) {
-        self.choice.counts().into_iter().for_each(|counts| log::info!("watch: {counts}"));
+        self.balancer.counts().into_iter().for_each(|counts| log::info!("watch: {counts}"));
     }
 
     pub(super) fn leave(&mut self) {
         log::info!("told to leave");
-        let longest = self.choice.terms().methods.iter().map(|m| m.deadline).max().unwrap_or(LEAVE_DEADLINE);
+        let longest =
+            self.balancer.terms().methods.iter().map(|m| m.deadline).max().unwrap_or(LEAVE_DEADLINE);
         let since = self.turn.now;
         let until = since + (longest.min(LEAVE_DEADLINE) + LEAVE_MORE);
         // Danger: two that are told together would each count on the other, if they looked before they said so.
@@ -266,14 +267,14 @@
         "200 takes clients"
     }
 
-    /// Reqs whose clients wait, and long answers that are on their way.
+    /// Requests whose clients wait, and long answers that are on their way.
     fn open(&self) -> usize {
-        self.reqs.iter().filter(|(_, r)| r.client.is_some()).count() + self.servers.passing().count()
+        self.requests.iter().filter(|(_, r)| r.client.is_some()).count() + self.servers.passing().count()
     }
 
     pub(super) fn figures(&self) -> String {
         let open = self.open();
-        let (listed, avoided) = self.choice.avoided(self.turn.now);
+        let (listed, avoided) = self.balancer.avoided(self.turn.now);
         let written = self.servers.written;
         let text = self.figures.text(&Now {
             open,
@@ -302,13 +303,13 @@
         }
         if now >= until {
             self.look_again.extend(self.clients.part_at_once(&mut self.turn));
-            // What has come in this turn is decided first: a nack invites a repeat elsewhere, a failure does not.
+            // What has come in this turn is decided first: a rejection invites a repeat elsewhere, a failure does not.
             self.decide();
             // Danger: what has no answer when this process is killed is lost.
-            let open: Vec<_> = self.reqs.iter().map(|(key, _)| key.index()).collect();
-            for req in open {
-                self.answer(req, 502, None, AnsweredHere::Leaving);
-                self.hangup(req);
+            let open: Vec<_> = self.requests.iter().map(|(key, _)| key.index()).collect();
+            for request in open {
+                self.answer(request, 502, None, AnsweredHere::Leaving);
+                self.client_disconnected(request);
             }
         }
         if !self.clients.none_left() {
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Tells other processes at this address how write-outs ended here, and hears of theirs.
+    /// Tells other processes at this address how attempts ended here, and hears of theirs.
     pub(super) fn hand_over(&mut self) {
         let now = self.turn.now;
         let Some(presence) = self.presence.as_ref().filter(|_| self.others.alive() > 0) else { return };
@@ -327,16 +328,20 @@
             .into_iter()
             .map(|handover::Ended { endpoint, method, outcome, part, .. }| (endpoint, method, outcome, part));
         let told: Vec<_> = self.as_told(ends).collect();
-        self.choice.told(now, &told);
+        self.balancer.told(now, &told);
     }
 
     /// Ends that others tell, by the marks of endpoint and method, as the decisions take them.
-    fn as_told(&self, ends: impl Iterator<Item = (u32, u32, Outcome, f64)>) -> impl Iterator<Item = Told> {
-        let terms = self.choice.terms();
-        let marked = |at: &usize, mark| terms.offered[*at] && ids::mark(&terms.methods[*at].name) == mark;
+    fn as_told(
+        &self,
+        ends: impl Iterator<Item = (u32, u32, Outcome, f64)>,
+    ) -> impl Iterator<Item = AttemptReport> {
+        let terms = self.balancer.terms();
+        let marked =
+            |at: &usize, mark| terms.offered[*at] && ids::name_hash(&terms.methods[*at].name) == mark;
         ends.filter_map(move |(endpoint, method, outcome, part)| {
             let method = (0..terms.methods.len()).find(|at| marked(at, method))?;
-            Some(Told { mark: endpoint, method, outcome, part, load: None })
+            Some(AttemptReport { name_hash: endpoint, method, outcome, part, load: None })
         })
     }
 
@@ -374,10 +379,10 @@
         self.take_news(news);
     }
 
-    pub(super) fn fleet_overdue(&mut self) {
+    pub(super) fn fleet_due(&mut self) {
         self.tell_holds();
         let Sidecar { fleet, turn, .. } = self;
-        let news = fleet.as_mut().map(|fleet| fleet.overdue(turn)).unwrap_or_default();
+        let news = fleet.as_mut().map(|fleet| fleet.timed_out(turn)).unwrap_or_default();
         self.take_news(news);
     }
 
@@ -388,16 +393,15 @@
         let Sidecar { fleet, servers, turn, endpoints, outs, entries, clients, draining, .. } = self;
         let Some(fleet) = fleet.as_mut() else { return };
         // What is out of service by an operator's word is left for good: the module would keep idle connections there until its
-        // next req.
+        // next request.
         outs.iter()
             .filter_map(|name| endpoints.find(name))
             .for_each(|endpoint| servers.close_idle(endpoint, turn));
         let holds =
             |name: &&String| endpoints.find(name).is_some_and(|endpoint| servers.held(endpoint).0 > 0);
         fleet.holds_at(outs.iter().filter(holds).cloned().collect());
-        let ready = |name: &&String| {
-            entries.get(*name).is_some_and(|entry| entry.standing == EndpointStanding::Ready)
-        };
+        let ready =
+            |name: &&String| entries.get(*name).is_some_and(|entry| entry.state == EndpointStanding::Ready);
         let lacks = fleet.looks_for().filter(|name| !ready(name)).cloned().collect();
         // Danger: what was on its way when the drain began comes still, and would not be seen to have been waited for.
         let early = draining.is_some_and(|since| turn.now.since(since) < DRAIN_GRACE);
@@ -470,23 +474,23 @@
             if outs.is_empty() { "none".to_string() } else { sorted(&outs).join(", ") }
         );
         self.outs = outs;
-        self.choice.list_opens(false);
+        self.balancer.list_begin(false);
         for name in changed {
             if let (Some(endpoint), Some(entry)) = (self.endpoints.find(&name), self.entries.get(&name)) {
                 let entry = in_service(*entry, self.outs.contains(&name));
-                self.choice.listed(self.turn.now, endpoint, entry);
+                self.balancer.listed(self.turn.now, endpoint, entry);
             }
         }
-        self.choice.list_closes(self.turn.now);
+        self.balancer.list_end(self.turn.now);
     }
 
-    /// How write-outs of other members have ended. What that is worth is decided elsewhere.
+    /// How attempts of other members have ended. What that is worth is decided elsewhere.
     fn hear_ends(&mut self, passed: &[Passed]) {
         let ends = passed.iter().filter_map(|Passed { seen, .. }| {
             Some((seen.endpoint, seen.method, evidence::outcome(seen.outcome)?, f64::from(seen.part)))
         });
         let told: Vec<_> = self.as_told(ends).collect();
-        self.choice.heard(self.turn.now, &told);
+        self.balancer.heard(self.turn.now, &told);
     }
 }
 
