--- a/crates/sidecar/src/sidecar/reqs.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -1,18 +1,18 @@
-//! A req's life: from its client to an endpoint and back, and what is decided of it on the way.
+//! A request's life: from its client to an endpoint and back, and what is decided of it on the way.
 
 use super::*;
 use crate::figures::AnsweredHere;
 use crate::trace;
 
 const PROBE_HEAD: &[u8] = b"GET /load HTTP/1.1\r\n\r\n";
-/// Longest that a probe may take: by then the req that waits for it has long set out.
+/// Longest that a probe may take: by then the request that waits for it has long set out.
 const PROBE_WAIT: Span = Span::from_millis(200);
 /// Pieces of a long message that are passed on before others have their turn: operators wait a second at the most.
 const PIECES_MOST: usize = 16;
 
 impl Sidecar {
     pub(super) fn client_ready(&mut self, key: Key) {
-        let said = self.clients.ready(key, self.choice.terms(), &mut self.turn);
+        let said = self.clients.ready(key, self.balancer.terms(), &mut self.turn);
         self.said(key, said);
     }
 
@@ -29,41 +29,45 @@
             Said::More => self.pass_up(key),
             Said::Takes { from } => self.pass_down(from),
             Said::Gone { from } => self.servers.close(from, &mut self.turn),
-            Said::Silent { req } => {
-                self.answer(req, 408, None, AnsweredHere::SlowRequest);
-                self.hangup(req);
+            Said::Silent { request } => {
+                self.answer(request, 408, None, AnsweredHere::SlowRequest);
+                self.client_disconnected(request);
             }
             Said::Arrival { method, left, work, frame } => {
-                let req = Req {
+                let request = Request {
                     method,
                     since: self.turn.now,
                     client: Some(key),
-                    write_outs: Vec::new(),
+                    attempts: Vec::new(),
                     last_outcome: None,
                     id: String::new(),
                 };
-                let Ok(at) = self.reqs.insert_with(|_| Ok::<_, Infallible>(req));
+                let Ok(at) = self.requests.insert_with(|_| Ok::<_, Infallible>(request));
                 // Danger: once it leaves there may be less time than the client would wait.
                 let left = self.leaving.map_or(left, |leaving| left.min(leaving.until.since(self.turn.now)));
                 self.clients.waits(key, at.index(), frame);
                 self.trace_arrival(at.index(), key, left);
-                self.choice.arrival(self.turn.now, at.index(), Ask { method, left, work, key: None });
+                self.balancer.arrival(
+                    self.turn.now,
+                    at.index(),
+                    RequestInfo { method, left, work, key: None },
+                );
             }
-            Said::Hangup { req } => {
-                if let Some(r) = self.req(req) {
+            Said::Hangup { request } => {
+                if let Some(r) = self.request(request) {
                     r.client = None;
                     log::debug!("request {}: its client has left", r.id);
-                    self.hangup(req);
+                    self.client_disconnected(request);
                 }
             }
         }
     }
 
-    /// Nobody waits for this req any more. Danger: a write-out whose connect comes up late, or of which the endpoint has
+    /// Nobody waits for this request any more. Danger: an attempt whose connect comes up late, or of which the endpoint has
     /// yet to take a part, would go out all the same; it is not cancelled there, as it was never sent.
-    pub(super) fn hangup(&mut self, req: usize) {
-        self.choice.hangup(req);
-        let links = self.req(req).map(|r| r.write_outs.iter().flatten().copied().collect::<Vec<_>>());
+    pub(super) fn client_disconnected(&mut self, request: usize) {
+        self.balancer.client_disconnected(request);
+        let links = self.request(request).map(|r| r.attempts.iter().flatten().copied().collect::<Vec<_>>());
         for link in links.unwrap_or_default() {
             if self.servers.unwritten(link).is_some() {
                 let ended = self.servers.withdraw(link, &mut self.turn);
@@ -78,30 +82,32 @@
         }
         // What waits for its connect is written as soon as that is up.
         match self.servers.unwritten(key) {
-            Some(req) if self.servers.is_connecting(key) => self.look_for_client(req),
+            Some(request) if self.servers.is_connecting(key) => self.look_for_client(request),
             Some(_) => self.look(self.looked),
             None => {}
         }
         let ended = self.servers.ready(key, &mut self.turn);
         self.ended(key, ended);
-        let req = self.servers.awaits(key);
-        if let Some(client) = req.and_then(|req| self.req(req)).and_then(|req| req.client) {
+        let request = self.servers.awaits(key);
+        if let Some(client) =
+            request.and_then(|request| self.request(request)).and_then(|request| request.client)
+        {
             self.pass_up(client);
         }
     }
 
-    /// Passes on what there is of a long req's body, as far as its endpoint takes it.
+    /// Passes on what there is of a long request's body, as far as its endpoint takes it.
     pub(super) fn pass_up(&mut self, client: Key) {
-        let Some(req) = self.clients.brings(client) else { return };
+        let Some(request) = self.clients.brings(client) else { return };
         let now = self.turn.now;
         for _ in 0..PIECES_MOST {
-            let link = self.req(req).and_then(|r| r.write_outs.last().copied().flatten());
+            let link = self.request(request).and_then(|r| r.attempts.last().copied().flatten());
             let Some(link) = link.filter(|link| self.servers.takes_more(*link)) else {
                 return self.clients.rest(client, &mut self.turn);
             };
             match self.clients.piece(client, &mut self.turn) {
                 Piece::Data(range) => {
-                    self.choice.gone_in_part(now, req);
+                    self.balancer.partly_forwarded(now, request);
                     let data = self.clients.bytes(client, &range);
                     let ended = self.servers.feed(link, Some(data), &mut self.turn);
                     self.clients.taken(client, &range, &mut self.turn);
@@ -110,14 +116,14 @@
                     }
                 }
                 Piece::End => {
-                    self.choice.gone_in_part(now, req);
+                    self.balancer.partly_forwarded(now, request);
                     let ended = self.servers.feed(link, None, &mut self.turn);
                     return self.ended(link, ended);
                 }
                 Piece::Later => return,
                 Piece::Bad(status) => {
-                    self.answer(req, status, None, AnsweredHere::BadRequest);
-                    return self.hangup(req);
+                    self.answer(request, status, None, AnsweredHere::BadRequest);
+                    return self.client_disconnected(request);
                 }
                 Piece::Broken => return self.client_ready(client),
             }
@@ -163,42 +169,42 @@
     }
 
     pub(super) fn count(&mut self, method: usize, end: End) {
-        self.figures.ended(&self.choice.terms().methods[method].name, end);
+        self.figures.ended(&self.balancer.terms().methods[method].name, end);
         self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, false));
     }
 
-    /// A req that came then is satisfied, or failed with its last word.
+    /// A request that came then is served, or failed with its last word.
     fn count_since(&mut self, method: usize, end: End, since: Moment) {
-        let method = &self.choice.terms().methods[method];
+        let method = &self.balancer.terms().methods[method];
         self.figures.ended(&method.name, end);
         let slow = self.turn.now.since(since) > method.latency_budget;
         self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, slow));
     }
 
-    pub(super) fn req(&mut self, at: usize) -> Option<&mut Req> {
-        let key = self.reqs.key_at(at)?;
-        self.reqs.get_mut(key)
+    pub(super) fn request(&mut self, at: usize) -> Option<&mut Request> {
+        let key = self.requests.key_at(at)?;
+        self.requests.get_mut(key)
     }
 
-    /// A write-out on this connection has ended: its answer goes to the client if no other could be better.
+    /// An attempt on this connection has ended: its answer goes to the client if no other could be better.
     pub(super) fn ended(&mut self, key: Key, ended: Option<Ended>) {
         let Some(ended) = ended else { return };
-        let Ended { carried: Carried { req, write_out, .. }, ending, answer, long, .. } = ended;
-        if req == PROBE {
-            return self.probed(write_out, key, answer, long.is_some());
+        let Ended { carried: Carried { request, attempt, .. }, ending, answer, long, .. } = ended;
+        if request == PROBE {
+            return self.probed(attempt, key, answer, long.is_some());
         }
         let outcome = ending.outcome();
-        self.trace_end(req, write_out, ended.endpoint, ending, ended.sent);
-        self.book(req, ended.endpoint, ended.sent, outcome);
+        self.trace_end(request, attempt, ended.endpoint, ending, ended.sent);
+        self.book(request, ended.endpoint, ended.sent, outcome);
         let (mut closed, mut passes) = (true, false);
-        if let Some(r) = self.req(req) {
-            r.write_outs[write_out] = None;
-            let last = matches!(outcome, Outcome::Satisfied | Outcome::Rejected);
+        if let Some(r) = self.request(request) {
+            r.attempts[attempt] = None;
+            let last = matches!(outcome, Outcome::Success | Outcome::ClientError);
             let (method, since) = (r.method, r.since);
             let client = if last { r.client.take() } else { None };
             closed = r.client.is_none();
             if let (Some(client), Some(frame)) = (client, answer) {
-                let end = if outcome == Outcome::Satisfied { End::Satisfied } else { End::Failed };
+                let end = if outcome == Outcome::Success { End::Served } else { End::Failed };
                 match &long {
                     Some(body) => passes = self.begin(key, frame, body.clone(), (client, method, end)),
                     None => {
@@ -214,23 +220,25 @@
             Some(_) if !passes => self.servers.close(key, &mut self.turn),
             _ => {}
         }
-        self.choice.outcome(self.turn.now, req, write_out, outcome, closed);
+        self.balancer.outcome(self.turn.now, request, attempt, outcome, closed);
         if passes {
             self.pass_down(key);
         }
     }
 
-    /// Keeps how a write-out ended, for another process at this address and for the fleet.
-    pub(super) fn book(&mut self, req: usize, endpoint: usize, sent: Moment, outcome: Outcome) {
+    /// Keeps how an attempt ended, for another process at this address and for the fleet.
+    pub(super) fn book(&mut self, request: usize, endpoint: usize, sent: Moment, outcome: Outcome) {
         if self.presence.is_none() && self.fleet.is_none() {
             return;
         }
-        let Some(req) = self.reqs.key_at(req).and_then(|key| self.reqs.get(key)) else { return };
-        let method = &self.choice.terms().methods[req.method];
+        let Some(request) = self.requests.key_at(request).and_then(|key| self.requests.get(key)) else {
+            return;
+        };
+        let method = &self.balancer.terms().methods[request.method];
         let ended = handover::Ended {
             at: self.turn.now,
-            endpoint: ids::mark(self.endpoints.name(endpoint)),
-            method: ids::mark(&method.name),
+            endpoint: ids::name_hash(self.endpoints.name(endpoint)),
+            method: ids::name_hash(&method.name),
             outcome,
             part: self.turn.now.since(sent).secs() / method.latency_budget.secs().max(1e-6),
         };
@@ -263,7 +271,7 @@
         begun
     }
 
-    /// A client has its answer, and its next req may have come already. Danger: the end of one that has left may stand behind
+    /// A client has its answer, and its next request may have come already. Danger: the end of one that has left may stand behind
     /// more than is read; that the machine finds nobody there for the answer is told with the next poll, and waited for.
     fn take_next(&mut self, client: Key) {
         if self.clients.is_full(client) {
@@ -273,71 +281,73 @@
         }
     }
 
-    /// An attempt is about to begin for this req, whose client may have left unseen.
-    fn look_for_client(&mut self, req: usize) {
+    /// An attempt is about to begin for this request, whose client may have left unseen.
+    fn look_for_client(&mut self, request: usize) {
         // What has come in this turn was read in it.
-        let Some(since) = self.req(req).map(|r| r.since) else { return };
+        let Some(since) = self.request(request).map(|r| r.since) else { return };
         self.look(if since == self.turn.now { since } else { self.looked });
-        let Some(r) = self.req(req) else { return };
+        let Some(r) = self.request(request) else { return };
         let Some(client) = r.client else { return };
-        let links = r.write_outs.clone();
+        let links = r.attempts.clone();
         let never_sent = links.iter().all(|link| link.is_some_and(|link| self.servers.is_connecting(link)));
         match self.clients.sight(client, LOOK_MOST, self.clock.now()) {
             Sight::Here => {}
             Sight::Left => self.client_leaves(client),
             Sight::Unknown => {
-                self.answer(req, if never_sent { 503 } else { 502 }, None, AnsweredHere::ClientUnseen);
-                self.hangup(req);
+                self.answer(request, if never_sent { 503 } else { 502 }, None, AnsweredHere::ClientUnseen);
+                self.client_disconnected(request);
             }
         }
     }
 
     pub(super) fn carry_out(&mut self, decision: Decision) {
-        if let Decision::Send { req, .. } = decision {
-            self.look_for_client(req);
+        if let Decision::Send { request, .. } = decision {
+            self.look_for_client(request);
         }
         let (now, turn) = (self.turn.now, &mut self.turn);
         match decision {
-            Decision::Send { req, endpoint, give_up } => {
-                let Some(r) = self.req(req) else { return };
-                let (client, carried) = (r.client, Carried { req, write_out: r.write_outs.len(), give_up });
+            Decision::Send { request, endpoint, give_up } => {
+                let Some(r) = self.request(request) else { return };
+                let (client, carried) = (r.client, Carried { request, attempt: r.attempts.len(), give_up });
                 // Who has just left is sent nothing for, and takes nothing from a budget.
-                let within = client.is_some() && self.within_budgets(endpoint, carried.write_out > 0);
+                let within = client.is_some() && self.within_budgets(endpoint, carried.attempt > 0);
                 let mut sent =
-                    if within { self.write_out(client, endpoint, carried) } else { Err(Ending::NoRoom) };
+                    if within { self.attempt(client, endpoint, carried) } else { Err(Ending::NoRoom) };
                 if within && sent == Err(Ending::NoRoom) {
                     let mut brought = Vec::new();
                     if self.clients.make_room(&mut self.turn, &mut brought) {
-                        sent = self.write_out(client, endpoint, carried);
+                        sent = self.attempt(client, endpoint, carried);
                     }
                     self.look_again.extend(brought);
                 }
-                self.trace_attempt(req, carried.write_out, endpoint, sent);
-                let Some(r) = self.req(req) else { return };
-                r.write_outs.push(sent.ok());
+                self.trace_attempt(request, carried.attempt, endpoint, sent);
+                let Some(r) = self.request(request) else { return };
+                r.attempts.push(sent.ok());
                 let brings = r.client.filter(|_| sent.is_ok());
                 if let Err(ending) = sent {
-                    self.choice.outcome(now, req, carried.write_out, ending.outcome(), false);
+                    self.balancer.outcome(now, request, carried.attempt, ending.outcome(), false);
                 }
                 if let Some(client) = brings {
                     self.pass_up(client);
                 }
             }
-            Decision::Nack { req, come_back, reason } => {
-                self.answer(req, 503, come_back, AnsweredHere::GivenUp(reason));
+            Decision::Reject { request, retry_after, reason } => {
+                self.answer(request, 503, retry_after, AnsweredHere::GiveUpReason(reason));
             }
-            Decision::Fail { req, reason } => self.answer(req, 502, None, AnsweredHere::GivenUp(reason)),
-            Decision::Revoke { req, write_out } => {
-                let link = self.req(req).and_then(|r| r.write_outs.get(write_out).copied().flatten());
+            Decision::Fail { request, reason } => {
+                self.answer(request, 502, None, AnsweredHere::GiveUpReason(reason))
+            }
+            Decision::Cancel { request, attempt } => {
+                let link = self.request(request).and_then(|r| r.attempts.get(attempt).copied().flatten());
                 if let Some(key) = link {
                     let ended = self.servers.withdraw(key, &mut self.turn);
                     self.ended(key, ended);
                 }
             }
             Decision::CloseIdle { endpoint } => self.servers.close_idle(endpoint, turn),
-            Decision::ForgetReq { req } => {
-                if let Some(key) = self.reqs.key_at(req) {
-                    self.reqs.remove(key);
+            Decision::ForgetRequest { request } => {
+                if let Some(key) = self.requests.key_at(request) {
+                    self.requests.remove(key);
                 }
             }
             Decision::ForgetEndpoint { endpoint } => {
@@ -350,68 +360,68 @@
             Decision::Subscribe => self.subscribe(),
             Decision::Probe { endpoint } => self.probe(endpoint),
             // The terms say that messages may not be sent: `launch.rs`.
-            Decision::Tell { .. } => {}
+            Decision::TellPeer { .. } => {}
         }
     }
 
     /// Logs that a request has come.
-    fn trace_arrival(&mut self, req: usize, client: Key, left: Span) {
+    fn trace_arrival(&mut self, request: usize, client: Key, left: Span) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
         }
         let id =
             self.clients.message(client).map_or(String::new(), |message| trace::request_id(message.head));
         log::debug!("request {id}: taken, {:.0} ms left", left.secs() * 1e3);
-        self.req(req).into_iter().for_each(|r| r.id.clone_from(&id));
+        self.request(request).into_iter().for_each(|r| r.id.clone_from(&id));
     }
 
     /// Counts an attempt that is a retry, and logs any, with the version of the list that it was decided on.
-    fn trace_attempt(&mut self, req: usize, attempt: usize, endpoint: usize, sent: Result<Key, Ending>) {
-        let Some(last) = self.req(req).map(|r| r.last_outcome) else { return };
+    fn trace_attempt(&mut self, request: usize, attempt: usize, endpoint: usize, sent: Result<Key, Ending>) {
+        let Some(last) = self.request(request).map(|r| r.last_outcome) else { return };
         if let Some(last) = last {
             self.figures.retried(last);
         }
         if log::log_enabled!(log::Level::Debug) {
-            let id = self.req(req).map_or("", |r| &r.id).to_string();
+            let id = self.request(request).map_or("", |r| &r.id).to_string();
             let after = last.map_or(String::new(), |last| format!(", a retry after {}", last.name()));
             let result = sent.err().map_or(String::new(), |ending| format!(", not sent: {ending:?}"));
             let (version, name) = (self.list.version(), self.endpoints.name(endpoint));
             log::debug!("request {id}: attempt {attempt} to {name}, list version {version}{after}{result}");
         }
         if let Err(ending) = sent {
-            self.end_attempt(req, ending);
+            self.end_attempt(request, ending);
         }
     }
 
     /// Counts how an attempt has ended, and logs it.
-    fn trace_end(&mut self, req: usize, attempt: usize, endpoint: usize, ending: Ending, sent: Moment) {
-        self.end_attempt(req, ending);
+    fn trace_end(&mut self, request: usize, attempt: usize, endpoint: usize, ending: Ending, sent: Moment) {
+        self.end_attempt(request, ending);
         if log::log_enabled!(log::Level::Debug) {
-            let id = self.req(req).map_or("", |r| &r.id).to_string();
+            let id = self.request(request).map_or("", |r| &r.id).to_string();
             let took = self.turn.now.since(sent).secs() * 1e3;
             let name = self.endpoints.name(endpoint);
             log::debug!("request {id}: attempt {attempt} at {name} ended after {took:.0} ms: {ending:?}");
         }
     }
 
-    fn end_attempt(&mut self, req: usize, ending: Ending) {
+    fn end_attempt(&mut self, request: usize, ending: Ending) {
         let outcome = ending.outcome();
         self.figures.attempt_ended(outcome);
-        self.req(req).into_iter().for_each(|r| r.last_outcome = Some(outcome));
+        self.request(request).into_iter().for_each(|r| r.last_outcome = Some(outcome));
     }
 
-    /// Whether the fleet's budgets allow one more write-out to this endpoint now.
+    /// Whether the fleet's budgets allow one more attempt to this endpoint now.
     fn within_budgets(&mut self, endpoint: usize, again: bool) -> bool {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.is_limited()) else { return true };
         let (now, (connections, out)) = (self.clock.now(), self.servers.held(endpoint));
         self.servers.most_at_one = fleet.connections_most(now);
         let started = self.servers.started(endpoint);
-        let cold = started.is_some_and(|at| self.choice.terms().warm_part(now.since(at)) < 1.0);
+        let cold = started.is_some_and(|at| self.balancer.terms().warm_part(now.since(at)) < 1.0);
         let idle = self.servers.has_idle(endpoint);
         fleet.may_send(now, &Wish { again, cold, connections, out, idle })
     }
 
-    pub(super) fn write_out(
+    pub(super) fn attempt(
         &mut self,
         client: Option<Key>,
         endpoint: usize,
@@ -423,19 +433,19 @@
     }
 
     pub(super) fn probe(&mut self, endpoint: usize) {
-        let carried = Carried { req: PROBE, write_out: endpoint, give_up: self.turn.now + PROBE_WAIT };
+        let carried = Carried { request: PROBE, attempt: endpoint, give_up: self.turn.now + PROBE_WAIT };
         let message = Message { head: PROBE_HEAD, body: b"", coming: None };
         if self.servers.send(endpoint, carried, message, &mut self.turn).is_err() {
-            self.choice.probed(self.turn.now, endpoint, None);
+            self.balancer.probed(self.turn.now, endpoint, None);
         }
     }
 
-    /// What a probe's answer says of the reqs in hand.
+    /// What a probe's answer says of the requests in hand.
     pub(super) fn probed(&mut self, endpoint: usize, key: Key, answer: Option<Frame>, long: bool) {
         let body = answer.and_then(|frame| self.servers.message(key, frame)).map(|(_, body)| body);
         let report = body.and_then(|body| std::str::from_utf8(body).ok());
-        let load = report.and_then(|report| self.choice.terms().load(report));
-        self.choice.probed(self.turn.now, endpoint, load);
+        let load = report.and_then(|report| self.balancer.terms().load(report));
+        self.balancer.probed(self.turn.now, endpoint, load);
         match answer {
             Some(_) if long => self.servers.close(key, &mut self.turn),
             Some(frame) => self.servers.release(key, frame, &mut self.turn),
@@ -444,15 +454,22 @@
     }
 
     /// An answer of our own, if the client still waits for one.
-    pub(super) fn answer(&mut self, req: usize, status: u16, come_back: Option<Span>, why: AnsweredHere) {
-        let Some((method, client)) = self.req(req).and_then(|r| Some((r.method, r.client.take()?))) else {
+    pub(super) fn answer(
+        &mut self,
+        request: usize,
+        status: u16,
+        retry_after: Option<Span>,
+        why: AnsweredHere,
+    ) {
+        let Some((method, client)) = self.request(request).and_then(|r| Some((r.method, r.client.take()?)))
+        else {
             return;
         };
         self.figures.answered_here(why);
-        let id = self.req(req).map_or("", |r| &r.id);
+        let id = self.request(request).map_or("", |r| &r.id);
         log::debug!("request {id}: answered {status} here, {}", why.name());
-        self.count(method, if status == 503 { End::Nacked } else { End::Failed });
-        let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, come_back, keep);
+        self.count(method, if status == 503 { End::Rejected } else { End::Failed });
+        let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, retry_after, keep);
         self.clients.answer(client, head, b"", &mut self.turn);
         self.take_next(client);
     }
--- a/crates/sidecar/src/trace.rs
+++ b/crates/sidecar/src/trace.rs
@@ -1,6 +1,6 @@
 //! What is logged of single requests, at the level debug, and of endpoints whose state the list changes, at info.
 
-use appledyke::Standing;
+use appledyke::EndpointState;
 
 use crate::net::http;
 
@@ -25,14 +25,14 @@
 pub struct EndpointStates {
     states: Vec<Option<State>>,
     /// Named by the list that is being heard.
-    changed: Vec<(usize, Standing)>,
+    changed: Vec<(usize, EndpointState)>,
     /// Endpoints in the list that is being heard.
     listed: usize,
 }
 
 #[derive(Clone, Copy)]
 struct State {
-    standing: Standing,
+    standing: EndpointState,
     named: bool,
 }
 
@@ -44,7 +44,7 @@
     }
 
     /// The list has this endpoint in this state.
-    pub fn observe(&mut self, endpoint: usize, standing: Standing) {
+    pub fn observe(&mut self, endpoint: usize, standing: EndpointState) {
         self.listed += 1;
         if self.states.len() <= endpoint {
             self.states.resize(endpoint + 1, None);
@@ -58,10 +58,11 @@
     /// The list is over. What a complete one does not name is gone. Returns what it has changed, in words, if anything.
     pub fn close<'a>(&mut self, complete: bool, name: impl Fn(usize) -> &'a str) -> Option<String> {
         for (endpoint, state) in self.states.iter_mut().enumerate().filter(|_| complete) {
-            let left_out = state.as_mut().filter(|state| !state.named && state.standing != Standing::Gone);
+            let left_out =
+                state.as_mut().filter(|state| !state.named && state.standing != EndpointState::Gone);
             if let Some(state) = left_out {
-                state.standing = Standing::Gone;
-                self.changed.push((endpoint, Standing::Gone));
+                state.standing = EndpointState::Gone;
+                self.changed.push((endpoint, EndpointState::Gone));
             }
         }
         let of = |standing| {
@@ -75,7 +76,7 @@
                 (_, more) => format!(", {}: {named} and {more} more", word(standing)),
             }
         };
-        let changes = [Standing::Ready, Standing::Draining, Standing::Gone].map(of).concat();
+        let changes = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone].map(of).concat();
         (!changes.is_empty()).then(|| format!("{} endpoints{changes}", self.listed))
     }
 
@@ -88,10 +89,10 @@
 }
 
 /// The list's own word for a state.
-fn word(standing: Standing) -> &'static str {
+fn word(standing: EndpointState) -> &'static str {
     match standing {
-        Standing::Ready => "up",
-        Standing::Draining => "draining",
-        Standing::Gone => "removed",
+        EndpointState::Ready => "up",
+        EndpointState::Draining => "draining",
+        EndpointState::Gone => "removed",
     }
 }
--- a/crates/sidecar/src/watch.rs
+++ b/crates/sidecar/src/watch.rs
@@ -5,24 +5,24 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::fmt;
 
-use appledyke::choice::Choice;
-use appledyke::news::Told;
+use appledyke::balancer::Balancer;
+use appledyke::news::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::Moment;
-use appledyke::{Ask, Decision, Entry, Outcome};
+use appledyke::{Decision, Entry, Outcome, RequestInfo};
 
 /// Where the watched settings would have decided otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Reqs of which something was really decided.
+    /// Requests of which something was really decided.
     pub decided: u64,
     /// Sent to another endpoint.
     pub elsewhere: u64,
-    /// Nacked or failed, but really sent.
+    /// Rejected or failed, but really sent.
     pub ended: u64,
-    /// Sent, but really nacked or failed.
+    /// Sent, but really rejected or failed.
     pub sent: u64,
-    /// Nacked and not failed, or the reverse.
+    /// Rejected and not failed, or the reverse.
     pub answered: u64,
     /// Not yet decided, where something really was.
     pub later: u64,
@@ -39,24 +39,26 @@
 }
 
 struct Watch {
-    choice: Choice,
+    balancer: Balancer,
     counts: Counts,
-    asks: HashMap<usize, Ask>,
+    asks: HashMap<usize, RequestInfo>,
     /// What it decided, and nothing of the kind was really decided yet.
     decided: VecDeque<Decision>,
-    /// Reqs of which it decided sooner: counted already.
+    /// Requests of which it decided sooner: counted already.
     sooner: HashSet<usize>,
 }
 
 /// The choice that decides, and the one that is watched.
 pub struct Decider {
-    real: Choice,
+    real: Balancer,
     watch: Option<Watch>,
 }
 
-fn of_req(decision: &Decision) -> Option<usize> {
+fn of_request(decision: &Decision) -> Option<usize> {
     match decision {
-        Decision::Send { req, .. } | Decision::Nack { req, .. } | Decision::Fail { req, .. } => Some(*req),
+        Decision::Send { request, .. }
+        | Decision::Reject { request, .. }
+        | Decision::Fail { request, .. } => Some(*request),
         _ => None,
     }
 }
@@ -64,13 +66,13 @@
 impl Decider {
     pub fn new(now: Moment, terms: Terms, watched: Option<Terms>, seed: u64) -> Decider {
         let watch = watched.map(|terms| Watch {
-            choice: Choice::new(now, terms, seed),
+            balancer: Balancer::new(now, terms, seed),
             counts: Counts::default(),
             asks: HashMap::new(),
             decided: VecDeque::new(),
             sooner: HashSet::new(),
         });
-        Decider { real: Choice::new(now, terms, seed), watch }
+        Decider { real: Balancer::new(now, terms, seed), watch }
     }
 
     pub fn counts(&self) -> Option<Counts> {
@@ -81,27 +83,27 @@
         self.real.terms()
     }
 
-    /// Write-outs of another process of this sidecar have ended.
-    pub fn told(&mut self, now: Moment, news: &[Told]) {
-        self.both(|choice| choice.told(now, news.iter().copied(), true));
+    /// Attempts of another process of this sidecar have ended.
+    pub fn told(&mut self, now: Moment, news: &[AttemptReport]) {
+        self.both(|balancer| balancer.apply_reports(now, news.iter().copied(), true));
     }
 
-    /// Write-outs of other members of the fleet have ended.
-    pub fn heard(&mut self, now: Moment, news: &[Told]) {
-        self.both(|choice| choice.told(now, news.iter().copied(), false));
+    /// Attempts of other members of the fleet have ended.
+    pub fn heard(&mut self, now: Moment, news: &[AttemptReport]) {
+        self.both(|balancer| balancer.apply_reports(now, news.iter().copied(), false));
     }
 
-    pub fn gone_in_part(&mut self, now: Moment, req: usize) {
-        self.both(|choice| choice.gone_in_part(now, req));
+    pub fn partly_forwarded(&mut self, now: Moment, request: usize) {
+        self.both(|balancer| balancer.partly_forwarded(now, request));
     }
 
     /// Other terms hold from now on, at these places.
-    pub fn retune(&mut self, terms: Terms, watched: Option<Terms>, places: &[(usize, Option<usize>)]) {
+    pub fn update_terms(&mut self, terms: Terms, watched: Option<Terms>, places: &[(usize, Option<usize>)]) {
         if let Some(watch) = &mut self.watch {
-            let watched = watched.unwrap_or_else(|| watch.choice.terms().clone());
-            watch.choice.retune(watched.aligned(&terms), places);
+            let watched = watched.unwrap_or_else(|| watch.balancer.terms().clone());
+            watch.balancer.update_terms(watched.aligned(&terms), places);
         }
-        self.real.retune(terms, places);
+        self.real.update_terms(terms, places);
     }
 
     /// How many endpoints are listed, and how many of them are avoided.
@@ -109,50 +111,50 @@
         self.real.avoided(now)
     }
 
-    fn both(&mut self, tell: impl Fn(&mut Choice)) {
+    fn both(&mut self, tell: impl Fn(&mut Balancer)) {
         tell(&mut self.real);
-        self.watch.iter_mut().for_each(|watch| tell(&mut watch.choice));
+        self.watch.iter_mut().for_each(|watch| tell(&mut watch.balancer));
     }
 
-    pub fn arrival(&mut self, now: Moment, req: usize, ask: Ask) {
+    pub fn arrival(&mut self, now: Moment, request: usize, ask: RequestInfo) {
         if let Some(watch) = &mut self.watch {
-            watch.asks.insert(req, ask);
-            watch.sooner.remove(&req);
+            watch.asks.insert(request, ask);
+            watch.sooner.remove(&request);
         }
-        self.both(|choice| choice.arrival(now, req, ask));
+        self.both(|balancer| balancer.arrival(now, request, ask));
     }
 
-    pub fn outcome(&mut self, now: Moment, req: usize, write_out: usize, outcome: Outcome, closed: bool) {
-        self.both(|choice| choice.outcome(now, req, write_out, outcome, closed));
+    pub fn outcome(&mut self, now: Moment, request: usize, attempt: usize, outcome: Outcome, closed: bool) {
+        self.both(|balancer| balancer.outcome(now, request, attempt, outcome, closed));
     }
 
     /// A probe has ended: only the choice that decides has sent it.
     pub fn probed(&mut self, now: Moment, endpoint: usize, load: Option<f64>) {
-        self.real.probed(now, endpoint, load);
+        self.real.probe_result(now, endpoint, load);
     }
 
-    pub fn hangup(&mut self, req: usize) {
-        self.both(|choice| choice.hangup(req));
+    pub fn client_disconnected(&mut self, request: usize) {
+        self.both(|balancer| balancer.client_disconnected(request));
     }
 
     pub fn wake(&mut self, now: Moment) {
-        self.both(|choice| choice.wake(now));
+        self.both(|balancer| balancer.wake(now));
     }
 
-    pub fn list_opens(&mut self, complete: bool) {
-        self.both(|choice| choice.list_opens(complete));
+    pub fn list_begin(&mut self, complete: bool) {
+        self.both(|balancer| balancer.list_begin(complete));
     }
 
     pub fn listed(&mut self, now: Moment, endpoint: usize, entry: Entry) {
-        self.both(|choice| choice.listed(now, endpoint, entry));
+        self.both(|balancer| balancer.list_entry(now, endpoint, entry));
     }
 
-    pub fn list_closes(&mut self, now: Moment) {
-        self.both(|choice| choice.list_closes(now));
+    pub fn list_end(&mut self, now: Moment) {
+        self.both(|balancer| balancer.list_end(now));
     }
 
     pub fn list_failed(&mut self, now: Moment) {
-        self.both(|choice| choice.list_failed(now));
+        self.both(|balancer| balancer.list_failed(now));
     }
 
     pub fn next_decision(&mut self, now: Moment) -> Option<Decision> {
@@ -167,9 +169,9 @@
 impl Watch {
     /// Its next decision; a probe that it would send brings nothing.
     fn pull(&mut self, now: Moment) -> Option<Decision> {
-        let decision = self.choice.next_decision(now);
+        let decision = self.balancer.next_decision(now);
         if let Some(Decision::Probe { endpoint }) = decision {
-            self.choice.probed(now, endpoint, None);
+            self.balancer.probe_result(now, endpoint, None);
         }
         decision
     }
@@ -185,45 +187,46 @@
             return;
         };
         // Danger: where both decide alike they must hear alike, so one is pulled for one.
-        self.counts.decided += u64::from(of_req(really).is_some());
+        self.counts.decided += u64::from(of_request(really).is_some());
         let first = self.pull(now);
         if self.decided.is_empty() && first.as_ref() == Some(really) {
             return;
         }
         self.decided.extend(first);
-        let Some(req) = of_req(really) else { return };
-        let same = |decided: &VecDeque<Decision>| decided.iter().position(|own| of_req(own) == Some(req));
+        let Some(request) = of_request(really) else { return };
+        let same =
+            |decided: &VecDeque<Decision>| decided.iter().position(|own| of_request(own) == Some(request));
         while same(&self.decided).is_none()
             && let Some(decision) = self.pull(now)
         {
             self.decided.push_back(decision);
         }
         let own = same(&self.decided).and_then(|at| self.decided.remove(at));
-        self.reconcile(now, req, really, own);
+        self.reconcile(now, request, really, own);
     }
 
-    /// It decided of a req of which nothing was really decided.
+    /// It decided of a request of which nothing was really decided.
     fn too_soon(&mut self, now: Moment, decision: &Decision) {
-        let Some(req) = of_req(decision) else { return };
-        self.counts.sooner += u64::from(self.sooner.insert(req));
+        let Some(request) = of_request(decision) else { return };
+        self.counts.sooner += u64::from(self.sooner.insert(request));
         if matches!(decision, Decision::Send { .. }) {
-            self.choice.in_truth(now, req, None);
+            self.balancer.set_actual_attempt(now, request, None);
         }
     }
 
     /// Counts the difference, and brings the choice to what was really done.
-    fn reconcile(&mut self, now: Moment, req: usize, really: &Decision, own: Option<Decision>) {
+    fn reconcile(&mut self, now: Moment, request: usize, really: &Decision, own: Option<Decision>) {
         let counts = &mut self.counts;
         let count = match (really, &own) {
-            _ if self.sooner.remove(&req) => None,
+            _ if self.sooner.remove(&request) => None,
             (_, None) => Some(&mut counts.later),
             (Decision::Send { endpoint, .. }, Some(Decision::Send { endpoint: own, .. })) => {
                 (endpoint != own).then_some(&mut counts.elsewhere)
             }
             (Decision::Send { .. }, _) => Some(&mut counts.ended),
             (_, Some(Decision::Send { .. })) => Some(&mut counts.sent),
-            (Decision::Nack { .. }, Some(Decision::Fail { .. })) => Some(&mut counts.answered),
-            (Decision::Fail { .. }, Some(Decision::Nack { .. })) => Some(&mut counts.answered),
+            (Decision::Reject { .. }, Some(Decision::Fail { .. })) => Some(&mut counts.answered),
+            (Decision::Fail { .. }, Some(Decision::Reject { .. })) => Some(&mut counts.answered),
             _ => None,
         };
         count.into_iter().for_each(|count| *count += 1);
@@ -231,17 +234,17 @@
         match really {
             Decision::Send { endpoint, .. } => {
                 if !sent && own.is_some() {
-                    // It has ended the req, which is really open.
-                    let Some(ask) = self.asks.get(&req).copied() else { return };
-                    self.choice.arrival(now, req, ask);
+                    // It has ended the request, which is really open.
+                    let Some(ask) = self.asks.get(&request).copied() else { return };
+                    self.balancer.arrival(now, request, ask);
                 }
-                self.choice.in_truth(now, req, Some(*endpoint));
+                self.balancer.set_actual_attempt(now, request, Some(*endpoint));
             }
             _ => {
                 if sent {
-                    self.choice.in_truth(now, req, None);
+                    self.balancer.set_actual_attempt(now, request, None);
                 }
-                self.choice.hangup(req);
+                self.balancer.client_disconnected(request);
             }
         }
     }
@@ -249,33 +252,37 @@
 
 #[cfg(test)]
 mod tests {
-    use appledyke::Standing;
+    use appledyke::EndpointState;
     use appledyke::units::Span;
 
     use super::*;
     use crate::launch::plain_terms;
 
-    /// Some reqs over two endpoints, every fourth write-out refused for being full; what the watch counts.
+    /// Some requests over two endpoints, every fourth attempt refused for being full; what the watch counts.
     fn play(watched: &[(&str, &str)]) -> Counts {
         let at = |ms: u64| Moment::from_nanos(ms * 1_000_000);
         let mut both = Decider::new(at(0), plain_terms("read", &[]), Some(plain_terms("read", watched)), 7);
-        both.list_opens(true);
+        both.list_begin(true);
         for endpoint in 0..2 {
-            let entry = Entry { standing: Standing::Ready, mark: endpoint as u32, ..Entry::default() };
+            let entry = Entry { state: EndpointState::Ready, name_hash: endpoint as u32, ..Entry::default() };
             both.listed(at(0), endpoint, entry);
         }
-        both.list_closes(at(0));
+        both.list_end(at(0));
         let mut sends = 0;
-        for req in 0..100 {
-            let now = at(10 * (req as u64 + 1));
-            both.arrival(now, req, Ask { left: Span::from_millis(3000), ..Ask::default() });
-            let mut write_outs = 0;
+        for request in 0..100 {
+            let now = at(10 * (request as u64 + 1));
+            both.arrival(
+                now,
+                request,
+                RequestInfo { left: Span::from_millis(3000), ..RequestInfo::default() },
+            );
+            let mut attempts = 0;
             while let Some(decision) = both.next_decision(now) {
-                if let Decision::Send { req, .. } = decision {
+                if let Decision::Send { request, .. } = decision {
                     sends += 1;
-                    let outcome = if sends % 4 == 0 { Outcome::Saturated } else { Outcome::Satisfied };
-                    both.outcome(now, req, write_outs, outcome, outcome == Outcome::Satisfied);
-                    write_outs += 1;
+                    let outcome = if sends % 4 == 0 { Outcome::Overloaded } else { Outcome::Success };
+                    both.outcome(now, request, attempts, outcome, outcome == Outcome::Success);
+                    attempts += 1;
                 }
             }
         }
@@ -291,7 +298,7 @@
     }
 
     #[test]
-    fn one_write_out_a_req_would_have_ended_what_was_really_sent_again() {
+    fn one_attempt_a_request_would_have_ended_what_was_really_sent_again() {
         let counts = play(&[("ceilings.mostWriteOuts", "1")]);
         assert!(counts.ended > 20, "{counts}");
         assert_eq!(counts.sent, 0, "{counts}");
--- a/crates/sidecar/tests/crossings/clients.rs
+++ b/crates/sidecar/tests/crossings/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, and what can cross with that: a req whose client has left is not sent on.
+//! Clients that leave, and what can cross with that: a request whose client has left is not sent on.
 
 use std::fs::{File, OpenOptions};
 use std::io::{ErrorKind, Read, Write};
@@ -127,22 +127,22 @@
     matches!(listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// An endpoint that tells of each req and breaks its connection once it may.
+/// An endpoint that tells of each request and breaks its connection once it may.
 fn breaking() -> (SocketAddr, Receiver<String>, Sender<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let (tell, reqs) = channel();
+    let (tell, requests) = channel();
     let (may, go) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let req = message(&mut std::io::BufReader::new(&stream));
-            if tell.send(req).is_err() || go.recv().is_err() {
+            let request = message(&mut std::io::BufReader::new(&stream));
+            if tell.send(request).is_err() || go.recv().is_err() {
                 return;
             }
             drop(stream);
         }
     });
-    (at, reqs, may)
+    (at, requests, may)
 }
 
 /// What a test waits to let break: the endpoint's end of an attempt.
@@ -159,15 +159,15 @@
     }
 }
 
-/// A sidecar that has sent a req to an endpoint, which may break, beside one that serves.
+/// A sidecar that has sent a request to an endpoint, which may break, beside one that serves.
 fn sent(cancel: bool) -> (Sidecar, Client, Attempt, Endpoint) {
-    let (bad, reqs, may) = breaking();
+    let (bad, requests, may) = breaking();
     let good = Endpoint::start(|_| ok("menu"));
     let service = Service::start();
     let text = patient(service.at, &[entry("bad", bad, 0, "up")], 300_000);
     let sidecar = Sidecar::start(&text.replace("\"cancel\":true", &format!("\"cancel\":{cancel}")));
     let waits = views(&sidecar, "1");
-    reqs.recv_timeout(Duration::from_secs(10)).expect("it is sent");
+    requests.recv_timeout(Duration::from_secs(10)).expect("it is sent");
     // Only now is there another that it could be sent to.
     service.tell(&list_of(2, false, &[entry("good", good.at, 1, "up")]));
     until("both are listed", || sidecar.figure("sidecar_members") == 2);
@@ -181,10 +181,10 @@
     until("it has left", || connections(Some(sidecar.at.port()), from, "01") == 0);
 }
 
-/// Danger: sent on after its client has left, a req takes a place and has its effect for nobody; also where the settings
+/// Danger: sent on after its client has left, a request takes a place and has its effect for nobody; also where the settings
 /// allow no cancelling, and however it leaves: who ends its sending has gone.
 #[test]
-fn a_req_whose_client_leaves_as_its_write_out_breaks_is_not_sent_on() {
+fn a_request_whose_client_leaves_as_its_attempt_breaks_is_not_sent_on() {
     for cancel in [true, false] {
         for way in [drop, Client::reset, Client::end_sending] {
             let (sidecar, waits, attempt, good) = sent(cancel);
@@ -193,13 +193,13 @@
                 attempt.breaks();
             });
             sidecar.until_open(0);
-            assert_eq!(good.reqs.try_iter().count(), 0);
+            assert_eq!(good.requests.try_iter().count(), 0);
         }
         // One that stays is sent on.
         let (sidecar, mut waits, attempt, good) = sent(cancel);
         sidecar.in_one_turn(|| attempt.breaks());
         assert_eq!(waits.status(), "200");
-        assert_eq!(good.reqs.try_iter().count(), 1);
+        assert_eq!(good.requests.try_iter().count(), 1);
     }
 }
 
@@ -213,7 +213,7 @@
         attempt.breaks();
         // Answered in the turn in which the break is heard, and in one after that.
         (0..2).for_each(|_| sidecar.until_open(0));
-        assert_eq!(good.reqs.try_iter().count(), 0);
+        assert_eq!(good.requests.try_iter().count(), 0);
     }
 }
 
@@ -227,7 +227,7 @@
     leave(&sidecar, waits, drop);
     attempt.breaks();
     sidecar.until_open(0);
-    assert_eq!(good.reqs.try_iter().count(), 0);
+    assert_eq!(good.requests.try_iter().count(), 0);
 }
 
 /// The same with a reset in place of an end.
@@ -239,12 +239,12 @@
     leave(&sidecar, waits, Client::reset);
     attempt.breaks();
     sidecar.until_open(0);
-    assert_eq!(good.reqs.try_iter().count(), 0);
+    assert_eq!(good.requests.try_iter().count(), 0);
 }
 
 /// Danger: held until there is a place, it was sent to the first that came, whoever still waited.
 #[test]
-fn a_req_whose_client_leaves_while_it_is_held_is_not_sent() {
+fn a_request_whose_client_leaves_while_it_is_held_is_not_sent() {
     let good = Endpoint::start(|_| ok("menu"));
     let service = Service::start();
     let sidecar = Sidecar::start(&patient(service.at, &[], 300_000));
@@ -257,14 +257,14 @@
     });
     assert_eq!(stays.status(), "200");
     sidecar.until_open(0);
-    let sent: Vec<_> = good.reqs.try_iter().collect();
+    let sent: Vec<_> = good.requests.try_iter().collect();
     assert!(sent.len() == 1 && sent[0].starts_with("GET /view/stays"), "{sent:?}");
 }
 
-/// Danger: a connect that comes up late carried a req to its endpoint long after its client had left. It has never been
+/// Danger: a connect that comes up late carried a request to its endpoint long after its client had left. It has never been
 /// sent, so there is nothing to cancel there, and it is held back also where the settings allow no cancelling.
 #[test]
-fn a_req_whose_client_leaves_while_its_connect_is_under_way_is_not_sent() {
+fn a_request_whose_client_leaves_while_its_connect_is_under_way_is_not_sent() {
     for cancel in ["true", "false"] {
         let (listener, fillers) = full();
         let at = listener.local_addr().unwrap();
@@ -333,15 +333,15 @@
     assert_eq!(text, "");
 }
 
-/// Danger: a further attempt that waits for its connect is as much to be held back as a first one.
+/// Danger: a retry that waits for its connect is as much to be held back as a first one.
 #[test]
 fn a_request_whose_client_leaves_while_its_further_attempt_connects_is_not_sent() {
-    let (bad, reqs, may) = breaking();
+    let (bad, requests, may) = breaking();
     let ((listener, fillers), service) = (full(), Service::start());
     let at = listener.local_addr().unwrap();
     let sidecar = Sidecar::start(&patient(service.at, &[entry("bad", bad, 0, "up")], 300_000));
     let client = views(&sidecar, "leaves");
-    reqs.recv_timeout(Duration::from_secs(10)).expect("it is sent");
+    requests.recv_timeout(Duration::from_secs(10)).expect("it is sent");
     service.tell(&list_of(2, false, &[entry("late", at, 1, "up")]));
     until("both are listed", || sidecar.figure("sidecar_members") == 2);
     let before = connecting(at.port());
@@ -375,7 +375,7 @@
     let mut other = views(&sidecar, "other");
     go.send(()).unwrap();
     assert_eq!(other.status(), "200");
-    let sent: Vec<_> = endpoint.reqs.try_iter().filter(|text| text != "end").collect();
+    let sent: Vec<_> = endpoint.requests.try_iter().filter(|text| text != "end").collect();
     assert!(sent.len() == 1 && sent[0].starts_with("GET /view/other"), "{sent:?}");
 }
 
@@ -413,11 +413,11 @@
 /// Danger: of more events than one poll brings, the client's end may be among the rest, and is decided on without.
 #[test]
 fn a_client_that_leaves_behind_more_events_than_a_poll_once_brought_has_left() {
-    let (bad, reqs, may) = breaking();
+    let (bad, requests, may) = breaking();
     let (good, service) = (still(), Service::start());
     let sidecar = Sidecar::start(&patient(service.at, &[entry("bad", bad, 0, "up")], 300_000));
     let waits = views(&sidecar, "leaves");
-    reqs.recv_timeout(Duration::from_secs(10)).expect("it is sent");
+    requests.recv_timeout(Duration::from_secs(10)).expect("it is sent");
     service.tell(&list_of(2, false, &[entry("good", good.local_addr().unwrap(), 1, "up")]));
     until("both are listed", || sidecar.figure("sidecar_members") == 2);
     let mut crowd: Vec<_> = (0..CROWD).map(|_| Client::connect(&sidecar)).collect();
@@ -479,7 +479,7 @@
             continue;
         }
         sidecar.until_open(0);
-        assert_eq!(good.reqs.try_iter().count(), 0);
+        assert_eq!(good.requests.try_iter().count(), 0);
     }
     // One of which all has come here is known to be there.
     let (sidecar, mut waits, attempt, good) = sent(true);
@@ -578,7 +578,7 @@
     });
     stay.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
     (0..2).for_each(|_| new.until_open(0));
-    let sent: Vec<_> = endpoint.reqs.try_iter().filter(|text| text != "end").collect();
+    let sent: Vec<_> = endpoint.requests.try_iter().filter(|text| text != "end").collect();
     assert!(
         sent.len() == stay.len() && sent.iter().all(|text| text.starts_with("GET /view/stays")),
         "{sent:?}"
--- a/crates/sidecar/tests/crossings/descriptors.rs
+++ b/crates/sidecar/tests/crossings/descriptors.rs
@@ -17,7 +17,7 @@
 };
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-/// Longer than a connection is safe from making room before its req is whole.
+/// Longer than a connection is safe from making room before its request is whole.
 const SAFE_FOR: Duration = Duration::from_millis(1050);
 /// Idle clients that are made ready for most tests.
 const CROWD: usize = 8;
@@ -39,7 +39,7 @@
 enum Idle {
     /// Nothing was ever sent.
     Silent,
-    /// Between two reqs.
+    /// Between two requests.
     Rests,
     /// Half of a head was sent.
     HalfHead,
@@ -88,7 +88,7 @@
     each.count()
 }
 
-/// Whether this tells that a req never ran, when to come again, and that its connection ends.
+/// Whether this tells that a request never ran, when to come again, and that its connection ends.
 fn comes_again(answer: &str) -> bool {
     let says = |line| answer.contains(line);
     answer.starts_with("HTTP/1.1 503 ") && says("Retry-After: ") && says("Connection: close")
@@ -180,7 +180,7 @@
     let sidecar = Sidecar::start_within(&text, 24);
     let crowd: Vec<_> = (0..20).map(|_| Client::connect(&sidecar)).collect();
     drop(resting(&sidecar));
-    // A new client is safe, also from a req that wants a connection: until the crowd may go it may be told to come again.
+    // A new client is safe, also from a request that wants a connection: until the crowd may go it may be told to come again.
     // Danger: one that has been answered is not, and on a busy machine it had gone for another before it asked again.
     until("it is served", || {
         let came = Instant::now();
@@ -342,9 +342,9 @@
     });
 }
 
-/// Danger: a req whose connection to an endpoint could not be opened was turned away while others rested.
+/// Danger: a request whose connection to an endpoint could not be opened was turned away while others rested.
 #[test]
-fn a_req_is_sent_when_no_descriptor_is_free() {
+fn a_request_is_sent_when_no_descriptor_is_free() {
     each(|idle, free| {
         let endpoint = Endpoint::start(|_| ok("menu"));
         let (sidecar, _watch) = watching(&[endpoint.at]);
@@ -359,15 +359,15 @@
     });
 }
 
-/// What holds back the answers to reqs that say so.
+/// What holds back the answers to requests that say so.
 #[derive(Clone, Default)]
 struct Hold(Arc<(Mutex<bool>, Condvar)>);
 
 impl Hold {
     fn endpoint(&self, body: &'static str) -> Endpoint {
         let hold = self.clone();
-        Endpoint::start(move |req| {
-            if req.contains("X-Txn: held") {
+        Endpoint::start(move |request| {
+            if request.contains("X-Txn: held") {
                 drop(hold.0.1.wait_while(hold.0.0.lock().unwrap(), |may| !*may).unwrap());
             }
             ok(body)
@@ -380,7 +380,7 @@
     }
 }
 
-/// A sidecar whose watch is open, and what keeps it open. Reqs stay out for as long as a test may take.
+/// A sidecar whose watch is open, and what keeps it open. Requests stay out for as long as a test may take.
 fn watching(endpoints: &[SocketAddr]) -> (Sidecar, TcpStream) {
     let (text, up, calls) = settings(endpoints);
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":200000000000");
@@ -399,19 +399,19 @@
     (sidecar, watch)
 }
 
-/// Clients in the middle of reqs, until no descriptor lies free below others.
+/// Clients in the middle of requests, until no descriptor lies free below others.
 fn held(sidecar: &Sidecar, endpoints: &[&Endpoint]) -> Vec<Client> {
     let mut held = Vec::new();
     while held.is_empty() || sidecar.descriptors().1 > 0 {
         let mut client = Client::connect(sidecar);
         client.send(format!("GET /view/1 HTTP/1.1\r\nX-Txn: held{}\r\n\r\n", held.len()));
-        until("it is sent", || endpoints.iter().any(|endpoint| endpoint.reqs.try_recv().is_ok()));
+        until("it is sent", || endpoints.iter().any(|endpoint| endpoint.requests.try_recv().is_ok()));
         held.push(client);
     }
     held
 }
 
-/// Danger: with all clients in the middle of reqs an idle connection to one endpoint kept the descriptor that another's
+/// Danger: with all clients in the middle of requests an idle connection to one endpoint kept the descriptor that another's
 /// was to have.
 #[test]
 fn an_idle_connection_to_an_endpoint_goes_for_one_to_another() {
@@ -518,7 +518,7 @@
     hold.release();
     assert_eq!(waits.status(), "200");
     busy.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
-    let attempts = std::iter::from_fn(|| endpoint.reqs.try_recv().ok());
+    let attempts = std::iter::from_fn(|| endpoint.requests.try_recv().ok());
     let late = attempts.filter(|attempt| attempt.contains("X-Txn: late")).last().expect("its attempt");
     let told = late.lines().find_map(|line| line.strip_prefix("X-Remaining-Ms: ")).expect("a time");
     assert!(told.trim().parse::<u128>().unwrap() + waited <= 2900 + 50, "{told} after {waited}");
--- a/crates/sidecar/tests/crossings/edges.rs
+++ b/crates/sidecar/tests/crossings/edges.rs
@@ -124,7 +124,7 @@
         let (mut client, mut stream) = loop {
             let mut client = Client::connect(&sidecar);
             client.send(format!("GET /view/1 HTTP/1.1\r\nX-Txn: {}\r\n\r\n", client.port()));
-            let taken = std::iter::repeat_with(|| (requests.try_recv(), good.reqs.try_recv()));
+            let taken = std::iter::repeat_with(|| (requests.try_recv(), good.requests.try_recv()));
             let mut taken = taken.filter(|(bad, good)| bad.is_ok() || good.is_ok());
             if let Some((Ok((_, stream)), _)) = taken.next() {
                 break (client, stream);
--- a/crates/sidecar/tests/crossings/leaving.rs
+++ b/crates/sidecar/tests/crossings/leaving.rs
@@ -11,9 +11,9 @@
     Sidecar::start(&text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":600000000"))
 }
 
-/// Danger: a process that ends with half a req in hand ends it with no answer, whole or not by then.
+/// Danger: a process that ends with half a request in hand ends it with no answer, whole or not by then.
 #[test]
-fn half_a_req_is_told_to_come_again_before_the_end() {
+fn half_a_request_is_told_to_come_again_before_the_end() {
     let endpoint = Endpoint::start(|_| ok("menu"));
     let mut sidecar = short(&endpoint);
     let mut client = Client::connect(&sidecar);
@@ -24,13 +24,13 @@
     assert!(client.closed() && sidecar.end().success());
 }
 
-/// New settings, the word to leave, twice, the rest of a req and an answer, all in one turn.
+/// New settings, the word to leave, twice, the rest of a request and an answer, all in one turn.
 #[test]
 fn what_comes_in_the_turn_of_the_word_to_leave_is_answered() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Arc::new(std::sync::Mutex::new(wait));
-    let endpoint = Endpoint::start(move |req| {
-        if req.contains("Txn: held") {
+    let endpoint = Endpoint::start(move |request| {
+        if request.contains("Txn: held") {
             wait.lock().unwrap().recv().unwrap();
         }
         ok("menu")
--- a/crates/sidecar/tests/crossings/retries.rs
+++ b/crates/sidecar/tests/crossings/retries.rs
@@ -1,4 +1,4 @@
-//! Write-outs that end, and what can cross with that: what may have run and is unsafe to repeat goes out once.
+//! Attempts that end, and what can cross with that: what may have run and is unsafe to repeat goes out once.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -20,9 +20,9 @@
     client.send(format!("POST /view/1 HTTP/1.1\r\nX-Txn: {id}\r\nContent-Length: 2\r\n\r\nso"));
 }
 
-/// Danger: an unsafe req that is sent again after it may have run has its effect twice.
+/// Danger: an unsafe request that is sent again after it may have run has its effect twice.
 #[test]
-fn what_is_unsafe_to_repeat_goes_out_once_however_its_write_out_ends() {
+fn what_is_unsafe_to_repeat_goes_out_once_however_its_attempt_ends() {
     for how in [
         "",
         "HTTP/1.1 100 Continue\r\nX: close\r\n\r\n",
@@ -37,8 +37,11 @@
         let mut client = Client::connect(&sidecar);
         post(&mut client, "once");
         assert_eq!(client.status(), "502", "{how}");
-        let sent =
-            both.iter().flat_map(|endpoint| endpoint.reqs.try_iter()).filter(|req| req != "end").count();
+        let sent = both
+            .iter()
+            .flat_map(|endpoint| endpoint.requests.try_iter())
+            .filter(|request| request != "end")
+            .count();
         assert_eq!(sent, 1, "{how}");
     }
     // Turned away, it never ran, and goes on.
@@ -52,16 +55,16 @@
     }
 }
 
-/// An endpoint that answers its first req, then ends the connection when told to, and serves all that come after.
+/// An endpoint that answers its first request, then ends the connection when told to, and serves all that come after.
 fn ends_when_told() -> (std::net::SocketAddr, Sender<()>, std::sync::mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let ((tell, reqs), (go, may)) = (channel(), channel());
+    let ((tell, requests), (go, may)) = (channel(), channel());
     std::thread::spawn(move || {
         let serve = |stream: &mut TcpStream| {
-            let req = message(&mut std::io::BufReader::new(&*stream));
-            let there = !req.is_empty();
-            let _ = tell.send(req);
+            let request = message(&mut std::io::BufReader::new(&*stream));
+            let there = !request.is_empty();
+            let _ = tell.send(request);
             there && stream.write_all(ok("menu").unwrap().as_bytes()).is_ok()
         };
         let (mut first, _) = listener.accept().unwrap();
@@ -72,13 +75,13 @@
             while serve(&mut stream) {}
         }
     });
-    (at, go, reqs)
+    (at, go, requests)
 }
 
-/// Danger: written to a connection that its endpoint has ended, a req may have run for all that can be told.
+/// Danger: written to a connection that its endpoint has ended, a request may have run for all that can be told.
 #[test]
-fn an_idle_connection_that_ends_in_the_turn_of_a_req_is_not_used() {
-    let (at, go, reqs) = ends_when_told();
+fn an_idle_connection_that_ends_in_the_turn_of_a_request_is_not_used() {
+    let (at, go, requests) = ends_when_told();
     let sidecar = unsafe_before(&[("e0", at)]);
     let mut client = Client::connect(&sidecar);
     post(&mut client, "first");
@@ -90,7 +93,7 @@
         until("the idle one has ended", || connections(None, at.port(), "01") == 0);
     });
     assert_eq!(client.status(), "200");
-    assert_eq!(reqs.try_iter().filter(|req| !req.is_empty()).count(), 2);
+    assert_eq!(requests.try_iter().filter(|request| !request.is_empty()).count(), 2);
 }
 
 /// The deadline, the endpoint's answer and more from the client, all in one turn: one whole answer, and the next is its
@@ -100,8 +103,8 @@
     let (go, wait) = channel::<()>();
     let wait = std::sync::Arc::new(std::sync::Mutex::new(wait));
     let (wrote, written) = channel::<()>();
-    let endpoint = Endpoint::start(move |req| {
-        if req.contains("Txn: late") {
+    let endpoint = Endpoint::start(move |request| {
+        if request.contains("Txn: late") {
             wait.lock().unwrap().recv().unwrap();
             let _ = wrote.send(());
             return ok("late");
--- a/crates/sidecar/tests/daily/long.rs
+++ b/crates/sidecar/tests/daily/long.rs
@@ -154,7 +154,7 @@
     }
 }
 
-/// An endpoint that reads each req whole, and tells its head and how much body came behind it; whether that had its end.
+/// An endpoint that reads each request whole, and tells its head and how much body came behind it; whether that had its end.
 fn reader() -> (SocketAddr, Receiver<(String, Vec<u8>, bool)>) {
     let (tell, told) = channel();
     let at = raw(move |mut stream| {
@@ -197,7 +197,7 @@
 const ORDER: &str = "POST /order/1 HTTP/1.1\r\nX-Txn: 7a02\r\nIdempotency-Key: 5\r\n";
 
 #[test]
-fn long_reqs_pass_whole_in_both_framings_and_the_connection_goes_on() {
+fn long_requests_pass_whole_in_both_framings_and_the_connection_goes_on() {
     let (at, told) = reader();
     let sidecar = Sidecar::before(&[at]);
     let mut client = connect(&sidecar);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_long_req_is_sent_elsewhere_before_its_first_piece_and_not_after() {
+fn a_long_request_is_sent_elsewhere_before_its_first_piece_and_not_after() {
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (good, told) = reader();
     let sidecar = Sidecar::before(&[nobody, good]);
@@ -290,7 +290,7 @@
 const TRIES: usize = 10;
 
 #[test]
-fn a_client_that_leaves_halfway_or_falls_silent_never_has_its_req_run() {
+fn a_client_that_leaves_halfway_or_falls_silent_never_has_its_request_run() {
     let (at, told) = reader();
     let sidecar = patient(at);
     let begin = |framing: &str| {
--- a/crates/sidecar/tests/daily/operator.rs
+++ b/crates/sidecar/tests/daily/operator.rs
@@ -41,9 +41,9 @@
 
 #[test]
 fn the_figures_hold_against_what_clients_and_endpoints_counted() {
-    // Every third req fails, every fifth is turned away once, and an order's answer may break off.
-    let endpoint = Endpoint::start(|req| {
-        let number = req.split("X-Txn: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap();
+    // Every third request fails, every fifth is turned away once, and an order's answer may break off.
+    let endpoint = Endpoint::start(|request| {
+        let number = request.split("X-Txn: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap();
         match u32::from_str_radix(number, 16).unwrap() % 15 {
             0 | 5 | 10 => {
                 Some("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".to_string())
@@ -71,7 +71,7 @@
         };
         counted[number % 2][end] += 1;
     }
-    // What no method is asked for, and health checks, are no reqs.
+    // What no method is asked for, and health checks, are no requests.
     for text in ["GET /healthz HTTP/1.1\r\n\r\n", "GET /no HTTP/1.1\r\nX-Txn: 1\r\n\r\n"] {
         let mut client = Client::connect(&sidecar);
         client.send(text);
@@ -84,13 +84,13 @@
         }
     }
     assert!(counted.iter().all(|ends| ends.iter().all(|count| *count > 0)), "{counted:?}");
-    let reqs = endpoint.reqs.try_iter().filter(|req| req != "end").count() as u64;
-    assert_eq!(sidecar.figure("sidecar_upstream_requests"), reqs);
+    let requests = endpoint.requests.try_iter().filter(|request| request != "end").count() as u64;
+    assert_eq!(sidecar.figure("sidecar_upstream_requests"), requests);
     assert_eq!(sidecar.figure("sidecar_pending"), 0);
 }
 
 #[test]
-fn a_req_is_pending_until_its_answer_and_a_failing_endpoint_is_avoided() {
+fn a_request_is_pending_until_its_answer_and_a_failing_endpoint_is_avoided() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Arc::new(std::sync::Mutex::new(wait));
     let slow = Endpoint::start(move |_| {
--- a/crates/sidecar/tests/daily/settings.rs
+++ b/crates/sidecar/tests/daily/settings.rs
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn methods_come_go_and_change_while_open_reqs_keep_theirs() {
-    // A req is answered once it is let go; the first write-out of each then breaks where it is to.
+fn methods_come_go_and_change_while_open_requests_keep_theirs() {
+    // A request is answered once it is let go; the first attempt of each then breaks where it is to.
     let (go, wait) = std::sync::mpsc::channel::<bool>();
     let wait = std::sync::Arc::new(std::sync::Mutex::new(wait));
-    let endpoint = Endpoint::start(move |req| match req.contains("Txn: open") {
+    let endpoint = Endpoint::start(move |request| match request.contains("Txn: open") {
         true if wait.lock().unwrap().recv().unwrap() => None,
         _ => ok("menu"),
     });
@@ -72,12 +72,12 @@
         (asks(&sidecar, "GET", "soups"), asks(&sidecar, "POST", "soups")),
         ("405".into(), "200".into())
     );
-    // Its write-out breaks: it came as one that may be sent again, when three were allowed.
+    // Its attempt breaks: it came as one that may be sent again, when three were allowed.
     go.send(true).unwrap();
     go.send(false).unwrap();
     assert_eq!(open.status(), "200");
     assert_eq!(sidecar.figure("sidecar_completed{lane=\"soups\"}"), 3);
-    // The same under the new rules may have run, and one write-out is all there is.
+    // The same under the new rules may have run, and one attempt is all there is.
     open.send("POST /soups/1 HTTP/1.1\r\nX-Txn: open\r\nContent-Length: 0\r\n\r\n");
     go.send(true).unwrap();
     assert_eq!(open.status(), "502");
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_hundred_reloads_under_load_grow_nothing_and_lose_no_req() {
+fn a_hundred_reloads_under_load_grow_nothing_and_lose_no_request() {
     let endpoint = Endpoint::start(|_| ok("menu"));
     let (sidecar, text) = started(&endpoint);
     let mut client = Client::connect(&sidecar);
--- a/crates/sidecar/tests/daily/upgrade.rs
+++ b/crates/sidecar/tests/daily/upgrade.rs
@@ -42,9 +42,9 @@
 }
 
 #[test]
-fn through_two_upgrades_no_req_is_lost_turned_back_or_sent_twice() {
-    let endpoint = Endpoint::start(|req| {
-        std::thread::sleep(Duration::from_millis(if req.contains("Txn: open") { 900 } else { 2 }));
+fn through_two_upgrades_no_request_is_lost_turned_back_or_sent_twice() {
+    let endpoint = Endpoint::start(|request| {
+        std::thread::sleep(Duration::from_millis(if request.contains("Txn: open") { 900 } else { 2 }));
         ok("menu")
     });
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
@@ -95,11 +95,12 @@
     }
     assert!(closed >= 1, "the connection of before ends with an answer");
     assert!(turned_back <= 2, "{turned_back} turned back unheard");
-    let mut reqs: Vec<_> = endpoint.reqs.try_iter().filter(|req| req != "end").collect();
-    let all = reqs.len();
-    reqs.sort();
-    reqs.dedup_by_key(|req| req.split("X-Txn: ").nth(1).unwrap().lines().next().unwrap().to_string());
-    assert_eq!((all, reqs.len()), (sent, sent));
+    let mut requests: Vec<_> = endpoint.requests.try_iter().filter(|request| request != "end").collect();
+    let all = requests.len();
+    requests.sort();
+    requests
+        .dedup_by_key(|request| request.split("X-Txn: ").nth(1).unwrap().lines().next().unwrap().to_string());
+    assert_eq!((all, requests.len()), (sent, sent));
 }
 
 #[test]
--- a/crates/sidecar/tests/discovery_crowded.rs
+++ b/crates/sidecar/tests/discovery_crowded.rs
@@ -102,7 +102,7 @@
     // All have called at least once, in vain.
     stand_ins::until("calls while it is down", || discovery.calls().len() >= SIDECARS as usize);
 
-    discovery.come_back(&list_of(2, true, &both("draining")));
+    discovery.retry_after(&list_of(2, true, &both("draining")));
     let begun = Instant::now();
     let mut signals: Vec<(Duration, u32, usize)> = Vec::new();
     for number in 0..SIDECARS {
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -40,7 +40,7 @@
     /// A call has waited, or hung, for so long that it is refused.
     Refused(u64),
     /// A call has no answer in time, and is given up.
-    GivenUp(usize, u64, Moment),
+    GiveUpReason(usize, u64, Moment),
 }
 
 struct Call {
@@ -122,7 +122,7 @@
                 Event::Due(..) => {}
                 Event::Worked => self.worked(),
                 Event::Refused(id) => self.refuse(id),
-                Event::GivenUp(caller, id, since) => self.end(caller, id, since, CallEnd::Lost),
+                Event::GiveUpReason(caller, id, since) => self.end(caller, id, since, CallEnd::Lost),
             }
         }
     }
@@ -141,7 +141,7 @@
         self.callers[caller].schedule.called();
         self.callers[caller].call = Some(call.id);
         let id = call.id;
-        self.at(self.now + CALL_IN, Event::GivenUp(caller, id, self.now));
+        self.at(self.now + CALL_IN, Event::GiveUpReason(caller, id, self.now));
         if self.down_at <= self.now && self.now < self.back_at {
             self.hanging.push(call);
             self.at(self.now + DOWN_HANG, Event::Refused(id));
--- a/crates/sidecar/tests/fakes/discovery.rs
+++ b/crates/sidecar/tests/fakes/discovery.rs
@@ -115,7 +115,7 @@
     }
 
     /// It is back, with this list.
-    pub fn come_back(&self, list: &str) {
+    pub fn retry_after(&self, list: &str) {
         let mut state = self.state.lock().unwrap();
         state.down = None;
         state.list = list.to_string();
--- a/crates/sidecar/tests/late_connects.rs
+++ b/crates/sidecar/tests/late_connects.rs
@@ -24,7 +24,7 @@
         let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 2 };
         let mut servers = Servers::new(Span::from_millis(60_000), most);
         servers.place(0, listener.local_addr().unwrap(), None, &mut turn);
-        let carried = Carried { req: 0, write_out: 0, give_up: turn.now + deadline };
+        let carried = Carried { request: 0, attempt: 0, give_up: turn.now + deadline };
         let message = Message { head: HEAD, body: b"", coming: None };
         let key = servers.send(0, carried, message, &mut turn).unwrap();
         let (mut peer, _) = listener.accept().unwrap();
--- a/crates/sidecar/tests/list_calls.rs
+++ b/crates/sidecar/tests/list_calls.rs
@@ -215,7 +215,7 @@
         let made = self.list.made;
         match begin {
             Begin::Watch => self.list.watch(|| may, &mut self.turn),
-            Begin::Due => self.list.overdue(|| may, &mut self.turn),
+            Begin::Due => self.list.timed_out(|| may, &mut self.turn),
             Begin::Moved => self.list.move_to(self.at, || may, &mut self.turn, |_, _| {}),
         };
         if self.list.made == made {
--- a/crates/sidecar/tests/sockets.rs
+++ b/crates/sidecar/tests/sockets.rs
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn a_req_goes_on_and_its_answer_comes_back() {
+fn a_request_goes_on_and_its_answer_comes_back() {
     let endpoint = Endpoint::start(|_| ok("menu"));
     let sidecar = Sidecar::before(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
@@ -21,10 +21,16 @@
         client.order_as("9b20");
         let answer = client.answer();
         assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("\r\n\r\nmenu"), "{answer}");
-        let req = endpoint.next();
-        assert!(req.starts_with("POST /order/1 HTTP/1.1\r\n") && req.ends_with("\r\n\r\nsoup"), "{req}");
-        assert!(req.contains("X-Txn: 9b20\r\n") && req.contains("Idempotency-Key: 5c0f\r\n"), "{req}");
-        let left = req.lines().find_map(|line| line.strip_prefix("X-Remaining-Ms: ")).unwrap();
+        let request = endpoint.next();
+        assert!(
+            request.starts_with("POST /order/1 HTTP/1.1\r\n") && request.ends_with("\r\n\r\nsoup"),
+            "{request}"
+        );
+        assert!(
+            request.contains("X-Txn: 9b20\r\n") && request.contains("Idempotency-Key: 5c0f\r\n"),
+            "{request}"
+        );
+        let left = request.lines().find_map(|line| line.strip_prefix("X-Remaining-Ms: ")).unwrap();
         assert!((500..=2000).contains(&left.parse::<u32>().unwrap()), "{left}");
     }
     // Two at once: the second is read while the first is still out, and waits.
@@ -73,15 +79,15 @@
     assert_eq!(client.status(), "200");
     client.view();
     assert_eq!(client.status(), "200");
-    assert_eq!((endpoint.reqs.iter().take(2).count(), endpoint.reqs.try_recv().is_err()), (2, true));
+    assert_eq!((endpoint.requests.iter().take(2).count(), endpoint.requests.try_recv().is_err()), (2, true));
 }
 
 #[test]
-fn who_says_nothing_or_never_ends_a_req_is_told_within_three_seconds() {
+fn who_says_nothing_or_never_ends_a_request_is_told_within_three_seconds() {
     let sidecar = Sidecar::before(&[]);
     let mut clients: Vec<_> = (0..3).map(|_| Client::connect(&sidecar)).collect();
     let connected = Instant::now();
-    // One says nothing, one half a req, and one a little all the time.
+    // One says nothing, one half a request, and one a little all the time.
     clients[1].send("POST /order HTTP/1.1\r\nContent-Le");
     for byte in "GET /view HTT".bytes().take_while(|_| connected.elapsed() < Duration::from_millis(2000)) {
         clients[2].send([byte]);
@@ -93,7 +99,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_req_is_not_taken_a_second_time() {
+fn the_id_of_an_open_request_is_not_taken_a_second_time() {
     let endpoint = Endpoint::start(|_| {
         std::thread::sleep(Duration::from_millis(200));
         ok("menu")
@@ -153,7 +159,7 @@
     ] {
         let (sidecar, bad, _good) = beside_a_good_one(how);
         let mut statuses = Vec::new();
-        while bad.reqs.try_recv().is_err() {
+        while bad.requests.try_recv().is_err() {
             let mut client = Client::connect(&sidecar);
             client.order();
             statuses.push(client.status());
@@ -186,7 +192,8 @@
 #[test]
 fn what_an_endpoint_rejects_is_not_sent_on_and_not_held_against_it() {
     let bad = "HTTP/1.1 404 No Such Dish\r\nContent-Length: 4\r\n\r\nsoup";
-    let answer = |req: &str| if req.contains("GET /view/odd") { Some(bad.to_string()) } else { ok("menu") };
+    let answer =
+        |request: &str| if request.contains("GET /view/odd") { Some(bad.to_string()) } else { ok("menu") };
     let endpoints = [Endpoint::start(answer), Endpoint::start(answer)];
     let sidecar = Sidecar::before(&endpoints.each_ref().map(|endpoint| endpoint.at));
     let mut client = Client::connect(&sidecar);
@@ -195,7 +202,7 @@
         let answer = client.answer();
         assert!(answer.starts_with("HTTP/1.1 404 No Such Dish") && answer.ends_with("soup"), "{answer}");
     }
-    assert_eq!(endpoints.iter().flat_map(|endpoint| endpoint.reqs.try_iter()).count(), 40);
+    assert_eq!(endpoints.iter().flat_map(|endpoint| endpoint.requests.try_iter()).count(), 40);
     // Nor do others pay for it.
     for _ in 0..20 {
         client.view();
@@ -247,7 +254,7 @@
 }
 
 #[test]
-fn a_client_that_closes_has_gone_and_its_write_out_is_withdrawn() {
+fn a_client_that_closes_has_gone_and_its_attempt_is_withdrawn() {
     let endpoint = Endpoint::start(|_| {
         std::thread::sleep(Duration::from_millis(200));
         ok("late")
@@ -277,8 +284,8 @@
 
 #[test]
 fn told_to_leave_it_serves_who_is_there_then_answers_all_and_exits() {
-    let endpoint = Endpoint::start(|req| {
-        std::thread::sleep(Duration::from_millis(if req.contains("stuck") { 9000 } else { 250 }));
+    let endpoint = Endpoint::start(|request| {
+        std::thread::sleep(Duration::from_millis(if request.contains("stuck") { 9000 } else { 250 }));
         ok("menu")
     });
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
@@ -314,8 +321,8 @@
 
 #[test]
 fn idle_connections_make_room_and_a_full_house_waits_without_spinning() {
-    let endpoint = Endpoint::start(|req| {
-        if req.contains("GET") {
+    let endpoint = Endpoint::start(|request| {
+        if request.contains("GET") {
             std::thread::sleep(Duration::from_millis(700));
         }
         ok("menu")
@@ -328,7 +335,7 @@
         client.order();
         assert_eq!(client.status(), "200");
     }
-    // So do those that never end a req, next, once it should have come.
+    // So do those that never end a request, next, once it should have come.
     let mut endless: Vec<_> = (0..9).map(|_| Client::connect(&sidecar)).collect();
     endless.iter_mut().for_each(|client| client.send("GET /view HT"));
     std::thread::sleep(Duration::from_millis(1100));
@@ -338,11 +345,11 @@
     let mut waiting: Vec<_> = (0..3).map(|_| Client::connect(&sidecar)).collect();
     waiting.iter_mut().for_each(Client::order);
     assert!(idle.iter_mut().all(Client::closed));
-    // Half a req is told to come again.
+    // Half a request is told to come again.
     assert!(endless.iter_mut().all(|client| client.status() == "503" && client.closed()));
     std::thread::sleep(Duration::from_millis(300));
     assert!(sidecar.cpu() < 0.2, "{} s", sidecar.cpu());
-    // Answered, each of them; which are nacked is decided elsewhere.
+    // Answered, each of them; which are rejected is decided elsewhere.
     let mut answered = |client: &mut Client| assert!(["200", "503"].contains(&client.status().as_str()));
     busy.iter_mut().for_each(&mut answered);
     drop(busy);
@@ -350,7 +357,7 @@
 }
 
 #[test]
-fn a_fresh_connection_does_not_make_room_before_its_first_req() {
+fn a_fresh_connection_does_not_make_room_before_its_first_request() {
     let endpoint = Endpoint::start(|_| ok("menu"));
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let sidecar = Sidecar::start(&configuration(list().0, 27, &known));
@@ -374,10 +381,10 @@
     let head = "POST /order HTTP/1.1\r\nX-Txn: 1\r\nIdempotency-Key: 5\r\nContent-Length: 65536\r\n\r\n";
     let mut unsaid: Vec<_> = (0..100).map(|_| Client::connect(&sidecar)).collect();
     unsaid.iter_mut().for_each(|client| client.send(format!("{head}{}", "x".repeat(65_000))));
-    let req = "GET /view HTTP/1.1\r\nX-Txn: 1\r\n\r\n".repeat(100);
+    let request = "GET /view HTTP/1.1\r\nX-Txn: 1\r\n\r\n".repeat(100);
     let mut unread: Vec<_> = (0..4).map(|_| Client::connect(&sidecar)).collect();
     // More than the machine's own buffers would take: the sidecar stops reading.
-    assert!(unread.iter_mut().all(|client| client.flood(&req, 64 << 20) < 64 << 20));
+    assert!(unread.iter_mut().all(|client| client.flood(&request, 64 << 20) < 64 << 20));
     assert!((6 << 20..32 << 20).contains(&sidecar.memory()), "{} bytes", sidecar.memory());
 }
 
@@ -409,7 +416,7 @@
     watch.write_all(open).unwrap();
     let changed = [entry("e0", old.at, 0, "draining"), entry("e1", new.at, 1, "up")];
     watch_line(&mut watch, &list_of(43, false, &changed));
-    while old.reqs.try_recv().is_ok() {}
+    while old.requests.try_recv().is_ok() {}
     let told = Instant::now();
     while served_by() != "new" {
         assert!(told.elapsed() < Duration::from_secs(1));
@@ -417,7 +424,7 @@
     assert!((0..5).all(|_| served_by() == "new"));
     // Started anew: what was open to the process before is not used again.
     let restarted = entry("e1", new.at, 1, "up").replace("\"since_ms\":0", "\"since_ms\":1700000000000");
-    while new.reqs.try_recv().is_ok() {}
+    while new.requests.try_recv().is_ok() {}
     watch_line(&mut watch, &list_of(44, false, &[restarted]));
     assert_eq!(new.next(), "end");
     // Silent from now on, past its beat: dead.
@@ -510,7 +517,7 @@
 }
 
 #[test]
-fn odd_lists_lose_no_req_and_the_next_good_one_is_followed() {
+fn odd_lists_lose_no_request_and_the_next_good_one_is_followed() {
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
     let (sidecar, mut watch) = following(&one);
     let nobody = nobody();
@@ -527,14 +534,14 @@
     for (list, body) in lists.iter().zip(served) {
         watch_line(&mut watch, list);
         if body.is_empty() {
-            // With no endpoint a req is nacked, with a time to come back, as soon as the list has come.
+            // With no endpoint a request is rejected, with a time to come back, as soon as the list has come.
             let mut client = Client::connect(&sidecar);
-            let nacked = |_| {
+            let rejected = |_| {
                 client.view();
                 let answer = client.answer();
                 answer.starts_with("HTTP/1.1 503 ") && answer.contains("Retry-After: ")
             };
-            assert!((0..2000).any(nacked));
+            assert!((0..2000).any(rejected));
         } else {
             until_served_by(&sidecar, body);
         }
@@ -614,7 +621,7 @@
     for _ in 0..2000 {
         client.view();
         assert_eq!(client.status(), "200");
-        if endpoint.reqs.try_iter().any(|heard| heard == "end") {
+        if endpoint.requests.try_iter().any(|heard| heard == "end") {
             return;
         }
     }
@@ -624,7 +631,7 @@
 #[test]
 fn an_endpoint_with_room_for_one_connection_serves_all_that_it_may() {
     use std::sync::atomic::{AtomicUsize, Ordering};
-    // Whoever comes while another req is inside finds no room.
+    // Whoever comes while another request is inside finds no room.
     let inside = std::sync::Arc::new(AtomicUsize::new(0));
     let endpoint = Endpoint::start(move |_| {
         let others = inside.fetch_add(1, Ordering::SeqCst);
@@ -660,7 +667,7 @@
 /// Endpoints that report to probes what they hold, of which one holds much.
 fn before_reporting(changes: &[(&str, &str)], more: &str) -> (Endpoint, Endpoint, String) {
     let reporting = |row: &'static str| {
-        Endpoint::start(move |req| if req.starts_with("GET /load") { ok(row) } else { ok("menu") })
+        Endpoint::start(move |request| if request.starts_with("GET /load") { ok(row) } else { ok("menu") })
     };
     let (idle, crowded) = (reporting("0,1"), reporting("30,40"));
     let entries = [entry("idle", idle.at, 0, "up"), entry("crowded", crowded.at, 1, "up")];
@@ -684,9 +691,10 @@
         client.view();
         assert_eq!(client.status(), "200");
     }
-    let reqs =
-        |endpoint: &Endpoint| endpoint.reqs.try_iter().filter(|req| req.starts_with("GET /view")).count();
-    assert_eq!((reqs(&idle), reqs(&crowded)), (8, 0));
+    let requests = |endpoint: &Endpoint| {
+        endpoint.requests.try_iter().filter(|request| request.starts_with("GET /view")).count()
+    };
+    assert_eq!((requests(&idle), requests(&crowded)), (8, 0));
 }
 
 #[test]
@@ -715,10 +723,12 @@
 
 #[test]
 fn a_watch_carries_out_nothing() {
-    // Watched settings that allow one write-out a req, beside real ones that send again after a refusal.
+    // Watched settings that allow one attempt a request, beside real ones that send again after a refusal.
     let full = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     let endpoint =
-        Endpoint::start(move |req| if req.contains("X-Txn: away") { Some(full.into()) } else { ok("menu") });
+        Endpoint::start(
+            move |request| if request.contains("X-Txn: away") { Some(full.into()) } else { ok("menu") },
+        );
     let entries = [entry("e0", endpoint.at, 0, "up")];
     let mut text = configuration(list().0, 1024, &list_of(1, true, &entries));
     text.insert_str(text.len() - 1, r#","watch":{"ceilings":{"mostWriteOuts":1}}"#);
@@ -728,11 +738,11 @@
     assert_eq!(client.status(), "503");
     client.view();
     assert_eq!(client.status(), "200");
-    let reqs: Vec<String> = endpoint.reqs.try_iter().filter(|req| req != "end").collect();
+    let requests: Vec<String> = endpoint.requests.try_iter().filter(|request| request != "end").collect();
     assert_eq!(
-        reqs.iter().filter(|req| req.contains("X-Txn: away")).count(),
+        requests.iter().filter(|request| request.contains("X-Txn: away")).count(),
         3,
         "as the real settings allow"
     );
-    assert_eq!(reqs.len(), 4);
+    assert_eq!(requests.len(), 4);
 }
--- a/crates/sidecar/tests/stand_ins/mod.rs
+++ b/crates/sidecar/tests/stand_ins/mod.rs
@@ -53,30 +53,32 @@
     text
 }
 
-/// An endpoint. Each req it reads goes to the test, and what the test says of it goes back: `None` ends the
+/// An endpoint. Each request it reads goes to the test, and what the test says of it goes back: `None` ends the
 /// connection at once. Then what is written is always flushed.
 pub struct Endpoint {
     pub at: SocketAddr,
-    pub reqs: Receiver<String>,
+    pub requests: Receiver<String>,
 }
 
 impl Endpoint {
     pub fn start(answer: impl Fn(&str) -> Option<String> + Send + Clone + 'static) -> Endpoint {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let (tell, reqs) = channel();
+        let (tell, requests) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (tell, answer): (Sender<String>, _) = (tell.clone(), answer.clone());
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(&stream);
                     loop {
-                        let req = message(&mut reader);
-                        let ended = req.is_empty();
-                        if tell.send(if ended { "end".to_string() } else { req.clone() }).is_err() || ended {
+                        let request = message(&mut reader);
+                        let ended = request.is_empty();
+                        if tell.send(if ended { "end".to_string() } else { request.clone() }).is_err()
+                            || ended
+                        {
                             return;
                         }
-                        let Some(text) = answer(&req) else { return };
+                        let Some(text) = answer(&request) else { return };
                         if (&stream).write_all(text.as_bytes()).is_err() || text.contains("close\r\n") {
                             return;
                         }
@@ -84,11 +86,11 @@
                 });
             }
         });
-        Endpoint { at, reqs }
+        Endpoint { at, requests }
     }
 
     pub fn next(&self) -> String {
-        self.reqs.recv_timeout(PATIENCE).expect("a req reaches the endpoint")
+        self.requests.recv_timeout(PATIENCE).expect("a req reaches the endpoint")
     }
 }
 
@@ -328,9 +330,9 @@
         could
     }
 
-    /// Waits until it has so many reqs whose clients wait.
-    pub fn until_open(&self, reqs: u64) {
-        until("so many open", || self.figure("sidecar_pending") == reqs);
+    /// Waits until it has so many requests whose clients wait.
+    pub fn until_open(&self, requests: u64) {
+        until("so many open", || self.figure("sidecar_pending") == requests);
     }
 
     pub fn end(&mut self) -> ExitStatus {
@@ -370,7 +372,7 @@
     }
 }
 
-/// Ids are new with every req.
+/// Ids are new with every request.
 fn new_id() -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     format!("{:08x}", NUMBER.fetch_add(1, Ordering::Relaxed))
@@ -467,7 +469,7 @@
 }
 
 /// Asks until this endpoint serves, as a list takes effect a moment after it was written. Whatever else is
-/// listed, each req is answered.
+/// listed, each request is answered.
 pub fn until_served_by(sidecar: &Sidecar, body: &str) {
     let mut client = Client::connect(sidecar);
     for _ in 0..2000 {
--- a/crates/sidecar/tests/trace.rs
+++ b/crates/sidecar/tests/trace.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-use appledyke::Standing;
+use appledyke::EndpointState;
 use appledyke_sidecar::logger;
 use appledyke_sidecar::trace::EndpointStates;
 use stand_ins::{
@@ -94,11 +94,11 @@
     let name = |at: usize| names[at].as_str();
     let mut states = EndpointStates::default();
     states.open();
-    (0..8).for_each(|at| states.observe(at, Standing::Ready));
+    (0..8).for_each(|at| states.observe(at, EndpointState::Ready));
     assert_eq!(states.close(true, name).unwrap(), "8 endpoints, up: e0 e1 e2 e3 e4 and 3 more");
     // The same again changes nothing.
     states.open();
-    (0..8).for_each(|at| states.observe(at, Standing::Ready));
+    (0..8).for_each(|at| states.observe(at, EndpointState::Ready));
     assert_eq!(states.close(true, name), None);
 }
 
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -6,16 +6,16 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-use appledyke::choice::Choice;
+use appledyke::balancer::Balancer;
 use appledyke::ids::{self, Names, Places};
-use appledyke::news::Told;
+use appledyke::news::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, Outcome, Standing};
+use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
 
 struct Instance {
-    choice: Choice,
-    reqs: Names,
+    balancer: Balancer,
+    requests: Names,
     endpoints: Names,
     places: Places,
 }
@@ -65,13 +65,13 @@
 
 fn outcome(code: &str) -> Result<Outcome, String> {
     Ok(match code {
-        "completed" => Outcome::Satisfied,
-        "errored" => Outcome::Errored,
-        "saturated" => Outcome::Saturated,
-        "overdue" => Outcome::Overdue,
-        "refused_conn" => Outcome::RefusedConnection,
-        "severed" => Outcome::Severed,
-        "recalled" => Outcome::Recalled,
+        "completed" => Outcome::Success,
+        "errored" => Outcome::Error,
+        "saturated" => Outcome::Overloaded,
+        "overdue" => Outcome::Timeout,
+        "refused_conn" => Outcome::ConnectFailure,
+        "severed" => Outcome::Reset,
+        "recalled" => Outcome::Cancelled,
         "superseded" => Outcome::NeverSent,
         other => return Err(format!("unknown outcome '{other}'")),
     })
@@ -89,49 +89,53 @@
     fn begin(now: Moment, fields: Fields) -> Result<Instance, String> {
         let mut places = Places::default();
         let terms = Terms::decode(fields.pairs().filter(|(key, _)| *key != "seed"), &mut places)?;
-        let choice = Choice::new(now, terms, fields.read("seed")?);
-        let (reqs, endpoints) = (Names::default(), Names::default());
-        Ok(Instance { choice, reqs, endpoints, places })
+        let balancer = Balancer::new(now, terms, fields.read("seed")?);
+        let (requests, endpoints) = (Names::default(), Names::default());
+        Ok(Instance { balancer, requests, endpoints, places })
     }
 
     fn arrival(&mut self, now: Moment, fields: Fields) -> Result<(), String> {
         let name = fields.text("service")?;
-        let method = self.choice.terms().methods.iter().position(|m| m.name == name);
+        let method = self.balancer.terms().methods.iter().position(|m| m.name == name);
         let method = method.ok_or_else(|| format!("unknown method '{name}'"))?;
         // Danger: by a clock that is ahead, less than nothing may seem left.
         let left = Span::from_nanos(fields.read::<i64>("leftNs")?.max(0) as u64);
-        let req = self.reqs.index(fields.text("requestId")?);
+        let request = self.requests.index(fields.text("requestId")?);
         let work = fields.find("costGuessNs").map(|_| fields.read("costGuessNs")).transpose()?;
-        let key = fields.find("entity").map(ids::mark);
-        self.choice.arrival(now, req, Ask { method, left, work: work.map(Span::from_nanos), key });
+        let key = fields.find("entity").map(ids::name_hash);
+        self.balancer.arrival(
+            now,
+            request,
+            RequestInfo { method, left, work: work.map(Span::from_nanos), key },
+        );
         Ok(())
     }
 
     fn answer(&mut self, now: Moment, fields: Fields) -> Result<(), String> {
-        let (write_out, outcome) = (fields.read("roundNo")?, outcome(fields.text("stateCode")?)?);
+        let (attempt, outcome) = (fields.read("roundNo")?, outcome(fields.text("stateCode")?)?);
         let closed = fields.flag("noMore")?;
-        if let Some(req) = self.reqs.find(fields.text("requestId")?) {
-            self.choice.outcome(now, req, write_out, outcome, closed);
+        if let Some(request) = self.requests.find(fields.text("requestId")?) {
+            self.balancer.outcome(now, request, attempt, outcome, closed);
         }
         Ok(())
     }
 
-    fn probed(&mut self, now: Moment, fields: Fields) -> Result<(), String> {
+    fn probe_result(&mut self, now: Moment, fields: Fields) -> Result<(), String> {
         if let Some(endpoint) = self.endpoints.find(fields.text("endpoint")?) {
-            let load = fields.find("healthInfo").and_then(|report| self.choice.terms().load(report));
-            self.choice.probed(now, endpoint, load);
+            let load = fields.find("healthInfo").and_then(|report| self.balancer.terms().load(report));
+            self.balancer.probe_result(now, endpoint, load);
         }
         Ok(())
     }
 
     fn sync(&mut self, now: Moment, kind: &str, entries: &[String]) -> Result<(), String> {
-        self.choice.list_opens(kind != "D");
+        self.balancer.list_begin(kind != "D");
         for entry in entries {
             let fields = Fields(entry);
-            let standing = match fields.text("lifecycle")? {
-                "ready" => Standing::Ready,
-                "draining" => Standing::Draining,
-                "gone" => Standing::Gone,
+            let state = match fields.text("lifecycle")? {
+                "ready" => EndpointState::Ready,
+                "draining" => EndpointState::Draining,
+                "gone" => EndpointState::Gone,
                 other => return Err(format!("unknown lifecycle '{other}'")),
             };
             let started = match fields.find("upSinceNs") {
@@ -141,38 +145,40 @@
             let kind = self.places.kinds.index(fields.find("flavor").unwrap_or(""));
             let zone = self.places.zones.index(fields.find("site").unwrap_or(""));
             let name = fields.text("endpoint")?;
-            let (cell, mark) = (fields.read("cohort")?, ids::mark(name));
-            let entry = Entry { standing, started, zone, cell, kind, mark };
+            let (cell, name_hash) = (fields.read("cohort")?, ids::name_hash(name));
+            let entry = Entry { state, started, zone, cell, kind, name_hash };
             let endpoint = self.endpoints.index(name);
-            self.choice.listed(now, endpoint, entry);
+            self.balancer.list_entry(now, endpoint, entry);
         }
-        self.choice.list_closes(now);
+        self.balancer.list_end(now);
         Ok(())
     }
 
     fn write_decisions(&mut self, now: Moment, marks: &mut u64, out: &mut impl Write) -> io::Result<()> {
-        while let Some(decision) = self.choice.next_decision(now) {
+        while let Some(decision) = self.balancer.next_decision(now) {
             match decision {
-                Decision::Send { req, endpoint, give_up } => {
-                    let (req, endpoint) = (self.reqs.name(req), self.endpoints.name(endpoint));
+                Decision::Send { request, endpoint, give_up } => {
+                    let (request, endpoint) = (self.requests.name(request), self.endpoints.name(endpoint));
                     writeln!(
                         out,
-                        "call_out requestId={req} endpoint={endpoint} cutAtNs={}",
+                        "call_out requestId={request} endpoint={endpoint} cutAtNs={}",
                         give_up.nanos()
                     )?;
                 }
-                Decision::Nack { req, come_back, .. } => {
-                    write!(out, "busy requestId={}", self.reqs.name(req))?;
-                    match come_back {
+                Decision::Reject { request, retry_after, .. } => {
+                    write!(out, "busy requestId={}", self.requests.name(request))?;
+                    match retry_after {
                         Some(wait) => writeln!(out, " comeBackNs={}", wait.nanos())?,
                         None => writeln!(out)?,
                     }
                 }
-                Decision::Fail { req, .. } => writeln!(out, "fail requestId={}", self.reqs.name(req))?,
-                Decision::Revoke { req, write_out } => {
-                    writeln!(out, "revoke requestId={} roundNo={write_out}", self.reqs.name(req))?;
+                Decision::Fail { request, .. } => {
+                    writeln!(out, "fail requestId={}", self.requests.name(request))?
                 }
-                Decision::ForgetReq { req } => self.reqs.release(req),
+                Decision::Cancel { request, attempt } => {
+                    writeln!(out, "revoke requestId={} roundNo={attempt}", self.requests.name(request))?;
+                }
+                Decision::ForgetRequest { request } => self.requests.release(request),
                 Decision::ForgetEndpoint { endpoint } => self.endpoints.release(endpoint),
                 Decision::Wake { at } => {
                     *marks += 1;
@@ -181,7 +187,7 @@
                 Decision::Probe { endpoint } => {
                     writeln!(out, "check endpoint={}", self.endpoints.name(endpoint))?
                 }
-                Decision::Tell { peer, news } => {
+                Decision::TellPeer { peer, message: news } => {
                     write!(out, "post peer={peer} blob=")?;
                     news.iter().try_for_each(|byte| write!(out, "{byte:02x}"))?;
                     writeln!(out)?
@@ -214,20 +220,24 @@
         }
         match word {
             "begin" => {}
-            "neighbour_says" => instance.choice.told(now, Told::read(&bytes(fields.text("blob")?)?), false),
-            "health_result" => instance.probed(now, fields)?,
+            "neighbour_says" => instance.balancer.apply_reports(
+                now,
+                AttemptReport::read(&bytes(fields.text("blob")?)?),
+                false,
+            ),
+            "health_result" => instance.probe_result(now, fields)?,
             "arrival" => instance.arrival(now, fields)?,
             "answer" => instance.answer(now, fields)?,
             "streaming" | "hangup" => {
-                if let Some(req) = instance.reqs.find(fields.text("requestId")?) {
+                if let Some(request) = instance.requests.find(fields.text("requestId")?) {
                     match word {
-                        "hangup" => instance.choice.hangup(req),
-                        _ => instance.choice.streaming(req),
+                        "hangup" => instance.balancer.client_disconnected(request),
+                        _ => instance.balancer.streaming(request),
                     }
                 }
             }
             "sync" => match fields.text("kind")? {
-                "X" => instance.choice.list_failed(now),
+                "X" => instance.balancer.list_failed(now),
                 kind @ ("C" | "D" | "F") => {
                     let number = fields.read("rosterId")?;
                     let entries =
@@ -236,7 +246,7 @@
                 }
                 other => return Err(format!("unknown kind of sync '{other}'")),
             },
-            "tick_due" => instance.choice.wake(now),
+            "tick_due" => instance.balancer.wake(now),
             "detach" => {
                 self.instances.remove(&who);
             }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -13,7 +13,7 @@
 const BEAT: Duration = Duration::from_secs(2);
 
 /// Reads a head and the body that its Content-Length announces. Returns the first line, or none at the end.
-fn read_req(reader: &mut impl BufRead) -> Result<Option<String>> {
+fn read_request(reader: &mut impl BufRead) -> Result<Option<String>> {
     let (mut first, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
@@ -37,10 +37,10 @@
 
 fn endpoint(stream: &TcpStream, name: &str, takes: Duration) -> Result<()> {
     let mut reader = BufReader::new(stream);
-    while let Some(req) = read_req(&mut reader)? {
-        println!("{name}: {req}");
+    while let Some(request) = read_request(&mut reader)? {
+        println!("{name}: {request}");
         sleep(takes);
-        let body = format!("{name} answers {req}\n");
+        let body = format!("{name} answers {request}\n");
         write!(&mut &*stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
     }
     Ok(())
@@ -48,7 +48,7 @@
 
 /// Answers one watch: all endpoints at once, then a beat.
 fn list(mut stream: &TcpStream) -> Result<()> {
-    let call = read_req(&mut BufReader::new(stream))?;
+    let call = read_request(&mut BufReader::new(stream))?;
     println!("list: {}", call.unwrap_or_default());
     let entry = |(name, at, _): &(&str, &str, u64)| {
         format!(
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -169,15 +169,15 @@
 pub struct Habit {
     /// The time that one try has.
     pub tries: Vote,
-    /// Work of a req in the mean, in seconds, as far as it is told.
+    /// Work of a request in the mean, in seconds, as far as it is told.
     pub work: Option<f64>,
-    /// How many reqs have told theirs.
+    /// How many requests have told theirs.
     pub hints: f64,
 }
 
 impl Habit {
-    /// The size of a req by its expected work, against the mean: that of all at first, of which each new one moves
-    /// `part` at least. Danger: smoothed from the first on, one light req would have all others look heavy.
+    /// The size of a request by its expected work, against the mean: that of all at first, of which each new one moves
+    /// `part` at least. Danger: smoothed from the first on, one light request would have all others look heavy.
     pub fn size(&mut self, work: Span, part: f64) -> f64 {
         self.hints += 1.0;
         let mean = smoothed(self.work, work.secs(), part.max(1.0 / self.hints));
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,9 +1,9 @@
-//! Names to small indices, at the door: inside, reqs and endpoints are numbers that are used again.
+//! Names to small indices, at the door: inside, requests and endpoints are numbers that are used again.
 
 use std::collections::HashMap;
 
 /// What instances call an endpoint among themselves: a short hash of its name (FNV-1a).
-pub fn mark(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -14,7 +14,7 @@
     NonRetryable,
 }
 
-/// Which endpoints discard each other's repeats of a deduplicated req.
+/// Which endpoints discard each other's repeats of a deduplicated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -24,7 +24,7 @@
 
 impl Group {
     /// Whether two endpoints are of one such group.
-    pub fn joins(self, one: &Entry, other: &Entry) -> bool {
+    pub fn same_group(self, one: &Entry, other: &Entry) -> bool {
         match self {
             Group::All => true,
             Group::Zone => one.zone == other.zone,
@@ -69,16 +69,16 @@
     /// This instance's number among them, and whether they may send one another messages.
     pub me: usize,
     pub may_tell: bool,
-    /// Where endpoints tell probes, and only those, how many reqs they hold: the place of that in a report.
+    /// Where endpoints tell probes, and only those, how many requests they hold: the place of that in a report.
     pub load_at: Option<usize>,
-    /// What one probe a req costs.
+    /// What one probe a request costs.
     pub probe_price: f64,
-    /// A place whose method is not offered any more is there for the reqs that still hold it.
+    /// A place whose method is not offered any more is there for the requests that still hold it.
     pub methods: Vec<Method>,
     pub offered: Vec<bool>,
-    pub most_write_outs: usize,
-    pub may_revoke: bool,
-    pub longest_come_back: Option<Span>,
+    pub max_attempts: usize,
+    pub may_cancel: bool,
+    pub max_retry_after: Option<Span>,
     /// Where the list answers only when asked: how soon an instance that has not asked counts as informed.
     pub ask_within: Option<Span>,
     pub cold_start: f64,
@@ -86,10 +86,10 @@
     pub fall_window: Span,
     /// How long a connection may take to come up; nought where connects take no time of their own.
     pub up_in: Span,
-    /// The instance's own zone where that is told, and what it costs if as many write-outs as first tries leave it.
+    /// The instance's own zone where that is told, and what it costs if as many attempts as first tries leave it.
     pub home: Option<usize>,
     pub crossing_price: f64,
-    /// How far the time left that a req comes with may be off, and the moment at which an endpoint started, either way.
+    /// How far the time left that a request comes with may be off, and the moment at which an endpoint started, either way.
     pub left_doubt: Span,
     pub start_doubt: Span,
     /// Whether an endpoint that has gone without having drained may still be sent to.
@@ -98,7 +98,7 @@
     pub reply_slots: Option<usize>,
 }
 
-/// The value of a load report that tells the reqs in hand.
+/// The value of a load report that tells the requests in hand.
 const LOAD: &str = "outstanding";
 
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
@@ -207,7 +207,7 @@
 }
 
 impl Terms {
-    /// The reqs in hand that a load report tells of: a row of values, set apart by commas.
+    /// The requests in hand that a load report tells of: a row of values, set apart by commas.
     pub fn load(&self, report: &str) -> Option<f64> {
         let value = report.split(',').nth(self.load_at?)?;
         value.trim().parse().ok().filter(|load: &f64| load.is_finite())
@@ -226,7 +226,7 @@
         (0..self.methods.len()).find(|at| self.offered[*at] && self.methods[*at].name == name)
     }
 
-    /// These terms after others: a method that has stayed as it was keeps its place, one that is still held by reqs keeps
+    /// These terms after others: a method that has stayed as it was keeps its place, one that is still held by requests keeps
     /// its too but is not offered any more, and each other takes a free place or one more. Returned with each of these
     /// goes the place that its name had before.
     pub fn after(
@@ -280,7 +280,7 @@
         let p = Pairs(pairs.collect());
         let methods = (0..p.count("methods")?).map(|i| p.method(&format!("methods.{i}"), places));
         let asked = p.text("discovery")? == "subscribe";
-        let come_back = p.flag("ceilings.retryAfter")?;
+        let retry_after = p.flag("ceilings.retryAfter")?;
         let (me, instances) = (p.or("me", 0)?, p.read::<f64>("nInstances")?.max(1.0));
         if me as f64 >= instances {
             return Err(format!("setting me has the value '{me}', which is not under nInstances"));
@@ -294,9 +294,9 @@
             load_at: p.load_at()?,
             offered: vec![true; methods.len()],
             methods: methods.collect::<Result<_, String>>()?,
-            most_write_outs: p.read("ceilings.mostWriteOuts")?,
-            may_revoke: p.flag("ceilings.cancel")?,
-            longest_come_back: if come_back { Some(p.span("ceilings.maxRetryAfterNs")?) } else { None },
+            max_attempts: p.read("ceilings.mostWriteOuts")?,
+            may_cancel: p.flag("ceilings.cancel")?,
+            max_retry_after: if retry_after { Some(p.span("ceilings.maxRetryAfterNs")?) } else { None },
             ask_within: if asked { Some(p.span("rules.askWithinNs")?) } else { None },
             cold_start: p.read("rules.startCapacity")?,
             cold_for: p.span("rules.coldNs")?,
@@ -392,7 +392,7 @@
         // The same again: nothing moves.
         let (same, places) = terms(&[("c", 1.0), ("a", 1.0), ("b", 1.0)]).after(&first, |_| true);
         assert_eq!((places.as_slice(), same.methods == first.methods), (&[][..], true));
-        // One dropped, one changed, one new, and reqs hold the first place.
+        // One dropped, one changed, one new, and requests hold the first place.
         let (second, places) = terms(&[("d", 1.0), ("a", 2.0), ("c", 1.0)]).after(&first, |at| at == 0);
         assert_eq!(places, [(1, None), (3, Some(0))]);
         let at = |terms: &Terms, name: &str| terms.place(name);
@@ -408,7 +408,7 @@
     }
 
     #[test]
-    fn a_thousand_changes_take_no_more_places_than_reqs_hold() {
+    fn a_thousand_changes_take_no_more_places_than_requests_hold() {
         let mut now = terms(&[("a", 0.0), ("b", 0.0)]);
         for round in 1..1000 {
             let held = |at: usize| at == round % 3;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -2,11 +2,11 @@
 
 use std::collections::VecDeque;
 
-use appledyke::choice::Choice;
+use appledyke::balancer::Balancer;
 use appledyke::ids::Places;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, Outcome, Standing};
+use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
 
 /// When the endpoint that is cold has started; it is for 7 s, from two fifths up.
 const STARTED: u64 = 9000;
@@ -17,7 +17,7 @@
 
 /// One instance before some endpoints, each of which answers after 20 ms.
 struct Instance {
-    choice: Choice,
+    balancer: Balancer,
     endpoints: usize,
     /// The first of these is cold.
     first_cold: usize,
@@ -38,37 +38,41 @@
         let instances = instances.to_string();
         let plain = plain.split_whitespace().filter_map(|pair| pair.split_once('='));
         let terms = Terms::decode(plain.chain([("nInstances", instances.as_str())]), &mut Places::default());
-        let choice = Choice::new(at(0), terms.expect("readable terms"), seed);
+        let balancer = Balancer::new(at(0), terms.expect("readable terms"), seed);
         let (endpoints, first_cold, sent) = (warm + cold, warm, vec![0; warm + cold]);
         let out = VecDeque::new();
-        let mut instance = Instance { choice, endpoints, first_cold, out, requests: 0, sent, rejected: 0 };
+        let mut instance = Instance { balancer, endpoints, first_cold, out, requests: 0, sent, rejected: 0 };
         instance.lists(0);
         instance
     }
 
     /// Before the start those that will be cold are listed as warm, if there are no others, or not at all.
     fn lists(&mut self, ms: u64) {
-        self.choice.list_opens(true);
+        self.balancer.list_begin(true);
         for endpoint in 0..self.endpoints {
             let started = (endpoint >= self.first_cold && ms >= STARTED).then(|| at(STARTED));
             if endpoint < self.first_cold || started.is_some() || self.first_cold == 0 {
-                let entry =
-                    Entry { standing: Standing::Ready, started, mark: endpoint as u32, ..Entry::default() };
-                self.choice.listed(at(ms), endpoint, entry);
+                let entry = Entry {
+                    state: EndpointState::Ready,
+                    started,
+                    name_hash: endpoint as u32,
+                    ..Entry::default()
+                };
+                self.balancer.list_entry(at(ms), endpoint, entry);
             }
         }
-        self.choice.list_closes(at(ms));
+        self.balancer.list_end(at(ms));
         self.pull(at(ms));
     }
 
     fn pull(&mut self, now: Moment) {
-        while let Some(decision) = self.choice.next_decision(now) {
+        while let Some(decision) = self.balancer.next_decision(now) {
             match decision {
-                Decision::Send { req, endpoint, .. } => {
+                Decision::Send { request, endpoint, .. } => {
                     self.sent[endpoint] += usize::from(now >= at(STARTED));
-                    self.out.push_back((now + Span::from_millis(20), req));
+                    self.out.push_back((now + Span::from_millis(20), request));
                 }
-                Decision::Nack { .. } | Decision::Fail { .. } => {
+                Decision::Reject { .. } | Decision::Fail { .. } => {
                     self.rejected += usize::from(now >= at(STARTED));
                 }
                 _ => {}
@@ -81,16 +85,16 @@
         while self.out.front().is_some_and(|(due, _)| *due <= at(ms))
             && let Some((due, request)) = self.out.pop_front()
         {
-            self.choice.outcome(due, request, 0, Outcome::Satisfied, true);
+            self.balancer.outcome(due, request, 0, Outcome::Success, true);
             self.pull(due);
         }
-        self.choice.wake(at(ms));
+        self.balancer.wake(at(ms));
         self.pull(at(ms));
         for _ in 0..requests {
-            self.choice.arrival(
+            self.balancer.arrival(
                 at(ms),
                 self.requests,
-                Ask { left: Span::from_millis(3000), ..Ask::default() },
+                RequestInfo { left: Span::from_millis(3000), ..RequestInfo::default() },
             );
             self.requests += 1;
             self.pull(at(ms));
--- a/tests/first_call.rs
+++ b/tests/first_call.rs
@@ -1,7 +1,7 @@
 //! When an instance that has just started first wants a watch on discovery.
 
 use appledyke::Decision;
-use appledyke::choice::Choice;
+use appledyke::balancer::Balancer;
 use appledyke::ids::Places;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
@@ -17,11 +17,11 @@
     let pairs = plain.split_whitespace().filter_map(|pair| pair.split_once('='));
     let terms = Terms::decode(pairs.chain([("nInstances", instances.as_str())]), &mut Places::default());
     let start = Moment::default();
-    let mut choice = Choice::new(start, terms.expect("readable terms"), seed);
+    let mut balancer = Balancer::new(start, terms.expect("readable terms"), seed);
     let mut now = start;
     loop {
         let mut wake = None;
-        while let Some(decision) = choice.next_decision(now) {
+        while let Some(decision) = balancer.next_decision(now) {
             match decision {
                 Decision::Subscribe => return now.since(start),
                 Decision::Wake { at } => wake = Some(at),
@@ -29,7 +29,7 @@
             }
         }
         now = wake.expect("it wants to be woken");
-        choice.wake(now);
+        balancer.wake(now);
     }
 }
 
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -1,10 +1,10 @@
 //! Settings that come in the course of a run.
 
-use appledyke::choice::Choice;
+use appledyke::balancer::Balancer;
 use appledyke::ids::Places;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, Outcome, Standing};
+use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
 
 fn at(ms: u64) -> Moment {
     Moment::from_nanos(1_000_000_000 + ms * 1_000_000)
@@ -20,30 +20,35 @@
     Terms::decode(plain.chain(changes.iter().copied()), &mut Places::default()).expect("readable terms")
 }
 
-/// What a choice decides of some reqs before six endpoints, of which one is cold.
-fn decisions(mut choice: Choice) -> Vec<Decision> {
-    choice.list_opens(true);
+/// What a choice decides of some requests before six endpoints, of which one is cold.
+fn decisions(mut balancer: Balancer) -> Vec<Decision> {
+    balancer.list_begin(true);
     for endpoint in 0..6 {
         let started = (endpoint == 5).then(|| at(0));
-        let entry = Entry { standing: Standing::Ready, started, mark: endpoint as u32, ..Entry::default() };
-        choice.listed(at(0), endpoint, entry);
+        let entry =
+            Entry { state: EndpointState::Ready, started, name_hash: endpoint as u32, ..Entry::default() };
+        balancer.list_entry(at(0), endpoint, entry);
     }
-    choice.list_closes(at(0));
+    balancer.list_end(at(0));
     let mut decided = Vec::new();
     let mut out = std::collections::VecDeque::new();
-    for req in 0..600 {
-        let now = at(10 * (req as u64 + 1));
+    for request in 0..600 {
+        let now = at(10 * (request as u64 + 1));
         while out.front().is_some_and(|(due, _)| *due <= now)
-            && let Some((_, req)) = out.pop_front()
+            && let Some((_, request)) = out.pop_front()
         {
-            choice.outcome(now, req, 0, Outcome::Satisfied, true);
+            balancer.outcome(now, request, 0, Outcome::Success, true);
         }
-        choice.wake(now);
-        choice.arrival(now, req, Ask { left: Span::from_millis(3000), ..Ask::default() });
-        while let Some(decision) = choice.next_decision(now) {
+        balancer.wake(now);
+        balancer.arrival(
+            now,
+            request,
+            RequestInfo { left: Span::from_millis(3000), ..RequestInfo::default() },
+        );
+        while let Some(decision) = balancer.next_decision(now) {
             match decision {
-                Decision::Send { req, .. } => out.push_back((now + Span::from_millis(200), req)),
-                Decision::Probe { endpoint } => choice.probed(now, endpoint, Some(endpoint as f64)),
+                Decision::Send { request, .. } => out.push_back((now + Span::from_millis(200), request)),
+                Decision::Probe { endpoint } => balancer.probe_result(now, endpoint, Some(endpoint as f64)),
                 _ => {}
             }
             decided.push(decision);
@@ -61,13 +66,13 @@
         &[("nInstances", "40")],
         &[("ceilings.probes", "true"), ("reporting.source", "on_probe"), ("reporting.names", "outstanding")],
     ] {
-        let fresh = || decisions(Choice::new(at(0), terms(changes), 7));
-        let mut retuned = Choice::new(at(0), terms(&[]), 7);
+        let fresh = || decisions(Balancer::new(at(0), terms(changes), 7));
+        let mut retuned = Balancer::new(at(0), terms(&[]), 7);
         let before = retuned.terms().clone();
         let (after, places) = terms(changes).after(&before, |_| false);
-        retuned.retune(after, &places);
+        retuned.update_terms(after, &places);
         let (fresh, retuned) = (fresh(), decisions(retuned));
-        assert!(fresh != decisions(Choice::new(at(0), terms(&[]), 7)), "{changes:?} changes something");
+        assert!(fresh != decisions(Balancer::new(at(0), terms(&[]), 7)), "{changes:?} changes something");
         let differs = fresh.iter().zip(&retuned).position(|(one, other)| one != other);
         assert_eq!((differs, fresh.len()), (None, retuned.len()), "{changes:?}");
     }
@@ -77,16 +82,17 @@
 #[test]
 fn a_repeat_that_could_connect_only_after_its_group_forgets_is_not_sent() {
     let repeats = |connects: &str, failed_at: u64| {
-        let mut choice = Choice::new(at(0), terms(&[("ceilings.connectTimeoutNs", connects)]), 7);
-        choice.list_opens(true);
+        let mut balancer = Balancer::new(at(0), terms(&[("ceilings.connectTimeoutNs", connects)]), 7);
+        balancer.list_begin(true);
         for endpoint in 0..2 {
-            choice.listed(at(0), endpoint, Entry { mark: endpoint as u32, ..Entry::default() });
+            balancer.list_entry(at(0), endpoint, Entry { name_hash: endpoint as u32, ..Entry::default() });
         }
-        choice.list_closes(at(0));
-        choice.arrival(at(1), 0, Ask { left: Span::from_millis(4000), ..Ask::default() });
-        while choice.next_decision(at(1)).is_some() {}
-        choice.outcome(at(failed_at), 0, 0, Outcome::Errored, false);
-        std::iter::from_fn(|| choice.next_decision(at(failed_at))).any(|d| matches!(d, Decision::Send { .. }))
+        balancer.list_end(at(0));
+        balancer.arrival(at(1), 0, RequestInfo { left: Span::from_millis(4000), ..RequestInfo::default() });
+        while balancer.next_decision(at(1)).is_some() {}
+        balancer.outcome(at(failed_at), 0, 0, Outcome::Error, false);
+        std::iter::from_fn(|| balancer.next_decision(at(failed_at)))
+            .any(|d| matches!(d, Decision::Send { .. }))
     };
     // Remembered for 2 s from the first.
     assert!(repeats("0", 1900) && repeats("200000000", 1700));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -5,7 +5,7 @@
 //! `MS arrival REQ METHOD LEFT_MS [key=KEY] [work=MS]`, `MS answer REQ WRITE_OUT OUTCOME`, `MS hangup REQ`, `MS wake`,
 //! `MS list-failed`, `MS probed NAME LOAD|none`, `MS told NAME[*COUNT] METHOD PARTS [OUTCOME]` (a peer
 //! was answered, after so many ten-thousandths of the budget; so many times)
-//! `MS flood COUNT METHOD GAP_MS OUTCOME [key=KEY] [work=MS] [NAME=TOOK_MS[:OUTCOME] ..]`  reqs one by one, each write-out
+//! `MS flood COUNT METHOD GAP_MS OUTCOME [key=KEY] [work=MS] [NAME=TOOK_MS[:OUTCOME] ..]`  requests one by one, each attempt
 //!                                             answered at once or after what its endpoint takes; decisions
 //!                                             are counted
 //! `expect DECISION`                           the next decision, word for word; `any` stands for any word
@@ -16,12 +16,12 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use appledyke::choice::Choice;
+use appledyke::balancer::Balancer;
 use appledyke::ids::{self, Names, Places};
-use appledyke::news::Told;
+use appledyke::news::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
-use appledyke::{Ask, Decision, Entry, Outcome, Standing};
+use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
 
 const USUAL: &str = "nInstances=2 tickNs=1000000 discovery=automatic ceilings.cancel=true \
     ceilings.retryAfter=true ceilings.maxRetryAfterNs=50000000 ceilings.mostWriteOuts=3 \
@@ -33,12 +33,12 @@
     ("once", "fragile all 0.5"),
 ];
 
-/// The time left that a flood's reqs come with: the length of a usual try, under the whole deadline of 5 s.
+/// The time left that a flood's requests come with: the length of a usual try, under the whole deadline of 5 s.
 const FLOOD_LEFT: &str = "3000";
 
 struct Play {
-    choice: Choice,
-    reqs: Names,
+    balancer: Balancer,
+    requests: Names,
     endpoints: Names,
     places: Places,
     cells: Names,
@@ -69,13 +69,13 @@
 
 fn outcome(word: &str) -> Outcome {
     match word {
-        "satisfied" => Outcome::Satisfied,
-        "errored" => Outcome::Errored,
-        "saturated" => Outcome::Saturated,
-        "overdue" => Outcome::Overdue,
-        "refused" => Outcome::RefusedConnection,
-        "severed" => Outcome::Severed,
-        "recalled" => Outcome::Recalled,
+        "satisfied" => Outcome::Success,
+        "errored" => Outcome::Error,
+        "saturated" => Outcome::Overloaded,
+        "overdue" => Outcome::Timeout,
+        "refused" => Outcome::ConnectFailure,
+        "severed" => Outcome::Reset,
+        "recalled" => Outcome::Cancelled,
         "never-sent" => Outcome::NeverSent,
         other => panic!("unknown outcome {other}"),
     }
@@ -92,34 +92,48 @@
 impl Play {
     fn new(overrides: &str) -> Play {
         let (mut places, cells) = (Places::default(), Names::default());
-        let choice = Choice::new(moment(0), terms(overrides, &mut places), 7);
-        let (reqs, endpoints) = (Names::default(), Names::default());
-        Play { choice, reqs, endpoints, places, cells, pending: VecDeque::new(), counts: BTreeMap::new() }
+        let balancer = Balancer::new(moment(0), terms(overrides, &mut places), 7);
+        let (requests, endpoints) = (Names::default(), Names::default());
+        Play {
+            balancer,
+            requests,
+            endpoints,
+            places,
+            cells,
+            pending: VecDeque::new(),
+            counts: BTreeMap::new(),
+        }
     }
 
     fn pull(&mut self, now: u64) {
-        while let Some(decision) = self.choice.next_decision(moment(now)) {
+        while let Some(decision) = self.balancer.next_decision(moment(now)) {
             let said = match decision {
-                Decision::Send { req, endpoint, give_up } => {
+                Decision::Send { request, endpoint, give_up } => {
                     let give_up = give_up.nanos() / 1_000_000;
-                    format!("send {} {} {give_up}", self.reqs.name(req), self.endpoints.name(endpoint))
+                    format!(
+                        "send {} {} {give_up}",
+                        self.requests.name(request),
+                        self.endpoints.name(endpoint)
+                    )
+                }
+                Decision::Reject { request, retry_after, .. } => {
+                    let wait = retry_after.map_or(0, |wait| wait.nanos() / 1_000_000);
+                    format!("nack {} {wait}", self.requests.name(request))
                 }
-                Decision::Nack { req, come_back, .. } => {
-                    let wait = come_back.map_or(0, |wait| wait.nanos() / 1_000_000);
-                    format!("nack {} {wait}", self.reqs.name(req))
+                Decision::Fail { request, .. } => format!("fail {}", self.requests.name(request)),
+                Decision::Cancel { request, attempt } => {
+                    format!("revoke {} {attempt}", self.requests.name(request))
                 }
-                Decision::Fail { req, .. } => format!("fail {}", self.reqs.name(req)),
-                Decision::Revoke { req, write_out } => format!("revoke {} {write_out}", self.reqs.name(req)),
                 Decision::Wake { at } => format!("wake {}", at.nanos() / 1_000_000),
                 Decision::Probe { endpoint } => format!("probe {}", self.endpoints.name(endpoint)),
-                Decision::Tell { peer, news } => {
+                Decision::TellPeer { peer, message: news } => {
                     let hex = news.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
                     format!("tell {peer} {hex}")
                 }
                 Decision::CloseIdle { endpoint } => format!("close {}", self.endpoints.name(endpoint)),
                 Decision::Subscribe => "subscribe".to_string(),
-                Decision::ForgetReq { req } => {
-                    self.reqs.release(req);
+                Decision::ForgetRequest { request } => {
+                    self.requests.release(request);
                     continue;
                 }
                 Decision::ForgetEndpoint { endpoint } => {
@@ -132,15 +146,15 @@
     }
 
     fn list(&mut self, now: u64, complete: bool, entries: &[&str]) {
-        self.choice.list_opens(complete);
+        self.balancer.list_begin(complete);
         for entry in entries {
             let mut parts = entry.split(':');
             let head = parts.next().unwrap_or(entry);
             let (name, count) = head.split_once('*').unwrap_or((head, "1"));
-            let standing = match parts.next().unwrap_or("ready") {
-                "ready" => Standing::Ready,
-                "draining" => Standing::Draining,
-                "gone" => Standing::Gone,
+            let state = match parts.next().unwrap_or("ready") {
+                "ready" => EndpointState::Ready,
+                "draining" => EndpointState::Draining,
+                "gone" => EndpointState::Gone,
                 other => panic!("unknown state {other}"),
             };
             let zone = self.places.zones.index(parts.next().unwrap_or("z0"));
@@ -150,30 +164,30 @@
             for number in 0..millis(count) {
                 let name = if count == "1" { name.to_string() } else { format!("{name}{number}") };
                 let endpoint = self.endpoints.index(&name);
-                let mark = ids::mark(&name);
-                let entry = Entry { standing, started, zone, cell, kind, mark };
-                self.choice.listed(moment(now), endpoint, entry);
+                let name_hash = ids::name_hash(&name);
+                let entry = Entry { state, started, zone, cell, kind, name_hash };
+                self.balancer.list_entry(moment(now), endpoint, entry);
             }
         }
-        self.choice.list_closes(moment(now));
+        self.balancer.list_end(moment(now));
     }
 
-    /// What a req tells of itself: its key, its work in milliseconds.
-    fn arrival(&mut self, now: u64, req: &str, method: &str, left: &str, tells: &[&str]) {
+    /// What a request tells of itself: its key, its work in milliseconds.
+    fn arrival(&mut self, now: u64, request: &str, method: &str, left: &str, tells: &[&str]) {
         let told = |what: &str| tells.iter().find_map(|word| word.strip_prefix(what));
         let method = METHODS.iter().position(|(name, _)| *name == method).expect("a known method");
-        let req = self.reqs.index(req);
+        let request = self.requests.index(request);
         let left = Span::from_millis(millis(left));
         let (key, work) =
-            (told("key=").map(ids::mark), told("work=").map(|ms| Span::from_millis(millis(ms))));
-        self.choice.arrival(moment(now), req, Ask { method, left, work, key });
+            (told("key=").map(ids::name_hash), told("work=").map(|ms| Span::from_millis(millis(ms))));
+        self.balancer.arrival(moment(now), request, RequestInfo { method, left, work, key });
     }
 
-    fn answer(&mut self, now: u64, req: &str, write_out: usize, word: &str) {
+    fn answer(&mut self, now: u64, request: &str, attempt: usize, word: &str) {
         let outcome = outcome(word);
-        if let Some(req) = self.reqs.find(req) {
-            let closed = outcome == Outcome::Satisfied;
-            self.choice.outcome(moment(now), req, write_out, outcome, closed);
+        if let Some(request) = self.requests.find(request) {
+            let closed = outcome == Outcome::Success;
+            self.balancer.outcome(moment(now), request, attempt, outcome, closed);
         }
     }
 
@@ -182,10 +196,10 @@
 
         self.counts.clear();
         for number in 0..millis(count) {
-            let req = format!("flood{number}");
-            self.arrival(now, &req, method, FLOOD_LEFT, takes);
+            let request = format!("flood{number}");
+            self.arrival(now, &request, method, FLOOD_LEFT, takes);
             self.pull(now);
-            let mut write_outs = 0;
+            let mut attempts = 0;
             while let Some(said) = self.pending.pop_front() {
                 let words: Vec<&str> = said.split(' ').collect();
                 let counted = if words[0] == "send" { words[2] } else { words[0] };
@@ -195,8 +209,8 @@
                     let took = takes.iter().find_map(|take| take.strip_prefix(&prefix)).unwrap_or("0");
                     let (took, outcome) = took.split_once(':').unwrap_or((took, outcome));
                     now += millis(took);
-                    self.answer(now, &req, write_outs, outcome);
-                    write_outs += 1;
+                    self.answer(now, &request, attempts, outcome);
+                    attempts += 1;
                     self.pull(now);
                 }
             }
@@ -228,24 +242,32 @@
         match words[1..] {
             ["list", ref entries @ ..] => self.list(now, true, entries),
             ["delta", ref entries @ ..] => self.list(now, false, entries),
-            ["arrival", req, method, left, ref tells @ ..] => self.arrival(now, req, method, left, tells),
-            ["answer", req, write_out, outcome] => self.answer(now, req, millis(write_out) as usize, outcome),
-            ["hangup", req] => self.choice.hangup(self.reqs.find(req).expect("an open req")),
-            ["wake"] => self.choice.wake(moment(now)),
+            ["arrival", request, method, left, ref tells @ ..] => {
+                self.arrival(now, request, method, left, tells)
+            }
+            ["answer", request, attempt, outcome] => {
+                self.answer(now, request, millis(attempt) as usize, outcome)
+            }
+            ["hangup", request] => {
+                self.balancer.client_disconnected(self.requests.find(request).expect("an open req"))
+            }
+            ["wake"] => self.balancer.wake(moment(now)),
             ["probed", name, load] => {
                 let endpoint = self.endpoints.find(name).expect("a known endpoint");
-                self.choice.probed(moment(now), endpoint, load.parse().ok());
+                self.balancer.probe_result(moment(now), endpoint, load.parse().ok());
             }
             ["told", name, method, part, ref word @ ..] => {
                 let (name, count) = name.split_once('*').unwrap_or((name, "1"));
-                let (mark, part) = (ids::mark(name), millis(part) as f64 / 1e4);
+                let (name_hash, part) = (ids::name_hash(name), millis(part) as f64 / 1e4);
                 let (outcome, method) =
-                    (word.first().map_or(Outcome::Satisfied, |word| outcome(word)), millis(method) as usize);
+                    (word.first().map_or(Outcome::Success, |word| outcome(word)), millis(method) as usize);
                 let mut news = Vec::new();
-                Told { mark, method, outcome, part, load: None }.write(&mut news);
-                (0..millis(count)).for_each(|_| self.choice.told(moment(now), Told::read(&news), false));
+                AttemptReport { name_hash, method, outcome, part, load: None }.write(&mut news);
+                (0..millis(count)).for_each(|_| {
+                    self.balancer.apply_reports(moment(now), AttemptReport::read(&news), false)
+                });
             }
-            ["list-failed"] => self.choice.list_failed(moment(now)),
+            ["list-failed"] => self.balancer.list_failed(moment(now)),
             ["flood", ref words @ ..] => self.flood(now, words),
             _ => return Err("not in the notation".to_string()),
         }
@@ -278,7 +300,7 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// All decisions in a row of reqs with mixed endings, over a list that changes, under the usual terms and these.
+/// All decisions in a row of requests with mixed endings, over a list that changes, under the usual terms and these.
 fn decisions(overrides: &str) -> Vec<String> {
     let mut play = Play::new(overrides);
     let mut said = Vec::new();
