--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,45 +1,50 @@
-//! Agreement among a few replicas on one log (Raft: Ongaro and Ousterhout, "In Search of an Understandable Consensus
-//! Algorithm", 2014; pre-vote and transfer of leadership from Ongaro's thesis). Pure: ticks, messages and "this record
-//! is durable" go in; messages, records to persist and committed entries come out. What a replica does that comes back
-//! with a folder that may be an old copy is our own, and stands in `docs/replicated-state.md`.
+//! Raft consensus for a few replicas of one log (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+//! Algorithm", 2014; pre-vote and leadership transfer from Ongaro's thesis). The code does no I/O and reads no clock:
+//! its inputs are ticks, messages and notices that a batch is durable; its outputs are messages, records to persist
+//! and committed entries. The rejoin protocol, for a replica whose folder may be an old copy, is not part of Raft;
+//! `docs/replicated-state.md` describes it.
 
-pub mod keep;
 mod log;
 mod replica;
+pub mod storage;
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-pub use replica::{Refused, Replica, Role, Settings, Work};
+pub use replica::{Ready, Replica, ReplicaError, Role, Settings};
 
 pub type Term = u64;
 pub type Index = u64;
 
-/// A replica's identity: the place that operators know it by, and the life of its folder. A folder that was lost or put
-/// back from an old copy is followed by another life.
+/// A replica's identity: the replica id that operators configure, and the incarnation of its folder. A folder that was
+/// lost or restored from an old copy is replaced by one with a new incarnation.
+///
+/// Status output in JSON uses the serialized field names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
-    pub place: u16,
-    /// Never 0, which stands for whoever is at the place.
-    pub life: u64,
+    #[serde(rename = "place")]
+    pub replica_id: u16,
+    /// Never 0 for a real replica: 0 addresses any incarnation of the replica id.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Id {
-    pub fn anyone_at(place: u16) -> Id {
-        Id { place, life: 0 }
+    pub fn any_incarnation(replica_id: u16) -> Id {
+        Id { replica_id, incarnation: 0 }
     }
 }
 
 impl fmt::Display for Id {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}.{:08x}", self.place, self.life)
+        write!(f, "{}.{:08x}", self.replica_id, self.incarnation)
     }
 }
 
-/// A place in the log. One is later than another by its term first: of two logs the one whose end is later is the more
-/// up to date.
+/// A position in the log. Positions are ordered by term, then by index, so that of two logs the one with the greater
+/// last position is the more up to date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
     pub term: Term,
@@ -48,83 +53,84 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// What a leader begins its term with.
-    Blank,
+    /// The first entry of a leader's term; it has no effect when applied.
+    Noop,
     Command(Vec<u8>),
-    /// From here on these vote.
+    /// The set of voters from this entry on.
     Voters(BTreeSet<Id>),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    pub at: Position,
+    pub position: Position,
     pub content: Content,
 }
 
-/// All that the entries up to a place have come to.
+/// The state after all entries up to a position; it replaces them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub at: Position,
+    pub last_included: Position,
     pub voters: BTreeSet<Id>,
-    /// The host's state, as bytes of the host's own.
+    /// The host's state, in the host's own encoding.
     pub state: Vec<u8>,
 }
 
-/// What must be durable beside the log.
+/// The term and vote, which must be durable beside the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     pub term: Term,
-    /// Whom this replica gave its vote of the term; its own id also where the vote is spent without a candidate.
+    /// The candidate that this replica voted for in the term. A replica that must not vote in the term sets its own id,
+    /// also where it is not a candidate.
     pub vote: Option<Id>,
 }
 
 /// What a replica's folder holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    pub hard: Hard,
+pub struct PersistedState {
+    pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
-    /// Without a gap, and joining the snapshot.
+    /// Consecutive entries; the first follows the snapshot directly or is covered by it.
     pub entries: Vec<Entry>,
 }
 
-/// Changes that are to become durable together, in this order.
+/// Changes that must become durable atomically. They apply in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// For `Replica::durable`.
+    /// The number to pass to `Replica::mark_durable`.
     pub number: u64,
-    pub hard: Option<Hard>,
+    pub hard_state: Option<HardState>,
     pub snapshot: Option<Snapshot>,
-    /// Entries from this index on are taken back.
-    pub cut_from: Option<Index>,
-    /// Entries up to this index are not needed any more.
-    pub drop_to: Option<Index>,
+    /// Entries at this index and above are removed, as the leader's log differs there.
+    pub truncate_from: Option<Index>,
+    /// Entries up to and including this index are removed, as the snapshot covers them.
+    pub compact_to: Option<Index>,
     pub entries: Vec<Entry>,
 }
 
 impl Batch {
     pub fn is_empty(&self) -> bool {
-        self.hard.is_none()
+        self.hard_state.is_none()
             && self.snapshot.is_none()
-            && self.cut_from.is_none()
-            && self.drop_to.is_none()
+            && self.truncate_from.is_none()
+            && self.compact_to.is_none()
             && self.entries.is_empty()
     }
 
-    /// What a folder holds once this is durable.
-    pub fn apply(&self, kept: &mut Kept) {
-        if let Some(hard) = self.hard {
-            kept.hard = hard;
+    /// Applies this batch to what a folder holds.
+    pub fn apply(&self, persisted: &mut PersistedState) {
+        if let Some(hard_state) = self.hard_state {
+            persisted.hard_state = hard_state;
         }
         if let Some(snapshot) = &self.snapshot {
-            kept.snapshot = Some(snapshot.clone());
+            persisted.snapshot = Some(snapshot.clone());
         }
-        if let Some(from) = self.cut_from {
-            kept.entries.retain(|entry| entry.at.index < from);
+        if let Some(from) = self.truncate_from {
+            persisted.entries.retain(|entry| entry.position.index < from);
         }
-        if let Some(to) = self.drop_to {
-            kept.entries.retain(|entry| entry.at.index > to);
+        if let Some(to) = self.compact_to {
+            persisted.entries.retain(|entry| entry.position.index > to);
         }
-        kept.entries.extend(self.entries.iter().cloned());
+        persisted.entries.extend(self.entries.iter().cloned());
     }
 }
 
@@ -138,56 +144,60 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Would you vote for me in this term, with this end of my log? Binds nobody.
-    AskPre {
+    /// Asks whether the receiver would vote for the sender in this term, given the sender's last position. It changes no
+    /// state of the receiver.
+    PreVoteRequest {
         last: Position,
     },
-    Pre {
+    PreVoteResponse {
         granted: bool,
     },
-    /// `handed`: the leader has told the sender to follow it at once.
-    Ask {
+    /// `leadership_transfer`: the leader sent the sender a `TimeoutNow`, so that receivers vote although they hear a
+    /// leader.
+    VoteRequest {
         last: Position,
-        handed: bool,
+        leadership_transfer: bool,
     },
-    Vote {
+    VoteResponse {
         granted: bool,
     },
-    Append {
-        before: Position,
+    /// The entries after `previous`. `round` counts the leader's rounds of confirmation for reads; responses repeat it.
+    AppendRequest {
+        previous: Position,
         entries: Vec<Entry>,
-        commit: Index,
+        commit_index: Index,
         round: u64,
     },
-    Install {
+    InstallSnapshot {
         snapshot: Snapshot,
         round: u64,
     },
-    /// `matched`: up to where the sender's log is the leader's, `None` where it does not join; `last` is its end.
-    Appended {
-        matched: Option<Index>,
+    /// The response to `AppendRequest` and `InstallSnapshot`. `match_index`: the sender's log equals the leader's up to
+    /// here; `None` if it has no entry that matches `previous`. `last`: the last index of the sender's log.
+    AppendResponse {
+        match_index: Option<Index>,
         last: Index,
         round: u64,
     },
-    /// Follow me at once.
-    HandOver,
-    /// I have come back, and may hold less than I had acknowledged: how far are you?
-    Return {
-        asked: u64,
+    /// Leadership transfer: the receiver starts an election at once.
+    TimeoutNow,
+    /// The sender has restarted and may hold less than it had acknowledged; it asks for the receiver's last position.
+    RejoinRequest {
+        nonce: u64,
         last: Position,
     },
-    /// `lost`: the one that asked had acknowledged more than it holds now, or votes no more.
-    Known {
-        asked: u64,
+    /// `lost`: the replica that asked had acknowledged more than it holds now, or is no longer a voter.
+    RejoinResponse {
+        nonce: u64,
         last: Position,
         lost: bool,
     },
-    /// The receiver has acknowledged up to this index, and does not hold that any more.
-    Lost {
+    /// The receiver has acknowledged entries up to this index and no longer holds them.
+    AcknowledgedLost {
         acknowledged: Index,
     },
-    /// I hold nothing, and ask to become one of you.
-    Join,
-    /// Another life of this place is heard still.
-    NotNow,
+    /// The sender has no log and asks to be added as a voter.
+    JoinRequest,
+    /// The join was refused: the leader still hears another incarnation of the same replica id.
+    JoinRefused,
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::{Content, Entry, Id, Index, Kept, Position, Snapshot, Term};
+use crate::{Content, Entry, Id, Index, PersistedState, Position, Snapshot, Term};
 
 #[derive(Clone, Debug, Default)]
 pub struct Log {
@@ -15,12 +15,12 @@
 }
 
 impl Log {
-    pub fn of(kept: Kept) -> Log {
-        let Kept { snapshot, mut entries, .. } = kept;
-        let end = snapshot.as_ref().map_or_else(Position::default, |snapshot| snapshot.at);
+    pub fn of(kept: PersistedState) -> Log {
+        let PersistedState { snapshot, mut entries, .. } = kept;
+        let end = snapshot.as_ref().map_or_else(Position::default, |snapshot| snapshot.last_included);
         // The term before the first entry is not kept where that is older than the snapshot: the first serves as base.
         let base = match entries.first() {
-            Some(first) if first.at.index <= end.index => entries.remove(0).at,
+            Some(first) if first.position.index <= end.index => entries.remove(0).position,
             _ => end,
         };
         let mut log = Log { base, entries, snapshot, ..Log::default() };
@@ -30,14 +30,14 @@
 
     fn find_voters(&mut self) {
         (self.voters, self.voters_at) = match &self.snapshot {
-            Some(snapshot) => (snapshot.voters.clone(), snapshot.at.index),
+            Some(snapshot) => (snapshot.voters.clone(), snapshot.last_included.index),
             None => (BTreeSet::new(), 0),
         };
         for entry in &self.entries {
             if let Content::Voters(voters) = &entry.content
-                && entry.at.index > self.voters_at
+                && entry.position.index > self.voters_at
             {
-                (self.voters, self.voters_at) = (voters.clone(), entry.at.index);
+                (self.voters, self.voters_at) = (voters.clone(), entry.position.index);
             }
         }
     }
@@ -54,7 +54,7 @@
 
     /// Who votes by the entries up to this one.
     pub fn voters_up_to(&self, index: Index) -> BTreeSet<Id> {
-        let told = self.entries.iter().rev().filter(|entry| entry.at.index <= index);
+        let told = self.entries.iter().rev().filter(|entry| entry.position.index <= index);
         let told = told.filter_map(|entry| match &entry.content {
             Content::Voters(voters) => Some(voters.clone()),
             _ => None,
@@ -64,7 +64,7 @@
     }
 
     pub fn last(&self) -> Position {
-        self.entries.last().map_or(self.base, |entry| entry.at)
+        self.entries.last().map_or(self.base, |entry| entry.position)
     }
 
     pub fn base(&self) -> Position {
@@ -76,7 +76,7 @@
         if index == self.base.index {
             return Some(self.base.term);
         }
-        self.entry(index).map(|entry| entry.at.term)
+        self.entry(index).map(|entry| entry.position.term)
     }
 
     pub fn entry(&self, index: Index) -> Option<&Entry> {
@@ -89,7 +89,7 @@
         let mut left = bytes;
         let fits = |entry: &&Entry| {
             let length = if let Content::Command(command) = &entry.content { command.len() } else { 0 };
-            let fits = entry.at.index == index || length <= left;
+            let fits = entry.position.index == index || length <= left;
             left = left.saturating_sub(length);
             fits
         };
@@ -98,31 +98,31 @@
 
     pub fn push(&mut self, entry: Entry) {
         if let Content::Voters(voters) = &entry.content {
-            (self.voters, self.voters_at) = (voters.clone(), entry.at.index);
+            (self.voters, self.voters_at) = (voters.clone(), entry.position.index);
         }
         self.entries.push(entry);
     }
 
     /// Takes back the entries from this index on.
     pub fn cut(&mut self, from: Index) {
-        self.entries.retain(|entry| entry.at.index < from);
+        self.entries.retain(|entry| entry.position.index < from);
         if self.voters_at >= from {
             self.find_voters();
         }
     }
 
     /// Holds this snapshot, and drops entries up to an index that it covers.
-    pub fn compact(&mut self, snapshot: Snapshot, drop_to: Index) {
-        if let Some(term) = self.term(drop_to) {
-            self.base = Position { term, index: drop_to };
-            self.entries.retain(|entry| entry.at.index > drop_to);
+    pub fn compact(&mut self, snapshot: Snapshot, compact_to: Index) {
+        if let Some(term) = self.term(compact_to) {
+            self.base = Position { term, index: compact_to };
+            self.entries.retain(|entry| entry.position.index > compact_to);
         }
         self.snapshot = Some(snapshot);
     }
 
     /// Holds this snapshot, and nothing else.
     pub fn install(&mut self, snapshot: Snapshot) {
-        self.base = snapshot.at;
+        self.base = snapshot.last_included;
         self.entries.clear();
         self.snapshot = Some(snapshot);
         self.find_voters();
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -5,7 +5,9 @@
 use oorandom::Rand64;
 
 use crate::log::Log;
-use crate::{Batch, Body, Content, Entry, Hard, Id, Index, Kept, Message, Position, Snapshot, Term};
+use crate::{
+    Batch, Body, Content, Entry, HardState, Id, Index, Message, PersistedState, Position, Snapshot, Term,
+};
 
 /// Entries of one message: what a slow link must carry before it says that the leader lives.
 const ENTRIES_MOST: usize = 64;
@@ -27,16 +29,16 @@
 pub struct Settings {
     pub id: Id,
     /// All places that operators have configured, this one too.
-    pub places: BTreeSet<u16>,
+    pub replica_ids: BTreeSet<u16>,
     /// Ticks without a leader until a replica stands for election: this many, and up to as many again by chance.
-    pub election: u32,
+    pub election_ticks: u32,
     /// Ticks between a leader's signs of life.
-    pub beat: u32,
+    pub heartbeat_ticks: u32,
     /// Entries that a snapshot covers and that are kept all the same, for replicas a little behind.
-    pub tail: Index,
+    pub trailing_entries: Index,
     /// Danger: an operator's word that the folder is the latest that this replica had. Without it one that returns asks
     /// the others first.
-    pub vouched: bool,
+    pub trust_folder: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,18 +56,18 @@
 
 /// Why a replica takes no proposal or read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ReplicaError {
     /// Another may be the leader.
     NotLeader(Option<Id>),
     /// Leadership is being handed over.
-    HandsOver,
+    TransferringLeadership,
     /// An earlier change of voters is not committed, or this one changes more than one.
-    OneAtATime,
+    VoterChangeRefused,
 }
 
 /// What the host is to do next: persist the batch and say so, then send, apply and answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Work {
+pub struct Ready {
     pub batch: Option<Batch>,
     pub messages: Vec<Message>,
     /// The host's state is this from now on.
@@ -77,15 +79,15 @@
     pub failed_reads: Vec<u64>,
 }
 
-impl Work {
+impl Ready {
     pub fn is_empty(&self) -> bool {
-        *self == Work::default()
+        *self == Ready::default()
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    matched: Index,
+    match_index: Index,
     next: Index,
     /// The latest round that it has answered.
     round: u64,
@@ -124,7 +126,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Returning {
-    asked: u64,
+    nonce: u64,
     /// By place: how far each has come.
     heard: BTreeMap<u16, Position>,
     term: Term,
@@ -134,9 +136,9 @@
 pub struct Replica {
     settings: Settings,
     chance: Rand64,
-    hard: Hard,
+    hard_state: HardState,
     log: Log,
-    commit: Index,
+    commit_index: Index,
     /// Up to where committed entries were given to the host.
     given: Index,
     /// Up to where the own log is durable.
@@ -166,26 +168,26 @@
     /// Messages, and the batch that must be durable first.
     held: VecDeque<(u64, Message)>,
     fresh: Vec<Message>,
-    work: Work,
+    work: Ready,
 }
 
 impl Replica {
     /// A replica with what its folder holds: nothing for one that is to join.
-    pub fn new(settings: Settings, seed: u64, kept: Kept) -> Replica {
+    pub fn new(settings: Settings, seed: u64, kept: PersistedState) -> Replica {
         let chance = Rand64::new(u128::from(seed));
-        let hard = kept.hard;
+        let hard_state = kept.hard_state;
         let log = Log::of(kept);
-        let given = log.snapshot.as_ref().map_or(0, |snapshot| snapshot.at.index);
+        let given = log.snapshot.as_ref().map_or(0, |snapshot| snapshot.last_included.index);
         let blank = log.last() == Position::default();
-        let alone = settings.places.len() <= 1;
+        let alone = settings.replica_ids.len() <= 1;
         let mut replica = Replica {
-            returning: (!blank && !settings.vouched && !alone).then(Returning::default),
-            commit: given,
+            returning: (!blank && !settings.trust_folder && !alone).then(Returning::default),
+            commit_index: given,
             given,
             saved: log.last().index,
             settings,
             chance,
-            hard,
+            hard_state,
             log,
             part: Part::Follower,
             leader: None,
@@ -204,22 +206,22 @@
             under_way: VecDeque::new(),
             held: VecDeque::new(),
             fresh: Vec::new(),
-            work: Work::default(),
+            work: Ready::default(),
         };
         if let Some(snapshot) = &replica.log.snapshot {
             replica.work.install = Some(snapshot.clone());
         }
-        let asked = replica.chance.rand_u64();
-        replica.returning.iter_mut().for_each(|returning| returning.asked = asked);
+        let nonce = replica.chance.rand_u64();
+        replica.returning.iter_mut().for_each(|returning| returning.nonce = nonce);
         replica.draw_timeout();
         replica
     }
 
     /// What the folder of a fleet's first replica holds: it votes alone. To be made once, by an operator's word.
-    pub fn founder(id: Id) -> Kept {
+    pub fn bootstrap(id: Id) -> PersistedState {
         let at = Position { term: 1, index: 1 };
-        let entries = vec![Entry { at, content: Content::Voters(BTreeSet::from([id])) }];
-        Kept { hard: Hard { term: 1, vote: Some(id) }, snapshot: None, entries }
+        let entries = vec![Entry { position: at, content: Content::Voters(BTreeSet::from([id])) }];
+        PersistedState { hard_state: HardState { term: 1, vote: Some(id) }, snapshot: None, entries }
     }
 
     // What the host may ask.
@@ -244,14 +246,14 @@
     }
 
     pub fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
-    pub fn committed(&self) -> Index {
-        self.commit
+    pub fn commit_index(&self) -> Index {
+        self.commit_index
     }
 
-    pub fn last(&self) -> Position {
+    pub fn last_position(&self) -> Position {
         self.log.last()
     }
 
@@ -277,15 +279,15 @@
     pub fn peers(&self) -> Vec<(Id, Index, bool)> {
         match &self.part {
             Part::Leader(lead) => {
-                let heard = |peer: &Peer| peer.silent < self.settings.election;
-                lead.peers.iter().map(|(id, peer)| (*id, peer.matched, heard(peer))).collect()
+                let heard = |peer: &Peer| peer.silent < self.settings.election_ticks;
+                lead.peers.iter().map(|(id, peer)| (*id, peer.match_index, heard(peer))).collect()
             }
             _ => Vec::new(),
         }
     }
 
     /// Whether its request to join was refused since this was asked last, as another life of its place is heard.
-    pub fn refused_to_join(&mut self) -> bool {
+    pub fn take_join_refusal(&mut self) -> bool {
         std::mem::take(&mut self.not_now)
     }
 
@@ -298,7 +300,7 @@
         if let Some(returning) = &mut self.returning {
             returning.tries_in = returning.tries_in.saturating_sub(1);
             if returning.tries_in == 0 {
-                returning.tries_in = TRY_BEATS * self.settings.beat;
+                returning.tries_in = TRY_BEATS * self.settings.heartbeat_ticks;
                 self.ask_how_far();
             }
             return;
@@ -312,17 +314,17 @@
             self.joins_in = self.joins_in.saturating_sub(1);
             // One that was taken out while it ran stays out; who started without a vote asks for one, unless a leader
             // brings it up already.
-            let unheard = self.log.voters().is_empty() || self.since_heard > self.settings.election;
+            let unheard = self.log.voters().is_empty() || self.since_heard > self.settings.election_ticks;
             if self.joins_in == 0 && !self.admitted && unheard {
-                self.joins_in = TRY_BEATS * self.settings.beat;
-                self.tell_others(Body::Join);
+                self.joins_in = TRY_BEATS * self.settings.heartbeat_ticks;
+                self.tell_others(Body::JoinRequest);
             }
         } else if self.leader.is_none() && self.log.last() < self.floor {
             self.stuck += 1;
-            if self.stuck >= STUCK_ELECTIONS * self.settings.election {
+            if self.stuck >= STUCK_ELECTIONS * self.settings.election_ticks {
                 self.stuck = 0;
                 self.part = Part::Follower;
-                self.returning = Some(Returning { asked: self.chance.rand_u64(), ..Returning::default() });
+                self.returning = Some(Returning { nonce: self.chance.rand_u64(), ..Returning::default() });
             }
         } else if self.since_heard >= self.timeout {
             self.admitted = true;
@@ -336,10 +338,10 @@
     ///
     /// # Errors
     /// Why this replica takes none.
-    pub fn propose(&mut self, command: Vec<u8>) -> Result<Position, Refused> {
-        let Part::Leader(lead) = &self.part else { return Err(Refused::NotLeader(self.leader)) };
+    pub fn propose(&mut self, command: Vec<u8>) -> Result<Position, ReplicaError> {
+        let Part::Leader(lead) = &self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
         if lead.hands_over.is_some() {
-            return Err(Refused::HandsOver);
+            return Err(ReplicaError::TransferringLeadership);
         }
         Ok(self.append(Content::Command(command)))
     }
@@ -348,16 +350,20 @@
     ///
     /// # Errors
     /// Why this replica takes no such change now.
-    pub fn change(&mut self, voters: BTreeSet<Id>) -> Result<Position, Refused> {
-        let Part::Leader(lead) = &self.part else { return Err(Refused::NotLeader(self.leader)) };
+    pub fn change_voters(&mut self, voters: BTreeSet<Id>) -> Result<Position, ReplicaError> {
+        let Part::Leader(lead) = &self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
         if lead.hands_over.is_some() {
-            return Err(Refused::HandsOver);
+            return Err(ReplicaError::TransferringLeadership);
         }
         let apart = self.log.voters().symmetric_difference(&voters).count();
         // Danger: two changes under way at once, or one by a leader that does not know what is committed, make two
         // majorities that have nobody in common.
-        if apart != 1 || voters.is_empty() || self.log.voters_at() > self.commit || self.commit < lead.first {
-            return Err(Refused::OneAtATime);
+        if apart != 1
+            || voters.is_empty()
+            || self.log.voters_at() > self.commit_index
+            || self.commit_index < lead.first
+        {
+            return Err(ReplicaError::VoterChangeRefused);
         }
         Ok(self.append(Content::Voters(voters)))
     }
@@ -366,8 +372,8 @@
     ///
     /// # Errors
     /// Why this replica answers none.
-    pub fn read(&mut self, ticket: u64) -> Result<(), Refused> {
-        let Part::Leader(lead) = &mut self.part else { return Err(Refused::NotLeader(self.leader)) };
+    pub fn request_read(&mut self, ticket: u64) -> Result<(), ReplicaError> {
+        let Part::Leader(lead) = &mut self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
         // Danger: one that was stopped may lead no more, so that a majority has to answer after this moment.
         lead.round += 1;
         lead.reads.push_back((ticket, lead.round));
@@ -380,12 +386,12 @@
     ///
     /// # Errors
     /// Why it can't.
-    pub fn hand_over(&mut self, to: Id) -> Result<(), Refused> {
-        let election = self.settings.election;
+    pub fn transfer_leadership(&mut self, to: Id) -> Result<(), ReplicaError> {
+        let election = self.settings.election_ticks;
         let known = self.log.voters().contains(&to) && to != self.settings.id;
-        let Part::Leader(lead) = &mut self.part else { return Err(Refused::NotLeader(self.leader)) };
+        let Part::Leader(lead) = &mut self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
         if !known {
-            return Err(Refused::OneAtATime);
+            return Err(ReplicaError::VoterChangeRefused);
         }
         lead.hands_over = Some((to, election));
         self.hand_over_further();
@@ -395,25 +401,25 @@
     /// The host's state after all entries up to this index, which stands for them from now on. One that was given and
     /// is no longer held, or not given yet, is passed over.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) {
-        let older = self.log.snapshot.as_ref().is_some_and(|snapshot| snapshot.at.index >= index);
+        let older = self.log.snapshot.as_ref().is_some_and(|snapshot| snapshot.last_included.index >= index);
         if older || index > self.given {
             return;
         }
         let Some(term) = self.log.term(index) else { return };
         let at = Position { term, index };
-        let snapshot = Snapshot { at, voters: self.log.voters_up_to(index), state };
-        let drop_to = index.saturating_sub(self.settings.tail);
+        let snapshot = Snapshot { last_included: at, voters: self.log.voters_up_to(index), state };
+        let compact_to = index.saturating_sub(self.settings.trailing_entries);
         self.unsaved.snapshot = Some(snapshot.clone());
-        if drop_to > self.log.base().index {
-            self.unsaved.drop_to = Some(drop_to);
+        if compact_to > self.log.base().index {
+            self.unsaved.compact_to = Some(compact_to);
             // What was to be added in this batch and is dropped at once need not be written.
-            self.unsaved.entries.retain(|entry| entry.at.index > drop_to);
+            self.unsaved.entries.retain(|entry| entry.position.index > compact_to);
         }
-        self.log.compact(snapshot, drop_to.max(self.log.base().index));
+        self.log.compact(snapshot, compact_to.max(self.log.base().index));
     }
 
     /// This batch, and all before it, are on the disk.
-    pub fn durable(&mut self, number: u64) {
+    pub fn mark_durable(&mut self, number: u64) {
         self.durable = self.durable.max(number);
         while let Some((first, end)) = self.under_way.front().copied()
             && first <= number
@@ -424,52 +430,59 @@
         self.advance();
     }
 
-    pub fn hear(&mut self, message: Message) {
+    pub fn receive(&mut self, message: Message) {
         let Message { from, to, term, body } = message;
         if self.lost
             || from == self.settings.id
-            || ![self.settings.id, Id::anyone_at(self.settings.place())].contains(&to)
+            || ![self.settings.id, Id::any_incarnation(self.settings.replica_id())].contains(&to)
         {
             return;
         }
         // What does not go by terms.
         match body {
-            Body::Return { asked, last } => return self.tell_how_far(from, asked, last),
-            Body::Known { asked, last, lost } => return self.heard_how_far(from, term, asked, last, lost),
+            Body::RejoinRequest { nonce, last } => return self.tell_how_far(from, nonce, last),
+            Body::RejoinResponse { nonce, last, lost } => {
+                return self.heard_how_far(from, term, nonce, last, lost);
+            }
             // Danger: what it had acknowledged to a leader of an earlier term may have been taken back since.
-            Body::Lost { acknowledged } => {
-                self.lost |= acknowledged > self.log.last().index && term >= self.hard.term;
+            Body::AcknowledgedLost { acknowledged } => {
+                self.lost |= acknowledged > self.log.last().index && term >= self.hard_state.term;
                 return;
             }
-            Body::NotNow => {
+            Body::JoinRefused => {
                 self.not_now = true;
                 return;
             }
             // Danger: one that does not know what it has promised must promise nothing.
             _ if self.returning.is_some() => return,
-            Body::Join => return self.asked_to_join(from),
+            Body::JoinRequest => return self.asked_to_join(from),
             _ => {}
         }
-        if term > self.hard.term {
+        if term > self.hard_state.term {
             match body {
-                Body::AskPre { .. } | Body::Pre { granted: true } => {}
+                Body::PreVoteRequest { .. } | Body::PreVoteResponse { granted: true } => {}
                 // A leader that is heard is not to be unseated by one that does not hear it.
-                Body::Ask { handed: false, .. } if self.hears_leader() => return,
+                Body::VoteRequest { leadership_transfer: false, .. } if self.hears_leader() => return,
                 _ => self.follow(term, None),
             }
         }
-        let stale = term < self.hard.term;
+        let stale = term < self.hard_state.term;
         match body {
-            Body::AskPre { .. } if self.knows_as_out(from) => {
-                self.send(from, self.hard.term, Body::Lost { acknowledged: Index::MAX });
+            Body::PreVoteRequest { .. } if self.knows_as_out(from) => {
+                self.send(from, self.hard_state.term, Body::AcknowledgedLost { acknowledged: Index::MAX });
             }
-            Body::AskPre { last } => {
-                let granted =
-                    term > self.hard.term && !self.hears_leader() && last >= self.floor.max(self.log.last());
-                self.send(from, if granted { term } else { self.hard.term }, Body::Pre { granted });
+            Body::PreVoteRequest { last } => {
+                let granted = term > self.hard_state.term
+                    && !self.hears_leader()
+                    && last >= self.floor.max(self.log.last());
+                self.send(
+                    from,
+                    if granted { term } else { self.hard_state.term },
+                    Body::PreVoteResponse { granted },
+                );
             }
-            Body::Pre { granted } => {
-                let own = term == self.hard.term + 1;
+            Body::PreVoteResponse { granted } => {
+                let own = term == self.hard_state.term + 1;
                 if let Part::Pre(votes) = &mut self.part
                     && granted
                     && own
@@ -478,9 +491,11 @@
                     self.count();
                 }
             }
-            Body::Ask { .. } if stale => self.send(from, self.hard.term, Body::Vote { granted: false }),
-            Body::Ask { last, .. } => self.asked(from, last),
-            Body::Vote { granted } => {
+            Body::VoteRequest { .. } if stale => {
+                self.send(from, self.hard_state.term, Body::VoteResponse { granted: false })
+            }
+            Body::VoteRequest { last, .. } => self.asked(from, last),
+            Body::VoteResponse { granted } => {
                 if let Part::Candidate(votes) = &mut self.part
                     && granted
                     && !stale
@@ -489,33 +504,37 @@
                     self.count();
                 }
             }
-            Body::Append { round, .. } | Body::Install { round, .. } if stale => {
+            Body::AppendRequest { round, .. } | Body::InstallSnapshot { round, .. } if stale => {
                 let last = self.log.last().index;
-                self.send(from, self.hard.term, Body::Appended { matched: None, last, round });
+                self.send(
+                    from,
+                    self.hard_state.term,
+                    Body::AppendResponse { match_index: None, last, round },
+                );
             }
-            Body::Append { before, entries, commit, round } => {
+            Body::AppendRequest { previous, entries, commit_index, round } => {
                 self.follow(term, Some(from));
-                let matched = self.appended(before, entries, commit);
+                let match_index = self.appended(previous, entries, commit_index);
                 let last = self.log.last().index;
-                self.send(from, term, Body::Appended { matched, last, round });
+                self.send(from, term, Body::AppendResponse { match_index, last, round });
             }
-            Body::Install { snapshot, round } => {
+            Body::InstallSnapshot { snapshot, round } => {
                 self.follow(term, Some(from));
-                let matched = Some(snapshot.at.index.max(self.commit));
+                let match_index = Some(snapshot.last_included.index.max(self.commit_index));
                 self.installed(snapshot);
                 let last = self.log.last().index;
-                self.send(from, term, Body::Appended { matched, last, round });
+                self.send(from, term, Body::AppendResponse { match_index, last, round });
             }
-            Body::Appended { matched, last, round } if !stale => {
-                self.acknowledged(from, matched, last, round)
+            Body::AppendResponse { match_index, last, round } if !stale => {
+                self.acknowledged(from, match_index, last, round)
             }
-            Body::HandOver if !stale && self.leader == Some(from) && self.votes() => self.stand(true),
+            Body::TimeoutNow if !stale && self.leader == Some(from) && self.votes() => self.stand(true),
             _ => {}
         }
     }
 
     /// What is to be done now. Nothing that depends on a record is among it before that is durable.
-    pub fn take(&mut self) -> Work {
+    pub fn take_ready(&mut self) -> Ready {
         let mut work = std::mem::take(&mut self.work);
         if !self.unsaved.is_empty() {
             self.numbers += 1;
@@ -530,7 +549,7 @@
         {
             work.messages.extend(self.held.pop_front().map(|(_, message)| message));
         }
-        let until = self.commit.min(self.saved);
+        let until = self.commit_index.min(self.saved);
         while self.given < until
             && let Some(entry) = self.log.entry(self.given + 1)
         {
@@ -549,46 +568,46 @@
     // Returning and joining.
 
     fn ask_how_far(&mut self) {
-        let (asked, last) = (self.returning.as_ref().map_or(0, |r| r.asked), self.log.last());
-        self.tell_others(Body::Return { asked, last });
+        let (nonce, last) = (self.returning.as_ref().map_or(0, |r| r.nonce), self.log.last());
+        self.tell_others(Body::RejoinRequest { nonce, last });
     }
 
     /// To whoever is at the other places.
     fn tell_others(&mut self, body: Body) {
-        let own = self.settings.place();
-        for place in self.settings.places.clone() {
-            if place != own {
-                self.send(Id::anyone_at(place), self.hard.term, body.clone());
+        let own = self.settings.replica_id();
+        for replica_id in self.settings.replica_ids.clone() {
+            if replica_id != own {
+                self.send(Id::any_incarnation(replica_id), self.hard_state.term, body.clone());
             }
         }
     }
 
-    fn tell_how_far(&mut self, from: Id, asked: u64, last: Position) {
+    fn tell_how_far(&mut self, from: Id, nonce: u64, last: Position) {
         let known = self.acked.get(&from).copied().unwrap_or(0);
         let lost = last.index < known || self.knows_as_out(from);
-        self.send(from, self.hard.term, Body::Known { asked, last: self.log.last(), lost });
+        self.send(from, self.hard_state.term, Body::RejoinResponse { nonce, last: self.log.last(), lost });
     }
 
     /// As a leader that knows what is committed: this one votes no more, and another life may have followed it. Danger: one
     /// that is behind would take a newcomer for one that was taken out.
     fn knows_as_out(&self, id: Id) -> bool {
         let Part::Leader(lead) = &self.part else { return false };
-        self.commit >= lead.first
-            && self.log.voters_at() <= self.commit
+        self.commit_index >= lead.first
+            && self.log.voters_at() <= self.commit_index
             && !self.log.voters().contains(&id)
             && !lead.peers.contains_key(&id)
     }
 
-    fn heard_how_far(&mut self, from: Id, term: Term, asked: u64, last: Position, lost: bool) {
-        let all = self.settings.places.len();
-        let Some(returning) = self.returning.as_mut().filter(|returning| returning.asked == asked) else {
+    fn heard_how_far(&mut self, from: Id, term: Term, nonce: u64, last: Position, lost: bool) {
+        let all = self.settings.replica_ids.len();
+        let Some(returning) = self.returning.as_mut().filter(|returning| returning.nonce == nonce) else {
             return;
         };
-        if lost && term >= self.hard.term {
+        if lost && term >= self.hard_state.term {
             self.lost = true;
             return;
         }
-        returning.heard.insert(from.place, last);
+        returning.heard.insert(from.replica_id, last);
         returning.term = returning.term.max(term);
         // Danger: this replica may have been one of any majority; so many others have one of each among them, which
         // knows the term that it voted in and holds what it acknowledged.
@@ -598,27 +617,31 @@
         let (term, floor) = (returning.term, returning.heard.values().max().copied().unwrap_or_default());
         self.returning = None;
         self.floor = floor;
-        let own = self.hard.vote.filter(|_| self.hard.term >= term);
+        let own = self.hard_state.vote.filter(|_| self.hard_state.term >= term);
         // Danger: a vote of this term may have been given and forgotten.
-        self.set_hard(Hard { term: self.hard.term.max(term), vote: own.or(Some(self.settings.id)) });
+        self.set_hard(HardState {
+            term: self.hard_state.term.max(term),
+            vote: own.or(Some(self.settings.id)),
+        });
         self.since_heard = 0;
         self.draw_timeout();
     }
 
     fn asked_to_join(&mut self, from: Id) {
-        let election = self.settings.election;
-        let twin = self.log.voters().iter().copied().find(|id| id.place == from.place && *id != from);
-        let own = self.settings.place() == from.place;
+        let election = self.settings.election_ticks;
+        let twin =
+            self.log.voters().iter().copied().find(|id| id.replica_id == from.replica_id && *id != from);
+        let own = self.settings.replica_id() == from.replica_id;
         let Part::Leader(lead) = &mut self.part else { return };
         let twin_heard =
             twin.and_then(|twin| lead.peers.get(&twin)).is_some_and(|peer| peer.silent < election);
         if own || twin_heard {
             // Danger: a second process started by mistake would turn out the one that serves.
-            return self.send(from, self.hard.term, Body::NotNow);
+            return self.send(from, self.hard_state.term, Body::JoinRefused);
         }
         if let Some(twin) = twin {
             let voters = self.log.voters().iter().copied().filter(|id| *id != twin).collect();
-            let _ = self.change(voters);
+            let _ = self.change_voters(voters);
             return;
         }
         let next = self.log.last().index + 1;
@@ -632,15 +655,15 @@
         let last = self.log.last().index;
         let Part::Leader(lead) = &self.part else { return };
         let ready = lead.joining.iter().copied().find(|id| {
-            let matched = lead.peers.get(id).map_or(0, |peer| peer.matched);
-            matched > 0 && matched + JOIN_GAP >= last && !self.log.voters().contains(id)
+            let match_index = lead.peers.get(id).map_or(0, |peer| peer.match_index);
+            match_index > 0 && match_index + JOIN_GAP >= last && !self.log.voters().contains(id)
         });
         if let Some(id) = ready {
             let mut voters = self.log.voters().clone();
             // Danger: a place that votes twice would count for two.
-            if voters.iter().all(|voter| voter.place != id.place) {
+            if voters.iter().all(|voter| voter.replica_id != id.replica_id) {
                 voters.insert(id);
-                let _ = self.change(voters);
+                let _ = self.change_voters(voters);
             }
         }
     }
@@ -653,18 +676,18 @@
 
     fn hears_leader(&self) -> bool {
         matches!(self.part, Part::Leader(_))
-            || (self.leader.is_some() && self.since_heard < self.settings.election)
+            || (self.leader.is_some() && self.since_heard < self.settings.election_ticks)
     }
 
     fn draw_timeout(&mut self) {
-        let spread = u64::from(self.settings.election);
-        self.timeout = self.settings.election + self.chance.rand_range(0..spread.max(1)) as u32;
+        let spread = u64::from(self.settings.election_ticks);
+        self.timeout = self.settings.election_ticks + self.chance.rand_range(0..spread.max(1)) as u32;
     }
 
-    fn set_hard(&mut self, hard: Hard) {
-        if self.hard != hard {
-            self.hard = hard;
-            self.unsaved.hard = Some(hard);
+    fn set_hard(&mut self, hard_state: HardState) {
+        if self.hard_state != hard_state {
+            self.hard_state = hard_state;
+            self.unsaved.hard_state = Some(hard_state);
         }
     }
 
@@ -673,8 +696,8 @@
             let reads = lead.reads.iter().chain(&lead.ready).map(|(ticket, _)| *ticket);
             self.work.failed_reads.extend(reads);
         }
-        if term > self.hard.term {
-            self.set_hard(Hard { term, vote: None });
+        if term > self.hard_state.term {
+            self.set_hard(HardState { term, vote: None });
             self.leader = None;
         }
         if leader.is_some() {
@@ -685,7 +708,7 @@
     }
 
     /// Stands for election: first only asks whether it would be heard, unless it was handed the leadership.
-    fn stand(&mut self, handed: bool) {
+    fn stand(&mut self, leadership_transfer: bool) {
         self.since_heard = 0;
         self.draw_timeout();
         let last = self.log.last();
@@ -694,14 +717,14 @@
             return;
         }
         let own = BTreeSet::from([self.settings.id]);
-        if handed || self.log.voters().len() == 1 {
-            self.set_hard(Hard { term: self.hard.term + 1, vote: Some(self.settings.id) });
+        if leadership_transfer || self.log.voters().len() == 1 {
+            self.set_hard(HardState { term: self.hard_state.term + 1, vote: Some(self.settings.id) });
             self.leader = None;
             self.part = Part::Candidate(own);
-            self.tell_voters(self.hard.term, &Body::Ask { last, handed });
+            self.tell_voters(self.hard_state.term, &Body::VoteRequest { last, leadership_transfer });
         } else {
             self.part = Part::Pre(own);
-            self.tell_voters(self.hard.term + 1, &Body::AskPre { last });
+            self.tell_voters(self.hard_state.term + 1, &Body::PreVoteRequest { last });
         }
         self.count();
     }
@@ -714,11 +737,14 @@
     fn count(&mut self) {
         match &self.part {
             Part::Pre(votes) if self.majority(votes) => {
-                self.set_hard(Hard { term: self.hard.term + 1, vote: Some(self.settings.id) });
+                self.set_hard(HardState { term: self.hard_state.term + 1, vote: Some(self.settings.id) });
                 self.part = Part::Candidate(BTreeSet::from([self.settings.id]));
                 self.since_heard = 0;
                 let last = self.log.last();
-                self.tell_voters(self.hard.term, &Body::Ask { last, handed: false });
+                self.tell_voters(
+                    self.hard_state.term,
+                    &Body::VoteRequest { last, leadership_transfer: false },
+                );
                 self.count();
             }
             Part::Candidate(votes) if self.majority(votes) => self.lead(),
@@ -727,17 +753,17 @@
     }
 
     fn asked(&mut self, from: Id, last: Position) {
-        let free = self.hard.vote.is_none_or(|vote| vote == from);
+        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
         let granted = free
             && matches!(self.part, Part::Follower | Part::Pre(_))
             && self.leader.is_none()
             && last >= self.floor.max(self.log.last());
         if granted {
-            self.set_hard(Hard { vote: Some(from), ..self.hard });
+            self.set_hard(HardState { vote: Some(from), ..self.hard_state });
             self.since_heard = 0;
             self.draw_timeout();
         }
-        self.send(from, self.hard.term, Body::Vote { granted });
+        self.send(from, self.hard_state.term, Body::VoteResponse { granted });
     }
 
     fn lead(&mut self) {
@@ -746,14 +772,14 @@
         let others = self.log.voters().iter().filter(|id| **id != self.settings.id);
         let peers = others.map(|id| (*id, Peer { next, ..Peer::default() })).collect();
         self.part = Part::Leader(Lead { peers, first: next, ..Lead::default() });
-        self.append(Content::Blank);
+        self.append(Content::Noop);
     }
 
     // The leader's part.
 
     fn append(&mut self, content: Content) -> Position {
-        let at = Position { term: self.hard.term, index: self.log.last().index + 1 };
-        let entry = Entry { at, content };
+        let at = Position { term: self.hard_state.term, index: self.log.last().index + 1 };
+        let entry = Entry { position: at, content };
         self.unsaved.entries.push(entry.clone());
         self.log.push(entry);
         if let Part::Leader(lead) = &mut self.part {
@@ -768,7 +794,7 @@
     }
 
     fn tick_leader(&mut self) {
-        let election = self.settings.election;
+        let election = self.settings.election_ticks;
         let Part::Leader(lead) = &mut self.part else { return };
         lead.peers.values_mut().for_each(|peer| peer.silent = peer.silent.saturating_add(1));
         lead.since_beat += 1;
@@ -783,19 +809,19 @@
         if !self.majority(&heard) {
             // Danger: one that is cut off with clients would keep them waiting for ever.
             self.leader = None;
-            return self.follow(self.hard.term, None);
+            return self.follow(self.hard_state.term, None);
         }
         let Part::Leader(lead) = &mut self.part else { return };
         let voters = self.log.voters();
         lead.joining.retain(|id| !voters.contains(id));
         lead.peers.retain(|id, peer| voters.contains(id) || peer.silent < election * 2);
-        if lead.since_beat >= self.settings.beat {
+        if lead.since_beat >= self.settings.heartbeat_ticks {
             lead.since_beat = 0;
             for peer in lead.peers.values_mut() {
                 peer.snapshot_in = peer.snapshot_in.saturating_sub(1);
                 // What was sent and not acknowledged since the last beat is taken for lost.
                 if !std::mem::take(&mut peer.moved) {
-                    peer.next = peer.matched + 1;
+                    peer.next = peer.match_index + 1;
                 }
             }
             self.beat();
@@ -822,44 +848,48 @@
                 // It lacks what is held no more.
                 if let Some(snapshot) = self.log.snapshot.as_ref().filter(|_| peer.snapshot_in == 0) {
                     peer.snapshot_in = SNAPSHOT_BEATS;
-                    out.push((*id, Body::Install { snapshot: snapshot.clone(), round: lead.round }));
+                    out.push((*id, Body::InstallSnapshot { snapshot: snapshot.clone(), round: lead.round }));
                     continue;
                 }
             }
-            let before = peer.next.clamp(self.log.base().index + 1, last + 1) - 1;
-            let before = Position { term: self.log.term(before).unwrap_or_default(), index: before };
-            let entries = self.log.from(before.index + 1, ENTRIES_MOST, BYTES_MOST);
+            let previous = peer.next.clamp(self.log.base().index + 1, last + 1) - 1;
+            let previous = Position { term: self.log.term(previous).unwrap_or_default(), index: previous };
+            let entries = self.log.from(previous.index + 1, ENTRIES_MOST, BYTES_MOST);
             if entries.is_empty() && !also_empty {
                 continue;
             }
-            peer.next = before.index + 1 + entries.len() as Index;
-            out.push((*id, Body::Append { before, entries, commit: self.commit, round: lead.round }));
+            peer.next = previous.index + 1 + entries.len() as Index;
+            out.push((
+                *id,
+                Body::AppendRequest { previous, entries, commit_index: self.commit_index, round: lead.round },
+            ));
         }
-        let term = self.hard.term;
+        let term = self.hard_state.term;
         out.into_iter().for_each(|(id, body)| self.send(id, term, body));
     }
 
-    fn acknowledged(&mut self, from: Id, matched: Option<Index>, last: Index, round: u64) {
+    fn acknowledged(&mut self, from: Id, match_index: Option<Index>, last: Index, round: u64) {
         let Part::Leader(lead) = &mut self.part else { return };
         let Some(peer) = lead.peers.get_mut(&from) else { return };
         peer.silent = 0;
         peer.round = peer.round.max(round);
-        let lacks = match matched {
+        let lacks = match match_index {
             // An answer from before the leader's own entries may be of use, and is never more than was sent.
-            Some(matched) => {
-                peer.moved |= matched > peer.matched;
-                peer.matched = peer.matched.max(matched);
-                peer.next = peer.next.max(peer.matched + 1);
-                peer.snapshot_in = if peer.matched > self.log.base().index { 0 } else { peer.snapshot_in };
+            Some(match_index) => {
+                peer.moved |= match_index > peer.match_index;
+                peer.match_index = peer.match_index.max(match_index);
+                peer.next = peer.next.max(peer.match_index + 1);
+                peer.snapshot_in =
+                    if peer.match_index > self.log.base().index { 0 } else { peer.snapshot_in };
                 peer.next <= self.log.last().index
             }
-            None if last < peer.matched => {
+            None if last < peer.match_index => {
                 // Answers of one life come in order or not at all: it holds less than it had acknowledged.
-                let acknowledged = peer.matched;
-                return self.send(from, self.hard.term, Body::Lost { acknowledged });
+                let acknowledged = peer.match_index;
+                return self.send(from, self.hard_state.term, Body::AcknowledgedLost { acknowledged });
             }
             None => {
-                peer.next = (last + 1).min(peer.next.saturating_sub(1)).max(peer.matched + 1);
+                peer.next = (last + 1).min(peer.next.saturating_sub(1)).max(peer.match_index + 1);
                 true
             }
         };
@@ -875,9 +905,9 @@
         let last = self.log.last().index;
         let Part::Leader(lead) = &self.part else { return };
         if let Some((to, _)) = lead.hands_over
-            && lead.peers.get(&to).is_some_and(|peer| peer.matched == last)
+            && lead.peers.get(&to).is_some_and(|peer| peer.match_index == last)
         {
-            self.send(to, self.hard.term, Body::HandOver);
+            self.send(to, self.hard_state.term, Body::TimeoutNow);
         }
     }
 
@@ -889,7 +919,7 @@
             if *id == self.settings.id {
                 self.saved
             } else {
-                lead.peers.get(id).map_or(0, |peer| peer.matched)
+                lead.peers.get(id).map_or(0, |peer| peer.match_index)
             }
         };
         let mut ends: Vec<Index> = voters.iter().map(held).collect();
@@ -897,16 +927,16 @@
         let end = ends.get(ends.len().saturating_sub(1) / 2).copied().unwrap_or(0);
         // Danger: an entry of an earlier term that a majority holds may still be overwritten; only one of this term
         // settles it.
-        let moved = end > self.commit && self.log.term(end) == Some(self.hard.term);
+        let moved = end > self.commit_index && self.log.term(end) == Some(self.hard_state.term);
         if moved {
-            self.commit = end;
+            self.commit_index = end;
         }
         for (id, peer) in &lead.peers {
-            let known = peer.matched.min(self.commit);
+            let known = peer.match_index.min(self.commit_index);
             let acked = self.acked.entry(*id).or_default();
             *acked = known.max(*acked);
         }
-        if self.commit >= lead.first {
+        if self.commit_index >= lead.first {
             let rounds = |round: u64| {
                 let answered = |id: &&Id| {
                     **id == self.settings.id || lead.peers.get(id).is_some_and(|peer| peer.round >= round)
@@ -916,11 +946,11 @@
             while let Some((ticket, round)) = lead.reads.front().copied()
                 && rounds(round)
             {
-                lead.ready.push_back((ticket, self.commit));
+                lead.ready.push_back((ticket, self.commit_index));
                 lead.reads.pop_front();
             }
         }
-        let out = !self.votes() && self.log.voters_at() <= self.commit;
+        let out = !self.votes() && self.log.voters_at() <= self.commit_index;
         if moved {
             // Followers hear of it at once; clients of theirs wait for it.
             self.beat();
@@ -928,61 +958,62 @@
         if out {
             // It has led its own removal to the end.
             self.leader = None;
-            self.follow(self.hard.term, None);
+            self.follow(self.hard_state.term, None);
         }
     }
 
     // The follower's part.
 
-    fn appended(&mut self, before: Position, entries: Vec<Entry>, commit: Index) -> Option<Index> {
+    fn appended(&mut self, previous: Position, entries: Vec<Entry>, commit_index: Index) -> Option<Index> {
         let base = self.log.base().index;
-        if before.index >= base && self.log.term(before.index) != Some(before.term) {
+        if previous.index >= base && self.log.term(previous.index) != Some(previous.term) {
             return None;
         }
-        let end = before.index + entries.len() as Index;
+        let end = previous.index + entries.len() as Index;
         for entry in entries {
             // What stands at or before the base is committed, so the same.
-            if entry.at.index <= base {
+            if entry.position.index <= base {
                 continue;
             }
-            match self.log.term(entry.at.index) {
-                Some(term) if term == entry.at.term => continue,
-                Some(_) => self.cut(entry.at.index),
+            match self.log.term(entry.position.index) {
+                Some(term) if term == entry.position.term => continue,
+                Some(_) => self.cut(entry.position.index),
                 None => {}
             }
             self.unsaved.entries.push(entry.clone());
             self.log.push(entry);
         }
         self.admitted |= self.votes();
-        self.commit = self.commit.max(commit.min(end));
+        self.commit_index = self.commit_index.max(commit_index.min(end));
         Some(end)
     }
 
     fn cut(&mut self, from: Index) {
-        assert!(from > self.commit, "an entry at or before the commit index is overwritten: {from}");
+        assert!(from > self.commit_index, "an entry at or before the commit index is overwritten: {from}");
         self.log.cut(from);
-        self.unsaved.entries.retain(|entry| entry.at.index < from);
-        self.unsaved.cut_from = Some(self.unsaved.cut_from.map_or(from, |earlier| earlier.min(from)));
+        self.unsaved.entries.retain(|entry| entry.position.index < from);
+        self.unsaved.truncate_from =
+            Some(self.unsaved.truncate_from.map_or(from, |earlier| earlier.min(from)));
         self.saved = self.saved.min(from - 1);
         self.under_way.iter_mut().for_each(|(_, end)| *end = (*end).min(from - 1));
     }
 
     fn installed(&mut self, snapshot: Snapshot) {
-        let at = snapshot.at;
-        if at.index <= self.commit {
+        let at = snapshot.last_included;
+        if at.index <= self.commit_index {
             return;
         }
         if self.log.term(at.index) == Some(at.term) {
             // It holds these entries, and learns here that they are committed.
-            self.commit = at.index;
+            self.commit_index = at.index;
             return;
         }
         self.unsaved.entries.clear();
-        self.unsaved.cut_from = Some(0);
+        self.unsaved.truncate_from = Some(0);
         self.unsaved.snapshot = Some(snapshot.clone());
         self.log.install(snapshot.clone());
         self.under_way.iter_mut().for_each(|(_, end)| *end = 0);
-        (self.commit, self.given, self.saved) = (at.index, at.index, 0);
+        (self.commit_index, self.given, self.saved) = (at.index, at.index, 0);
         self.work.committed.clear();
         self.work.install = Some(snapshot);
     }
@@ -1001,7 +1032,7 @@
 }
 
 impl Settings {
-    fn place(&self) -> u16 {
-        self.id.place
+    fn replica_id(&self) -> u16 {
+        self.id.replica_id
     }
 }
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use appledyke_consensus::{
-    Batch, Body, Content, Entry, Id, Index, Message, Position, Replica, Role, Settings, Snapshot, Term, Work,
-    keep,
+    Batch, Body, Content, Entry, Id, Index, Message, Position, Ready, Replica, Role, Settings, Snapshot,
+    Term, storage,
 };
 use appledyke_store::Store;
-use appledyke_store::standin::{Files, StandIn};
+use appledyke_store::simulated_disk::{Files, SimulatedDisk};
 use oorandom::Rand64;
 
 /// Steps with faults, then steps in which all must come right again.
@@ -64,7 +64,7 @@
 
 struct Running {
     replica: Replica,
-    store: Store<StandIn>,
+    store: Store<SimulatedDisk>,
     /// Batches on their way to the disk, and when each is there.
     queue: VecDeque<(u64, Batch)>,
     machine: Machine,
@@ -73,7 +73,7 @@
 
 struct Node {
     id: Id,
-    disk: StandIn,
+    disk: SimulatedDisk,
     running: Option<Running>,
     /// Ticks a step, and what is left of one.
     rate: f64,
@@ -144,11 +144,11 @@
             trace: Vec::new(),
         };
         for at in 0..count {
-            let id = Id { place: at as u16 + 1, life: at as u64 + 1 };
+            let id = Id { replica_id: at as u16 + 1, incarnation: at as u64 + 1 };
             let rate = 0.7 + 0.6 * world.chance.rand_float();
             let node = Node {
                 id,
-                disk: StandIn::default(),
+                disk: SimulatedDisk::default(),
                 running: None,
                 rate,
                 part: 0.0,
@@ -158,10 +158,11 @@
             };
             world.nodes.push(node);
         }
-        let founder = Replica::founder(world.nodes[0].id);
-        let batch = Batch { hard: Some(founder.hard), entries: founder.entries, ..Batch::default() };
+        let bootstrap = Replica::bootstrap(world.nodes[0].id);
+        let batch =
+            Batch { hard_state: Some(bootstrap.hard_state), entries: bootstrap.entries, ..Batch::default() };
         let (mut store, _) = Store::open(world.nodes[0].disk.clone()).unwrap();
-        store.commit(&keep::changes(&batch, store.iter())).unwrap();
+        store.commit(&storage::changes(&batch, store.iter())).unwrap();
         drop(store);
         (0..count).for_each(|at| world.start(at));
         world
@@ -177,17 +178,24 @@
 
     fn start(&mut self, at: usize) {
         let seed = self.chance.rand_u64();
-        let places = (1..=self.nodes.len() as u16).collect();
-        let vouched =
+        let replica_ids = (1..=self.nodes.len() as u16).collect();
+        let trust_folder =
             [Tamper::OldCopiesTrusted, Tamper::ForgottenVotes, Tamper::EarlyDurable].contains(&self.tamper);
         let node = &mut self.nodes[at];
         let (store, report) = Store::open(node.disk.clone()).unwrap();
         assert!(report.missing_from.is_none());
-        let mut kept = keep::kept(store.iter()).unwrap();
+        let mut kept = storage::load(store.iter()).unwrap();
         if self.tamper == Tamper::ForgottenVotes {
-            kept.hard = Default::default();
-        }
-        let settings = Settings { id: node.id, places, election: ELECTION, beat: BEAT, tail: TAIL, vouched };
+            kept.hard_state = Default::default();
+        }
+        let settings = Settings {
+            id: node.id,
+            replica_ids,
+            election_ticks: ELECTION,
+            heartbeat_ticks: BEAT,
+            trailing_entries: TAIL,
+            trust_folder,
+        };
         let replica = Replica::new(settings, seed, kept);
         let machine = Machine::default();
         node.running = Some(Running { replica, store, queue: VecDeque::new(), machine, since_snapshot: 0 });
@@ -279,7 +287,7 @@
         if self.by_chance(0.05) {
             let node = &mut self.nodes[at];
             if node.running.is_some() {
-                let files = node.disk.after_cut([0, 0]);
+                let files = node.disk.files_after_power_cut([0, 0]);
                 node.copies.push((files, node.id));
             }
         }
@@ -298,12 +306,12 @@
         let Some(mut running) = node.running.take() else { return };
         if let Some((_, batch)) = running.queue.pop_front() {
             let at = node.disk.0.borrow().operations + operation;
-            node.disk.0.borrow_mut().cut_at = Some(at);
-            let changes = keep::changes(&batch, running.store.iter());
+            node.disk.0.borrow_mut().power_cut_at = Some(at);
+            let changes = storage::changes(&batch, running.store.iter());
             let _ = running.store.commit(&changes);
         }
-        let files = node.disk.after_cut(kept);
-        node.disk = StandIn::of(files);
+        let files = node.disk.files_after_power_cut(kept);
+        node.disk = SimulatedDisk::with_files(files);
         node.back_at = back_at;
     }
 
@@ -314,16 +322,16 @@
         else {
             return;
         };
-        self.wounded = Some((at, running.replica.last(), self.committed.len() as Index));
+        self.wounded = Some((at, running.replica.last_position(), self.committed.len() as Index));
         self.kill(at);
-        let own = self.nodes[at].id.place;
-        self.net.retain(|_, message| message.from.place != own);
+        let own = self.nodes[at].id.replica_id;
+        self.net.retain(|_, message| message.from.replica_id != own);
         let old = self.by_chance(0.5) || self.tamper == Tamper::OldCopiesTrusted;
         let count = self.nodes[at].copies.len() as u64;
         if old && count > 0 {
             let which = self.range(count) as usize;
             let (files, id) = self.nodes[at].copies[which].clone();
-            (self.nodes[at].disk, self.nodes[at].id) = (StandIn::of(files), id);
+            (self.nodes[at].disk, self.nodes[at].id) = (SimulatedDisk::with_files(files), id);
         } else {
             self.another_life(at);
         }
@@ -333,8 +341,8 @@
         self.lives += 1;
         let node = &mut self.nodes[at];
         node.running = None;
-        node.disk = StandIn::default();
-        node.id.life = self.lives;
+        node.disk = SimulatedDisk::default();
+        node.id.incarnation = self.lives;
         node.copies.clear();
     }
 
@@ -359,7 +367,7 @@
             && self.votes(at)
         {
             let running = self.nodes[at].running.as_ref().expect("it votes");
-            if running.replica.last() >= last && running.replica.committed() >= committed {
+            if running.replica.last_position() >= last && running.replica.commit_index() >= committed {
                 self.wounded = None;
             }
         }
@@ -372,12 +380,12 @@
         let Some(running) = &mut self.nodes[at].running else { return };
         while running.queue.front().is_some_and(|(there, _)| *there <= now) {
             let (_, batch) = running.queue.pop_front().expect("looked");
-            let changes = keep::changes(&batch, running.store.iter());
+            let changes = storage::changes(&batch, running.store.iter());
             running.store.commit(&changes).expect("no fault on this disk");
-            if running.store.length() > 20_000 {
+            if running.store.log_length() > 20_000 {
                 running.store.compact().expect("no fault on this disk");
             }
-            running.replica.durable(batch.number);
+            running.replica.mark_durable(batch.number);
         }
     }
 
@@ -385,14 +393,14 @@
         loop {
             let wait = if self.by_chance(0.7) { 0 } else { self.range(6) };
             let Some(running) = &mut self.nodes[at].running else { return Ok(()) };
-            let work = running.replica.take();
+            let work = running.replica.take_ready();
             if work.is_empty() {
                 return Ok(());
             }
-            let Work { batch, messages, install, committed, reads, failed_reads: _ } = work;
+            let Ready { batch, messages, install, committed, reads, failed_reads: _ } = work;
             if let Some(batch) = batch {
                 if self.tamper == Tamper::EarlyDurable {
-                    running.replica.durable(batch.number);
+                    running.replica.mark_durable(batch.number);
                 }
                 running.queue.push_back((self.now + wait, batch));
             }
@@ -415,14 +423,14 @@
         let own = self.nodes[at].id;
         if let Content::Command(command) = &mut entry.content
             && self.tamper == Tamper::OtherApplied
-            && own.place == 2
+            && own.replica_id == 2
         {
             command[0] = 0;
         }
-        let twice = self.tamper == Tamper::WrongApply && own.place == 2;
+        let twice = self.tamper == Tamper::WrongApply && own.replica_id == 2;
         let running = self.nodes[at].running.as_mut().expect("it gave the entry");
         let machine = &mut running.machine;
-        let index = entry.at.index;
+        let index = entry.position.index;
         if index != machine.applied + 1 {
             return Err(format!("state machine safety: {own} applies {index} after {}", machine.applied));
         }
@@ -464,18 +472,18 @@
 
     fn post(&mut self, mut message: Message) {
         match (self.tamper, &mut message.body) {
-            (Tamper::AnyLog, Body::Ask { last, .. } | Body::AskPre { last }) => {
+            (Tamper::AnyLog, Body::VoteRequest { last, .. } | Body::PreVoteRequest { last }) => {
                 *last = Position { term: u64::MAX, index: u64::MAX };
             }
-            (Tamper::ChangedEntry, Body::Append { entries, .. }) if message.to.place == 2 => {
+            (Tamper::ChangedEntry, Body::AppendRequest { entries, .. }) if message.to.replica_id == 2 => {
                 for entry in entries {
                     if let Content::Command(command) = &mut entry.content {
                         command[7] ^= 1;
                     }
                 }
             }
-            (Tamper::NoVotes, Body::Vote { .. }) if self.calm && self.now > CALM => return,
-            (Tamper::ForgedVotes, Body::Vote { granted }) => *granted = true,
+            (Tamper::NoVotes, Body::VoteResponse { .. }) if self.calm && self.now > CALM => return,
+            (Tamper::ForgedVotes, Body::VoteResponse { granted }) => *granted = true,
             _ => {}
         }
         self.send(message);
@@ -500,7 +508,8 @@
                 self.net.insert((when, number), message);
                 return Ok(());
             }
-            let (from, to) = (usize::from(message.from.place) - 1, usize::from(message.to.place) - 1);
+            let (from, to) =
+                (usize::from(message.from.replica_id) - 1, usize::from(message.to.replica_id) - 1);
             if self.cut[from][to] {
                 continue;
             }
@@ -510,7 +519,7 @@
                 continue;
             }
             if let Some(running) = &mut self.nodes[to].running {
-                running.replica.hear(message);
+                running.replica.receive(message);
                 self.drain(to)?;
             }
         }
@@ -532,7 +541,7 @@
         let (id, number) = (self.nodes[at].id, self.operations.len());
         let Some(running) = &mut self.nodes[at].running else { return };
         let taken = if reads {
-            running.replica.read(number as u64).is_ok()
+            running.replica.request_read(number as u64).is_ok()
         } else {
             running.replica.propose((number as u64).to_le_bytes().to_vec()).is_ok()
         };
@@ -577,14 +586,14 @@
                 Some(_) => {}
                 None => {
                     let base = replica.base().index;
-                    let needs = self.committed.iter().filter(|entry| entry.at.term < replica.term());
-                    for entry in needs.filter(|entry| entry.at.index > base) {
-                        if replica.entry(entry.at.index) != Some(entry) {
+                    let needs = self.committed.iter().filter(|entry| entry.position.term < replica.term());
+                    for entry in needs.filter(|entry| entry.position.index > base) {
+                        if replica.entry(entry.position.index) != Some(entry) {
                             return Err(format!(
                                 "leader completeness: {} leads term {} without {:?}",
                                 node.id,
                                 replica.term(),
-                                entry.at
+                                entry.position
                             ));
                         }
                     }
@@ -600,7 +609,7 @@
         for (at, one) in running.iter().enumerate() {
             for other in &running[at + 1..] {
                 let low = one.base().index.max(other.base().index) + 1;
-                let high = one.last().index.min(other.last().index);
+                let high = one.last_position().index.min(other.last_position().index);
                 let same = (low..=high).rev().find(|index| one.term_at(*index) == other.term_at(*index));
                 for index in low..=same.unwrap_or(0) {
                     if one.entry(index) != other.entry(index) {
@@ -669,7 +678,7 @@
                     node.id,
                     r.replica.role(),
                     r.replica.term(),
-                    r.replica.last(),
+                    r.replica.last_position(),
                     r.replica.voters().iter().map(ToString::to_string).collect::<Vec<_>>()
                 ),
                 None => format!("{} down", node.id),
--- a/crates/daemon/benches/apply.rs
+++ b/crates/daemon/benches/apply.rs
@@ -37,8 +37,10 @@
     c.bench_function("persist an entry, two copies synced", |b| {
         b.iter(|| {
             index += 1;
-            let entry =
-                Entry { at: Position { term: 1, index }, content: Content::Command(put(index).bytes()) };
+            let entry = Entry {
+                position: Position { term: 1, index },
+                content: Content::Command(put(index).bytes()),
+            };
             folder.persist(&Batch { entries: vec![entry], ..Batch::default() }).expect("written");
         });
     });
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use appledyke_consensus::{Batch, Id, Kept, Replica, Snapshot, keep};
+use appledyke_consensus::{Batch, Id, PersistedState, Replica, Snapshot, storage};
 use appledyke_fleet::Fleet;
 use appledyke_store::disk;
 use appledyke_store::format::Change;
@@ -50,7 +50,7 @@
             Closed::Refused(named("another process has it".to_string()))
         }
         StoreError::Disk(disk::DiskError::Failed(what)) => Closed::Disk(what),
-        StoreError::Version { file, version } => {
+        StoreError::UnsupportedVersion { file, version } => {
             Closed::Refused(named(format!("{file} is of version {version}, which a later program wrote")))
         }
         StoreError::ReadOnly => Closed::Disk(named("nothing more is written".to_string())),
@@ -68,16 +68,20 @@
     ///
     /// # Errors
     /// Why it can't be used.
-    pub fn open(path: &Path, fleet: &str, place: u16) -> Result<(Folder, Kept, Vec<String>), Closed> {
+    pub fn open(
+        path: &Path,
+        fleet: &str,
+        place: u16,
+    ) -> Result<(Folder, PersistedState, Vec<String>), Closed> {
         let named = |what: String| format!("{}: {what}", path.display());
         let (mut store, report) =
             Store::open(disk::Folder::new(path.to_path_buf())).map_err(|e| closed(path, e))?;
         let mut notes = Vec::new();
-        if !report.mended.is_empty() {
-            notes.push(named(format!("mended {}", report.mended.join(", "))));
+        if !report.repaired.is_empty() {
+            notes.push(named(format!("mended {}", report.repaired.join(", "))));
         }
-        if report.dropped > 0 {
-            notes.push(named(format!("dropped {} bytes that were never acknowledged", report.dropped)));
+        if report.dropped_bytes > 0 {
+            notes.push(named(format!("dropped {} bytes that were never acknowledged", report.dropped_bytes)));
         }
         if let Some(from) = report.missing_from {
             return Err(Closed::Damaged(named(format!(
@@ -89,7 +93,7 @@
                 return Err(Closed::Refused(named("it does not say whose it is".to_string())));
             }
             None => {
-                let id = Id { place, life: new_life()? };
+                let id = Id { replica_id: place, incarnation: new_life()? };
                 let owner = Change::Put(OWNER.to_vec(), owner(fleet, id));
                 store.commit(&[owner]).map_err(|e| closed(path, e))?;
                 id
@@ -98,12 +102,12 @@
             Some(Some((named_fleet, _))) if named_fleet != fleet => {
                 return Err(Closed::Refused(named(format!("it is of fleet {named_fleet}, not {fleet}"))));
             }
-            Some(Some((_, id))) if id.place != place => {
-                return Err(Closed::Refused(named(format!("it is of place {}, not {place}", id.place))));
+            Some(Some((_, id))) if id.replica_id != place => {
+                return Err(Closed::Refused(named(format!("it is of place {}, not {place}", id.replica_id))));
             }
             Some(Some((_, id))) => id,
         };
-        let kept = keep::kept(store.iter()).map_err(|what| Closed::Damaged(named(what)))?;
+        let kept = storage::load(store.iter()).map_err(|what| Closed::Damaged(named(what)))?;
         Ok((Folder { path: path.to_path_buf(), store, id, compacted: 0 }, kept, notes))
     }
 
@@ -111,18 +115,20 @@
     ///
     /// # Errors
     /// Why it can't be: it holds something already, or the disk fails.
-    pub fn found(&mut self, kept: &Kept, state: Option<Fleet>) -> Result<(), Closed> {
-        if *kept != Kept::default() {
+    pub fn found(&mut self, kept: &PersistedState, state: Option<Fleet>) -> Result<(), Closed> {
+        if *kept != PersistedState::default() {
             let what = format!("{}: it holds a replica already", self.path.display());
             return Err(Closed::Refused(what));
         }
-        let founder = Replica::founder(self.id);
-        let mut batch = Batch { hard: Some(founder.hard), entries: founder.entries, ..Batch::default() };
+        let founder = Replica::bootstrap(self.id);
+        let mut batch =
+            Batch { hard_state: Some(founder.hard_state), entries: founder.entries, ..Batch::default() };
         if let Some(state) = state {
-            let at = batch.entries[0].at;
+            let at = batch.entries[0].position;
             let mut state = state;
             state.pass(at.index);
-            batch.snapshot = Some(Snapshot { at, voters: [self.id].into(), state: state.bytes() });
+            batch.snapshot =
+                Some(Snapshot { last_included: at, voters: [self.id].into(), state: state.bytes() });
             batch.entries.clear();
         }
         self.persist(&batch)
@@ -131,12 +137,12 @@
     /// # Errors
     /// What the disk says: nothing more is written until it is opened again.
     pub fn persist(&mut self, batch: &Batch) -> Result<(), Closed> {
-        let changes = keep::changes(batch, self.store.iter());
+        let changes = storage::changes(batch, self.store.iter());
         self.store.commit(&changes).map_err(|e| closed(&self.path, e))?;
-        let length = self.store.length();
+        let length = self.store.log_length();
         if length > LENGTH_LEAST.max(SLACK * self.compacted) {
             self.store.compact().map_err(|e| closed(&self.path, e))?;
-            self.compacted = self.store.length();
+            self.compacted = self.store.log_length();
         }
         Ok(())
     }
@@ -158,14 +164,14 @@
 }
 
 fn owner(fleet: &str, id: Id) -> Vec<u8> {
-    format!("{fleet}\n{}\n{}", id.place, id.life).into_bytes()
+    format!("{fleet}\n{}\n{}", id.replica_id, id.incarnation).into_bytes()
 }
 
 fn read_owner(bytes: &[u8]) -> Option<(String, Id)> {
     let text = std::str::from_utf8(bytes).ok()?;
     let mut lines = text.rsplitn(3, '\n');
     let (life, place) = (lines.next()?.parse().ok()?, lines.next()?.parse().ok()?);
-    Some((lines.next()?.to_string(), Id { place, life }))
+    Some((lines.next()?.to_string(), Id { replica_id: place, incarnation: life }))
 }
 
 #[cfg(test)]
@@ -178,7 +184,7 @@
         let path = root.join("d1");
         let open = |fleet: &str, place| Folder::open(&path, fleet, place);
         let (mut folder, kept, notes) = open("zilina", 1).unwrap();
-        assert_eq!((kept.clone(), notes), (Kept::default(), vec![]));
+        assert_eq!((kept.clone(), notes), (PersistedState::default(), vec![]));
         let id = folder.id;
         folder.found(&kept, None).unwrap();
         assert!(
@@ -197,7 +203,12 @@
         drop(folder);
         let aside = Folder::set_aside(&path).unwrap();
         let (folder, kept, _) = open("zilina", 1).unwrap();
-        assert!(aside.exists() && kept == Kept::default() && folder.id != id && folder.id.place == 1);
+        assert!(
+            aside.exists()
+                && kept == PersistedState::default()
+                && folder.id != id
+                && folder.id.replica_id == 1
+        );
         drop(folder);
         std::fs::remove_dir_all(&root).unwrap();
     }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -327,16 +327,16 @@
         notes.iter().for_each(|note| tracing::warn!("{note}"));
         let settings = Settings {
             id: folder.id,
-            places: c.places(),
-            election: Daemon::in_ticks(c.election_ms),
-            beat: Daemon::in_ticks(c.beat_ms),
-            tail: c.compact_every,
-            vouched: std::mem::take(&mut self.vouched),
+            replica_ids: c.places(),
+            election_ticks: Daemon::in_ticks(c.election_ms),
+            heartbeat_ticks: Daemon::in_ticks(c.beat_ms),
+            trailing_entries: c.compact_every,
+            trust_folder: std::mem::take(&mut self.vouched),
         };
         let seed = getrandom::u64().map_err(|e| Closed::Disk(format!("no random number: {e}")))?;
         let id = folder.id;
         let replica = Replica::new(settings, seed, kept);
-        tracing::info!(%id, last = replica.last().index, "replica {id} opens with entries up to {}", replica.last().index);
+        tracing::info!(%id, last = replica.last_position().index, "replica {id} opens with entries up to {}", replica.last_position().index);
         self.marks.clear();
         self.life = Some(Life {
             folder,
@@ -435,7 +435,7 @@
 
     fn id(&self) -> Id {
         let place = self.configuration.place;
-        self.life.as_ref().map_or(Id::anyone_at(place), |life| life.replica.id())
+        self.life.as_ref().map_or(Id::any_incarnation(place), |life| life.replica.id())
     }
 
     fn told(&mut self) {
@@ -449,7 +449,7 @@
         let voters = heard.filter(|(id, _, _)| life.replica.voters().contains(id));
         if let Some((id, _, _)) = voters.max_by_key(|(_, matched, _)| *matched) {
             // Its place is taken without an election's wait.
-            let _ = life.replica.hand_over(id);
+            let _ = life.replica.transfer_leadership(id);
         }
     }
 }
--- a/crates/daemon/src/serve/connections.rs
+++ b/crates/daemon/src/serve/connections.rs
@@ -153,12 +153,12 @@
             }
             (Frame::Agree(message), Some(Who::Replica(id))) if dialed.is_none() && message.from == id => {
                 if let Some(life) = &mut self.life {
-                    life.replica.hear(message);
+                    life.replica.receive(message);
                     self.work();
                 }
             }
             (Frame::Digest { index, digest }, Some(Who::Replica(id))) if dialed.is_none() => {
-                self.compare(index, id.place, digest);
+                self.compare(index, id.replica_id, digest);
             }
             (Frame::Belongs(locality), Some(Who::Member { .. })) if peer.speaks >= VERSION => {
                 match locality.check() {
@@ -191,14 +191,14 @@
                 // Danger: what an earlier process of this place left in a connection comes too late to be its word.
                 let earlier = self.peers.iter().filter(|(_, peer)| {
                     peer.dialed.is_none()
-                        && matches!(&peer.who, Some(Who::Replica(other)) if other.place == id.place)
+                        && matches!(&peer.who, Some(Who::Replica(other)) if other.replica_id == id.replica_id)
                 });
                 for earlier in earlier.map(|(key, _)| key).collect::<Vec<_>>() {
                     self.hang_up(earlier);
                 }
                 // Danger: one that was replaced by an older version would count as one of this version by what its earlier
                 // process said; and one that was taken for an older one by mistake would stay so.
-                let other = self.dials.get(&id.place).and_then(|(_, key, _)| *key);
+                let other = self.dials.get(&id.replica_id).and_then(|(_, key, _)| *key);
                 let differs = |peer: &&Peer| peer.who.is_some() && peer.speaks != speaks;
                 if let Some(other) = other.filter(|other| self.peers.get(*other).filter(differs).is_some()) {
                     self.hang_up(other);
--- a/crates/daemon/src/serve/members.rs
+++ b/crates/daemon/src/serve/members.rs
@@ -59,7 +59,7 @@
             let role = life.replica.role();
             told.apart = !matches!(role, Role::Leader | Role::Follower | Role::Candidate);
             told.leads = role == Role::Leader;
-            told.leader = life.replica.leader().map(|id| id.place);
+            told.leader = life.replica.leader().map(|id| id.replica_id);
             let found =
                 life.heard.as_mut().map(|heard| heard.report(now, report, &life.fleet)).unwrap_or_default();
             (told.twin, told.superseded) = (found.twin, found.superseded);
--- a/crates/daemon/src/serve/operators.rs
+++ b/crates/daemon/src/serve/operators.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use appledyke_consensus::{Id, Refused, Role};
+use appledyke_consensus::{Id, ReplicaError, Role};
 use appledyke_fleet::budgets::{self, Holder, Thing};
 use appledyke_fleet::heard::Heard;
 use appledyke_fleet::members::TEXT_MOST;
@@ -34,9 +34,9 @@
             Ask::Write(write) => self.write(key, number, &Scope::All, write),
             Ask::WriteFor { scope, write } => self.write(key, number, &scope, write),
             Ask::HandOver(place) => {
-                let to = life.replica.voters().iter().copied().find(|id| id.place == place);
+                let to = life.replica.voters().iter().copied().find(|id| id.replica_id == place);
                 match to {
-                    Some(to) => life.replica.hand_over(to).map(|()| Some(Reply::Done)),
+                    Some(to) => life.replica.transfer_leadership(to).map(|()| Some(Reply::Done)),
                     None => Ok(Some(Reply::Refused(format!("place {place} does not vote")))),
                 }
             }
@@ -55,11 +55,11 @@
                     divider.ended(self.now, &Holder { name, incarnation });
                     Ok(Some(Reply::Done))
                 }
-                None => Err(Refused::NotLeader(life.replica.leader())),
+                None => Err(ReplicaError::NotLeader(life.replica.leader())),
             },
             _ => {
                 self.tickets += 1;
-                life.replica.read(ticket).map(|()| {
+                life.replica.request_read(ticket).map(|()| {
                     self.reads.insert(ticket, (key, number, ask));
                     None
                 })
@@ -69,15 +69,15 @@
     }
 
     /// Answers what has an answer already.
-    pub(super) fn outcome(&mut self, key: Key, number: u64, done: Result<Option<Reply>, Refused>) {
+    pub(super) fn outcome(&mut self, key: Key, number: u64, done: Result<Option<Reply>, ReplicaError>) {
         match done {
             Ok(Some(reply)) => self.reply(key, number, reply),
             Ok(None) => {}
-            Err(Refused::NotLeader(leader)) => {
-                self.reply(key, number, Reply::NotLeader(leader.map(|id| id.place)));
+            Err(ReplicaError::NotLeader(leader)) => {
+                self.reply(key, number, Reply::NotLeader(leader.map(|id| id.replica_id)));
             }
-            Err(Refused::HandsOver) => self.reply(key, number, Reply::NotLeader(None)),
-            Err(Refused::OneAtATime) => {
+            Err(ReplicaError::TransferringLeadership) => self.reply(key, number, Reply::NotLeader(None)),
+            Err(ReplicaError::VoterChangeRefused) => {
                 let why = "not now: another change is under way, or this one can't be made".to_string();
                 self.reply(key, number, Reply::Refused(why));
             }
@@ -91,8 +91,8 @@
         number: u64,
         scope: &Scope,
         write: Write,
-    ) -> Result<Option<Reply>, Refused> {
-        let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
+    ) -> Result<Option<Reply>, ReplicaError> {
+        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
         // What is applied is committed, whoever leads now.
         match life.fleet.done(write.id) {
             Some(Answer::Committed(version)) => return Ok(Some(Reply::Committed(*version))),
@@ -100,7 +100,7 @@
             _ => {}
         }
         if life.replica.role() != Role::Leader {
-            return Err(Refused::NotLeader(life.replica.leader()));
+            return Err(ReplicaError::NotLeader(life.replica.leader()));
         }
         if write.by.len() > TEXT_MOST || write.why.len() > TEXT_MOST {
             return Ok(Some(Reply::Faulty(format!("by, why: expected {TEXT_MOST} bytes at the most"))));
@@ -136,16 +136,21 @@
         key: Key,
         number: u64,
         command: &Command,
-    ) -> Result<Option<Reply>, Refused> {
-        let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
+    ) -> Result<Option<Reply>, ReplicaError> {
+        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
         let at = life.replica.propose(command.bytes())?;
         self.wait(at, key, Whom::Operator { number });
         Ok(None)
     }
 
     /// An operator's or an agent's word on a release; who goes next is the leader's own to say.
-    pub(super) fn release(&mut self, key: Key, number: u64, order: Order) -> Result<Option<Reply>, Refused> {
-        let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
+    pub(super) fn release(
+        &mut self,
+        key: Key,
+        number: u64,
+        order: Order,
+    ) -> Result<Option<Reply>, ReplicaError> {
+        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
         let order = match order {
             Order::Start(plan, _) => {
                 if let Err(what) = plan.check() {
@@ -169,14 +174,14 @@
         number: u64,
         place: u16,
         anyway: bool,
-    ) -> Result<Option<Reply>, Refused> {
-        let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
+    ) -> Result<Option<Reply>, ReplicaError> {
+        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
         let voters = life.replica.voters();
-        let Some(out) = voters.iter().copied().find(|id| id.place == place) else {
+        let Some(out) = voters.iter().copied().find(|id| id.replica_id == place) else {
             return Ok(Some(Reply::Refused(format!("place {place} does not vote"))));
         };
         if life.replica.role() != Role::Leader {
-            return Err(Refused::NotLeader(life.replica.leader()));
+            return Err(ReplicaError::NotLeader(life.replica.leader()));
         }
         if out == life.replica.id() {
             return Ok(Some(Reply::Refused(format!("place {place} leads: hand over first"))));
@@ -193,7 +198,7 @@
             );
             return Ok(Some(Reply::Refused(why)));
         }
-        let at = life.replica.change(left)?;
+        let at = life.replica.change_voters(left)?;
         self.wait(at, key, Whom::Operator { number });
         Ok(None)
     }
@@ -296,8 +301,8 @@
             let replica = &life.replica;
             status.role = format!("{:?}", replica.role());
             (status.term, status.leader) = (replica.term(), replica.leader());
-            (status.committed, status.applied) = (replica.committed(), life.fleet.applied());
-            (status.last, status.digest) = (replica.last().index, life.fleet.digest());
+            (status.committed, status.applied) = (replica.commit_index(), life.fleet.applied());
+            (status.last, status.digest) = (replica.last_position().index, life.fleet.digest());
             status.voters = replica.voters().iter().copied().collect();
             (status.version, status.peers) = (life.fleet.version(), replica.peers());
         }
--- a/crates/daemon/src/serve/scopes.rs
+++ b/crates/daemon/src/serve/scopes.rs
@@ -5,7 +5,7 @@
 use std::iter;
 
 use appledyke::units::{Moment, Span};
-use appledyke_consensus::{Id, Refused, Role};
+use appledyke_consensus::{Id, ReplicaError, Role};
 use appledyke_fleet::Version;
 use appledyke_fleet::heard::Heard;
 use appledyke_fleet::scopes::{Locality, Scope, Scoped, Scopes};
@@ -263,7 +263,7 @@
 
     /// A write of settings was proposed there.
     pub(super) fn proposed(&mut self, scope: &Scope) {
-        self.unsettled = (self.replica.last().index, *scope != Scope::All);
+        self.unsettled = (self.replica.last_position().index, *scope != Scope::All);
     }
 
     /// Answers what is asked of parts of the fleet.
@@ -302,8 +302,8 @@
         number: u64,
         scope: &Scope,
         write: Write,
-    ) -> Result<Option<Reply>, Refused> {
-        let Some(life) = &self.life else { return Err(Refused::NotLeader(None)) };
+    ) -> Result<Option<Reply>, ReplicaError> {
+        let Some(life) = &self.life else { return Err(ReplicaError::NotLeader(None)) };
         // Where something was put before, all spoke this version then; and one that is away must not hold up the rest.
         if *scope != Scope::All
             && life.fleet.scopes().is_empty()
@@ -334,7 +334,7 @@
         };
         let voters = life.replica.voters();
         let others = voters.iter().filter(|id| **id != own);
-        others.map(|id| (id.place, speaks(id))).find_map(|(place, speaks)| match speaks {
+        others.map(|id| (id.replica_id, speaks(id))).find_map(|(place, speaks)| match speaks {
             Some(version) if version >= VERSION => None,
             Some(version) => Some((place, format!("speaks {version}"))),
             None => Some((place, "is not heard".to_string())),
@@ -388,7 +388,7 @@
         number: u64,
         scope: &Scope,
         write: Write,
-    ) -> Result<Option<Reply>, Refused> {
+    ) -> Result<Option<Reply>, ReplicaError> {
         let command = match scope {
             Scope::All => Command::Write(write),
             scope => Command::Scoped(scope.clone(), write),
--- a/crates/daemon/src/serve/work.rs
+++ b/crates/daemon/src/serve/work.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use appledyke::units::Span;
-use appledyke_consensus::{Content, Entry, Index, Position, Role, Term, Work};
+use appledyke_consensus::{Content, Entry, Index, Position, Ready, Role, Term};
 use appledyke_fleet::Answer;
 use appledyke_fleet::divide::Divider;
 use appledyke_fleet::heard::{self, Heard};
@@ -18,14 +18,14 @@
     pub(super) fn work(&mut self) {
         loop {
             let Some(life) = &mut self.life else { return };
-            let work = life.replica.take();
+            let work = life.replica.take_ready();
             if work.is_empty() {
                 break;
             }
-            let Work { batch, messages, install, committed, reads, failed_reads } = work;
+            let Ready { batch, messages, install, committed, reads, failed_reads } = work;
             if let Some(batch) = batch {
                 match life.folder.persist(&batch) {
-                    Ok(()) => life.replica.durable(batch.number),
+                    Ok(()) => life.replica.mark_durable(batch.number),
                     Err(what) => {
                         tracing::error!("stops serving until its folder can be opened again: {what}");
                         return self.close(what.to_string());
@@ -35,9 +35,12 @@
             if let Some(snapshot) = install {
                 match Fleet::of(&snapshot.state) {
                     Ok(fleet) => {
-                        (life.fleet, life.compacted) = (fleet, snapshot.at.index);
-                        let passed =
-                            self.writes.keys().copied().take_while(|index| *index <= snapshot.at.index);
+                        (life.fleet, life.compacted) = (fleet, snapshot.last_included.index);
+                        let passed = self
+                            .writes
+                            .keys()
+                            .copied()
+                            .take_while(|index| *index <= snapshot.last_included.index);
                         for index in passed.collect::<Vec<_>>() {
                             self.settle(index, None, &Answer::Done);
                         }
@@ -64,7 +67,7 @@
                 }
             }
             for message in messages {
-                let to = message.to.place;
+                let to = message.to.replica_id;
                 self.send_to(to, &Frame::Agree(message));
             }
         }
@@ -81,7 +84,7 @@
         }
         let (ticket, reports) = (self.tickets, std::mem::take(&mut self.reports));
         self.tickets += 1;
-        let asked = self.life.as_mut().is_some_and(|life| life.replica.read(ticket).is_ok());
+        let asked = self.life.as_mut().is_some_and(|life| life.replica.request_read(ticket).is_ok());
         self.confirming = Some((ticket, reports));
         if !asked {
             self.unconfirmed();
@@ -118,7 +121,7 @@
         life.divider = (role == Role::Leader).then(|| Divider::new(self.now, generation));
         life.runner = (role == Role::Leader).then(Runner::new);
         // What it holds and has not applied may have writes of settings of whoever led before.
-        (life.localities, life.unsettled) = (BTreeMap::new(), (life.replica.last().index, true));
+        (life.localities, life.unsettled) = (BTreeMap::new(), (life.replica.last_position().index, true));
         // Danger: what was checked against the state of an earlier term may be faulty with what another leader committed.
         if let Some((key, number)) = self.checking.take().map(|checking| checking.whose()) {
             let leader = self.leader();
@@ -127,12 +130,12 @@
     }
 
     pub(super) fn leader(&self) -> Option<u16> {
-        self.life.as_ref()?.replica.leader().map(|id| id.place)
+        self.life.as_ref()?.replica.leader().map(|id| id.replica_id)
     }
 
     pub(super) fn apply(&mut self, entry: Entry) {
         let Some(life) = &mut self.life else { return };
-        let index = entry.at.index;
+        let index = entry.position.index;
         let answer = match &entry.content {
             Content::Command(bytes) => match Command::of(bytes) {
                 Ok(command) => life.fleet.apply(index, &command),
@@ -143,7 +146,7 @@
                     Answer::Done
                 }
             },
-            Content::Blank | Content::Voters(_) => {
+            Content::Noop | Content::Voters(_) => {
                 life.fleet.pass(index);
                 Answer::Done
             }
@@ -160,7 +163,7 @@
             }
             self.compare(index, place, digest);
         }
-        self.settle(index, Some(entry.at.term), &answer);
+        self.settle(index, Some(entry.position.term), &answer);
     }
 
     /// Somebody waits for the fate of what was proposed at this place.
@@ -203,7 +206,7 @@
         let (Some(life), Some(marks)) = (&self.life, self.marks.get(&index)) else { return };
         let Some(own) = marks.get(&self.configuration.place) else { return };
         let voters = life.replica.voters();
-        let others = voters.iter().filter_map(|id| marks.get(&id.place)).filter(|digest| *digest != own);
+        let others = voters.iter().filter_map(|id| marks.get(&id.replica_id)).filter(|digest| *digest != own);
         let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
         others.for_each(|digest| *counts.entry(*digest).or_default() += 1);
         if counts.is_empty() {
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -333,7 +333,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
-        let id = appledyke_consensus::Id { place: 1, life: 1 };
+        let id = appledyke_consensus::Id { replica_id: 1, incarnation: 1 };
         let (mut stream, _) = listener.accept().unwrap();
         let mut out = Vec::new();
         Frame::hello("rig", Who::Replica(id)).write(&mut out);
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -32,7 +32,7 @@
             let _ = heard.send(frame.clone());
             match frame {
                 Frame::Hello { version: 2, .. } => {
-                    let id = Id { place: 1, life: 1 };
+                    let id = Id { replica_id: 1, incarnation: 1 };
                     write(&mut stream, &Frame::hello_as(2, "rig", Who::Replica(id)));
                 }
                 Frame::Hello { version, .. } => {
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use appledyke_consensus::keep;
+use appledyke_consensus::storage;
 use appledyke_fleet::state::What;
 use appledyke_fleet::talk::{Ask, Frame, Reply, Who};
 use appledyke_fleet::{Command, Version};
@@ -280,7 +280,8 @@
     fleet.wait_for_one_state().unwrap();
     // A copy that is damaged alone is mended from the other.
     fleet.kill(struck);
-    let id = fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.place == struck);
+    let id =
+        fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.replica_id == struck);
     folders::cut_short(&fleet.folder(struck).join("log.1"), 700).unwrap();
     fleet.start(struck).unwrap();
     fleet.wait_for_one_state().unwrap();
@@ -327,7 +328,7 @@
 /// Changes a committed entry in a folder, as no daemon would.
 fn tamper(folder: &Path) {
     let (mut store, _) = Store::open(Folder::new(folder.to_path_buf())).unwrap();
-    let mut kept = keep::kept(store.iter()).unwrap();
+    let mut kept = storage::load(store.iter()).unwrap();
     let altered = kept.entries.iter_mut().rev().find_map(|entry| match &mut entry.content {
         appledyke_consensus::Content::Command(bytes) => match Command::of(bytes) {
             Ok(Command::Write(mut write)) => {
@@ -340,7 +341,7 @@
         _ => None,
     });
     let batch = appledyke_consensus::Batch { entries: altered.into_iter().collect(), ..Default::default() };
-    let changes: Vec<Change> = keep::changes(&batch, store.iter());
+    let changes: Vec<Change> = storage::changes(&batch, store.iter());
     assert_eq!(changes.len(), 1);
     store.commit(&changes).unwrap();
 }
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -841,7 +841,7 @@
 
 #[test]
 fn operators_are_answered_by_a_daemon_of_version_two_and_told_what_it_does_not_know() {
-    let at = stand_in(Id { place: 1, life: 1 });
+    let at = stand_in(Id { replica_id: 1, incarnation: 1 });
     let one = |asked: &Ask, sent: &mut bool| appledyke_daemon::ask::one(at, FLEET, asked, PATIENCE, sent);
     let mut sent = false;
     assert_eq!(one(&Ask::Status, &mut sent), Ok(Reply::Done));
--- a/crates/fleet/tests/version_2/mod.rs
+++ b/crates/fleet/tests/version_2/mod.rs
@@ -145,24 +145,24 @@
 }
 
 fn messages() -> Vec<Message> {
-    let (one, two) = (Id { place: 1, life: 11 }, Id { place: 2, life: 22 });
+    let (one, two) = (Id { replica_id: 1, incarnation: 11 }, Id { replica_id: 2, incarnation: 22 });
     let (last, round) = (Position { term: 4, index: 30 }, 9);
-    let entry = |index, content| Entry { at: Position { term: 4, index }, content };
+    let entry = |index, content| Entry { position: Position { term: 4, index }, content };
     let entries = vec![
-        entry(31, Content::Blank),
+        entry(31, Content::Noop),
         entry(32, Content::Command(commands()[0].bytes())),
         entry(33, Content::Voters(BTreeSet::from([one, two]))),
     ];
-    let snapshot = Snapshot { at: last, voters: BTreeSet::from([one]), state: fleet().bytes() };
+    let snapshot = Snapshot { last_included: last, voters: BTreeSet::from([one]), state: fleet().bytes() };
     let bodies = vec![
-        Body::AskPre { last },
-        Body::Pre { granted: true },
-        Body::Ask { last, handed: false },
-        Body::Vote { granted: false },
-        Body::Append { before: last, entries, commit: 29, round },
-        Body::Install { snapshot, round },
-        Body::Appended { matched: Some(30), last: 33, round },
-        Body::HandOver,
+        Body::PreVoteRequest { last },
+        Body::PreVoteResponse { granted: true },
+        Body::VoteRequest { last, leadership_transfer: false },
+        Body::VoteResponse { granted: false },
+        Body::AppendRequest { previous: last, entries, commit_index: 29, round },
+        Body::InstallSnapshot { snapshot, round },
+        Body::AppendResponse { match_index: Some(30), last: 33, round },
+        Body::TimeoutNow,
     ];
     bodies.into_iter().map(|body| Message { from: one, to: two, term: 4, body }).collect()
 }
@@ -243,17 +243,17 @@
 fn replies() -> Vec<Reply> {
     let fleet = fleet();
     let status = Status {
-        id: Id { place: 1, life: 11 },
+        id: Id { replica_id: 1, incarnation: 11 },
         role: named("Leader"),
         term: 4,
-        leader: Some(Id { place: 1, life: 11 }),
+        leader: Some(Id { replica_id: 1, incarnation: 11 }),
         committed: 30,
         applied: 30,
         last: 31,
         digest: 12345,
-        voters: vec![Id { place: 1, life: 11 }],
+        voters: vec![Id { replica_id: 1, incarnation: 11 }],
         version: version(4),
-        peers: vec![(Id { place: 2, life: 22 }, 30, true)],
+        peers: vec![(Id { replica_id: 2, incarnation: 22 }, 30, true)],
         apart: Some(named("a look")),
         evidence: 8,
     };
@@ -299,7 +299,11 @@
 
 /// Greetings as version 2 has them, and then all else.
 pub fn greetings() -> Vec<Frame> {
-    let who = [Who::Replica(Id { place: 1, life: 11 }), Who::Member { name: named("s1") }, Who::Operator];
+    let who = [
+        Who::Replica(Id { replica_id: 1, incarnation: 11 }),
+        Who::Member { name: named("s1") },
+        Who::Operator,
+    ];
     who.into_iter().map(|who| Frame::Hello { version: 2, fleet: named("zilina"), who }).collect()
 }
 
--- a/crates/fleet/tests/versions.rs
+++ b/crates/fleet/tests/versions.rs
@@ -153,7 +153,7 @@
     let ask = |ask| Frame::Ask { number: 1, ask };
     let reply = |reply| Frame::Reply { number: 1, reply };
     let frames = [
-        Frame::hello("zilina", Who::Replica(Id { place: 1, life: 2 })),
+        Frame::hello("zilina", Who::Replica(Id { replica_id: 1, incarnation: 2 })),
         Frame::Belongs(Locality { service: Some("menu".to_string()), ..Locality::default() }),
         ask(Ask::Scopes),
         ask(Ask::WriteFor { scope: scope.clone(), write }),
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -4,7 +4,7 @@
 const MAGIC: &[u8; 8] = b"APDLSTOR";
 pub const VERSION: u32 = 1;
 /// Magic, version, generation, checksum.
-pub const HEADER: usize = 8 + 4 + 8 + 4;
+pub const HEADER_LENGTH: usize = 8 + 4 + 8 + 4;
 /// Length, sequence, checksum.
 const RECORD_HEAD: usize = 4 + 8 + 4;
 
@@ -19,9 +19,9 @@
 }
 
 /// What stands at a place of a log.
-pub enum Part {
-    Whole { sequence: u64, changes: Vec<Change>, end: usize },
-    Broken,
+pub enum ParsedRecord {
+    Valid { sequence: u64, changes: Vec<Change>, end: usize },
+    Invalid,
 }
 
 fn number<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
@@ -29,10 +29,10 @@
 }
 
 /// The header of a file, `None` where it is damaged; `Err` is a version that is whole and not known.
-pub fn header(bytes: &[u8]) -> Result<Option<Header>, u32> {
+pub fn parse_header(bytes: &[u8]) -> Result<Option<Header>, u32> {
     let read = || {
-        let sum = u32::from_le_bytes(number(bytes, HEADER - 4)?);
-        let whole = bytes.starts_with(MAGIC) && crc32fast::hash(&bytes[..HEADER - 4]) == sum;
+        let sum = u32::from_le_bytes(number(bytes, HEADER_LENGTH - 4)?);
+        let whole = bytes.starts_with(MAGIC) && crc32fast::hash(&bytes[..HEADER_LENGTH - 4]) == sum;
         let version = u32::from_le_bytes(number(bytes, 8)?);
         whole.then_some((version, u64::from_le_bytes(number(bytes, 12)?)))
     };
@@ -43,7 +43,7 @@
     }
 }
 
-pub fn start(generation: u64) -> Vec<u8> {
+pub fn encode_header(generation: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(VERSION.to_le_bytes());
     bytes.extend(generation.to_le_bytes());
@@ -51,7 +51,7 @@
     bytes
 }
 
-pub fn record(sequence: u64, changes: &[Change]) -> Vec<u8> {
+pub fn encode_record(sequence: u64, changes: &[Change]) -> Vec<u8> {
     let mut body = Vec::new();
     let mut text = |bytes: &[u8]| {
         body.extend((bytes.len() as u32).to_le_bytes());
@@ -80,11 +80,11 @@
     bytes
 }
 
-pub fn part(bytes: &[u8], at: usize) -> Part {
-    read(bytes, at).unwrap_or(Part::Broken)
+pub fn parse_record(bytes: &[u8], at: usize) -> ParsedRecord {
+    read(bytes, at).unwrap_or(ParsedRecord::Invalid)
 }
 
-fn read(bytes: &[u8], at: usize) -> Option<Part> {
+fn read(bytes: &[u8], at: usize) -> Option<ParsedRecord> {
     let length = u32::from_le_bytes(number(bytes, at)?) as usize;
     let sequence = u64::from_le_bytes(number(bytes, at + 4)?);
     let sum = u32::from_le_bytes(number(bytes, at + 12)?);
@@ -111,5 +111,5 @@
         };
         changes.push(change);
     }
-    Some(Part::Whole { sequence, changes, end })
+    Some(ParsedRecord::Valid { sequence, changes, end })
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -4,12 +4,12 @@
 
 pub mod disk;
 pub mod format;
-pub mod standin;
+pub mod simulated_disk;
 
 use std::collections::BTreeMap;
 
 use disk::{Disk, DiskError};
-use format::{Change, Header, Part};
+use format::{Change, Header, ParsedRecord};
 
 /// The copies of the log, and what each is called while it is written anew.
 const COPIES: [&str; 2] = ["log.0", "log.1"];
@@ -19,7 +19,7 @@
 pub enum StoreError {
     Disk(DiskError),
     /// A file of a version that is not known here.
-    Version {
+    UnsupportedVersion {
         file: String,
         version: u32,
     },
@@ -35,12 +35,12 @@
 
 /// What opening found.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct RecoveryReport {
     pub records: u64,
     /// Copies that were damaged or short, and were written anew from the other.
-    pub mended: Vec<String>,
+    pub repaired: Vec<String>,
     /// Bytes at the end that held no whole record in either copy: a batch that was never acknowledged.
-    pub dropped: usize,
+    pub dropped_bytes: usize,
     /// From this record on something is missing that later records follow: both copies are damaged there.
     pub missing_from: Option<u64>,
 }
@@ -56,18 +56,20 @@
 }
 
 impl<D: Disk> Store<D> {
-    pub fn open(mut disk: D) -> Result<(Store<D>, Report), StoreError> {
+    pub fn open(mut disk: D) -> Result<(Store<D>, RecoveryReport), StoreError> {
         disk.lock()?;
         let mut copies = Vec::new();
         for name in COPIES {
             let bytes = disk.read(name)?.unwrap_or_default();
-            let header = match format::header(&bytes) {
+            let header = match format::parse_header(&bytes) {
                 Ok(header) => header,
-                Err(version) => return Err(StoreError::Version { file: name.to_string(), version }),
+                Err(version) => {
+                    return Err(StoreError::UnsupportedVersion { file: name.to_string(), version });
+                }
             };
             copies.push((header, bytes));
         }
-        let mut report = Report::default();
+        let mut report = RecoveryReport::default();
         // The newest generation that opens with a whole first record; an older one is whole up to where it was
         // compacted.
         let mut generations: Vec<u64> =
@@ -90,7 +92,7 @@
             Store { disk, index: BTreeMap::new(), generation: 0, next: 0, length: 0, writable: true };
         let Some((generation, found)) = read else {
             // Nothing was ever acknowledged: a new store, or one that never came up.
-            report.dropped = copies.iter().map(|(_, bytes)| bytes.len()).max().unwrap_or(0);
+            report.dropped_bytes = copies.iter().map(|(_, bytes)| bytes.len()).max().unwrap_or(0);
             store.rewrite()?;
             return Ok((store, report));
         };
@@ -101,7 +103,7 @@
         }
         store.length = found.bytes.len();
         report.records = found.records.len() as u64;
-        report.dropped = found.dropped;
+        report.dropped_bytes = found.dropped;
         report.missing_from = found.missing.then_some(store.next);
         if found.missing {
             // Danger: written on, the log would hide that something acknowledged is gone.
@@ -110,7 +112,7 @@
         }
         for (at, (_, bytes)) in copies.iter().enumerate() {
             if *bytes != found.bytes {
-                report.mended.push(COPIES[at].to_string());
+                report.repaired.push(COPIES[at].to_string());
                 store.place(at, &found.bytes)?;
             }
         }
@@ -134,7 +136,7 @@
         if !self.writable {
             return Err(StoreError::ReadOnly);
         }
-        let record = format::record(self.next, changes);
+        let record = format::encode_record(self.next, changes);
         // Danger: after a failed write or sync nobody knows what is on the disk, so nothing more is written.
         self.writable = false;
         for name in COPIES {
@@ -159,7 +161,7 @@
     }
 
     /// Bytes of a copy.
-    pub fn length(&self) -> usize {
+    pub fn log_length(&self) -> usize {
         self.length
     }
 
@@ -173,8 +175,8 @@
     fn rewrite(&mut self) -> Result<(), StoreError> {
         let puts: Vec<Change> =
             self.index.iter().map(|(key, value)| Change::Put(key.clone(), value.clone())).collect();
-        let mut bytes = format::start(self.generation + 1);
-        bytes.extend(format::record(self.next, &puts));
+        let mut bytes = format::encode_header(self.generation + 1);
+        bytes.extend(format::encode_record(self.next, &puts));
         self.writable = false;
         for at in 0..COPIES.len() {
             self.place(at, &bytes)?;
@@ -206,13 +208,15 @@
 impl Found {
     /// Copies are alike byte for byte, so a record that is damaged in one stands at the same place in the other.
     fn read(copies: &[Vec<u8>]) -> Found {
-        let mut at = format::HEADER;
+        let mut at = format::HEADER_LENGTH;
         let mut found = Found { records: Vec::new(), bytes: Vec::new(), dropped: 0, missing: false };
         found.bytes.extend_from_slice(&copies[0][..at]);
         loop {
             let next = found.records.last().map(|(sequence, _)| sequence + 1);
-            let whole = copies.iter().find_map(|bytes| match format::part(bytes, at) {
-                Part::Whole { sequence, changes, end } if next.is_none_or(|next| next == sequence) => {
+            let whole = copies.iter().find_map(|bytes| match format::parse_record(bytes, at) {
+                ParsedRecord::Valid { sequence, changes, end }
+                    if next.is_none_or(|next| next == sequence) =>
+                {
                     Some((sequence, changes, bytes[at..end].to_vec()))
                 }
                 _ => None,
@@ -225,9 +229,9 @@
         found.dropped = copies.iter().map(|bytes| bytes.len().saturating_sub(at)).max().unwrap_or(0);
         let last = found.records.last().map(|(sequence, _)| *sequence);
         let later = |bytes: &Vec<u8>| {
-            (at + 1..bytes.len()).any(|at| match format::part(bytes, at) {
-                Part::Whole { sequence, .. } => last.is_none_or(|last| sequence > last + 1),
-                Part::Broken => false,
+            (at + 1..bytes.len()).any(|at| match format::parse_record(bytes, at) {
+                ParsedRecord::Valid { sequence, .. } => last.is_none_or(|last| sequence > last + 1),
+                ParsedRecord::Invalid => false,
             })
         };
         found.missing = copies.iter().any(later);
--- a/crates/store/src/standin.rs
+++ b/crates/store/src/simulated_disk.rs
@@ -13,27 +13,27 @@
 /// folder is synced.
 #[derive(Default)]
 pub struct Inner {
-    pub now: Files,
+    pub current: Files,
     /// What a power cut leaves: contents as synced, by the names as synced.
     synced: BTreeMap<String, usize>,
-    lasting: Files,
+    durable: Files,
     pub operations: usize,
-    pub cut_at: Option<usize>,
+    pub power_cut_at: Option<usize>,
     /// Operations that fail, though the power stays.
-    pub fails_at: Option<usize>,
+    pub fail_at: Option<usize>,
 }
 
 /// Clones are the same disk.
 #[derive(Clone, Default)]
-pub struct StandIn(pub Rc<RefCell<Inner>>);
+pub struct SimulatedDisk(pub Rc<RefCell<Inner>>);
 
-impl StandIn {
+impl SimulatedDisk {
     /// A disk that holds these.
-    pub fn of(files: Files) -> StandIn {
+    pub fn with_files(files: Files) -> SimulatedDisk {
         let synced = files.iter().map(|(name, bytes)| (name.clone(), bytes.len())).collect();
-        StandIn(Rc::new(RefCell::new(Inner {
-            now: files.clone(),
-            lasting: files,
+        SimulatedDisk(Rc::new(RefCell::new(Inner {
+            current: files.clone(),
+            durable: files,
             synced,
             ..Inner::default()
         })))
@@ -43,38 +43,38 @@
         let mut inner = self.0.borrow_mut();
         inner.operations += 1;
         let at = inner.operations;
-        let failed = inner.cut_at.is_some_and(|cut| at >= cut) || inner.fails_at == Some(at);
+        let failed = inner.power_cut_at.is_some_and(|cut| at >= cut) || inner.fail_at == Some(at);
         if failed { Err(DiskError::Failed("gone".to_string())) } else { Ok(()) }
     }
 
     /// The files that are found after the cut, with so many of each copy's unsynced bytes.
-    pub fn after_cut(&self, kept: [usize; 2]) -> Files {
+    pub fn files_after_power_cut(&self, kept: [usize; 2]) -> Files {
         let inner = self.0.borrow();
         let torn = |(name, bytes): (&String, &Vec<u8>)| {
             let mut bytes = bytes.clone();
-            if let Some(now) = inner.now.get(name).filter(|now| now.starts_with(&bytes)) {
+            if let Some(now) = inner.current.get(name).filter(|now| now.starts_with(&bytes)) {
                 let more = kept[usize::from(name.ends_with('1'))].min(now.len() - bytes.len());
                 bytes.extend_from_slice(&now[bytes.len()..][..more]);
             }
             (name.clone(), bytes)
         };
-        inner.lasting.iter().map(torn).collect()
+        inner.durable.iter().map(torn).collect()
     }
 }
 
-impl Disk for StandIn {
+impl Disk for SimulatedDisk {
     fn lock(&mut self) -> Result<(), DiskError> {
         Ok(())
     }
 
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DiskError> {
-        Ok(self.0.borrow().now.get(name).cloned())
+        Ok(self.0.borrow().current.get(name).cloned())
     }
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
         self.step()?;
         let mut inner = self.0.borrow_mut();
-        inner.now.insert(name.to_string(), Vec::new());
+        inner.current.insert(name.to_string(), Vec::new());
         inner.synced.insert(name.to_string(), 0);
         Ok(())
     }
@@ -83,17 +83,17 @@
         let whole = self.step();
         let mut inner = self.0.borrow_mut();
         let part = if whole.is_ok() { bytes.len() } else { bytes.len() / 2 };
-        inner.now.entry(name.to_string()).or_default().extend_from_slice(&bytes[..part]);
+        inner.current.entry(name.to_string()).or_default().extend_from_slice(&bytes[..part]);
         whole
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
         self.step()?;
         let mut inner = self.0.borrow_mut();
-        let bytes = inner.now[name].clone();
+        let bytes = inner.current[name].clone();
         inner.synced.insert(name.to_string(), bytes.len());
-        if inner.lasting.contains_key(name) {
-            inner.lasting.insert(name.to_string(), bytes);
+        if inner.durable.contains_key(name) {
+            inner.durable.insert(name.to_string(), bytes);
         }
         Ok(())
     }
@@ -101,8 +101,8 @@
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
         self.step()?;
         let mut inner = self.0.borrow_mut();
-        let bytes = inner.now.remove(from).expect("it was made");
-        inner.now.insert(to.to_string(), bytes);
+        let bytes = inner.current.remove(from).expect("it was made");
+        inner.current.insert(to.to_string(), bytes);
         let synced = inner.synced.remove(from).unwrap_or(0);
         inner.synced.insert(to.to_string(), synced);
         Ok(())
@@ -111,10 +111,10 @@
     fn sync_folder(&mut self) -> Result<(), DiskError> {
         self.step()?;
         let mut inner = self.0.borrow_mut();
-        let lasting = inner.now.iter().map(|(name, bytes)| {
+        let durable = inner.current.iter().map(|(name, bytes)| {
             (name.clone(), bytes[..inner.synced.get(name).copied().unwrap_or(0)].to_vec())
         });
-        inner.lasting = lasting.collect();
+        inner.durable = durable.collect();
         Ok(())
     }
 }
--- a/crates/store/tests/recovery.rs
+++ b/crates/store/tests/recovery.rs
@@ -4,7 +4,7 @@
 
 use appledyke_store::disk::{Disk, DiskError, Folder};
 use appledyke_store::format::Change;
-use appledyke_store::standin::StandIn as Fake;
+use appledyke_store::simulated_disk::SimulatedDisk as Fake;
 use appledyke_store::{Store, StoreError};
 
 fn put(key: u8, value: u8) -> Change {
@@ -55,9 +55,9 @@
     for cut in 1..=operations {
         for kept in [[0, 0], [1, 0], [13, 40], [40, 13], [0, 10_000], [10_000, 0], [10_000, 10_000]] {
             let disk = Fake::default();
-            disk.0.borrow_mut().cut_at = Some(cut);
+            disk.0.borrow_mut().power_cut_at = Some(cut);
             let (sure, next) = history(disk.clone());
-            let again = Fake::of(disk.after_cut(kept));
+            let again = Fake::with_files(disk.files_after_power_cut(kept));
             let (mut store, report) = Store::open(again).expect("it opens after a cut");
             let found = held(&store);
             assert!(found == sure || found == next, "cut {cut}, {kept:?} kept: {report:?}");
@@ -72,9 +72,9 @@
     history(whole.clone());
     for fails in 1..=whole.0.borrow().operations {
         let disk = Fake::default();
-        disk.0.borrow_mut().fails_at = Some(fails);
+        disk.0.borrow_mut().fail_at = Some(fails);
         let (sure, next) = history(disk.clone());
-        let (store, _) = Store::open(Fake::of(disk.0.borrow().now.clone())).unwrap();
+        let (store, _) = Store::open(Fake::with_files(disk.0.borrow().current.clone())).unwrap();
         assert!([sure, next].contains(&held(&store)), "failure {fails}");
     }
 }
@@ -83,7 +83,7 @@
 fn either_copy_cut_or_damaged_at_any_byte_loses_nothing_and_is_mended() {
     let disk = Fake::default();
     let (sure, _) = history(disk.clone());
-    let files = disk.0.borrow().now.clone();
+    let files = disk.0.borrow().current.clone();
     for name in ["log.0", "log.1"] {
         for at in 0..files[name].len() {
             let cut = files[name][..at].to_vec();
@@ -92,11 +92,11 @@
             for bytes in [cut, damaged] {
                 let mut hurt = files.clone();
                 hurt.insert(name.to_string(), bytes);
-                let again = Fake::of(hurt);
+                let again = Fake::with_files(hurt);
                 let (store, report) = Store::open(again.clone()).unwrap();
                 assert_eq!(held(&store), sure, "{name} at {at}");
-                assert_eq!(report.mended, [name], "{name} at {at}");
-                assert_eq!(again.0.borrow().now[name], files[name]);
+                assert_eq!(report.repaired, [name], "{name} at {at}");
+                assert_eq!(again.0.borrow().current[name], files[name]);
             }
         }
     }
@@ -107,14 +107,14 @@
     let disk = Fake::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.commit(&[put(1, 1)]).unwrap();
-    let at = store.length();
+    let at = store.log_length();
     store.commit(&[put(2, 2)]).unwrap();
     store.commit(&[put(3, 3)]).unwrap();
-    let mut files = disk.0.borrow().now.clone();
+    let mut files = disk.0.borrow().current.clone();
     for name in ["log.0", "log.1"] {
         files.get_mut(name).unwrap()[at + 20] ^= 1;
     }
-    let (mut store, report) = Store::open(Fake::of(files)).unwrap();
+    let (mut store, report) = Store::open(Fake::with_files(files)).unwrap();
     assert_eq!((store.get(&[1]), store.get(&[2]), store.get(&[3])), (Some(&[1; 5][..]), None, None));
     assert_eq!((report.missing_from, report.records, store.writable()), (Some(2), 2, false));
     assert_eq!(store.commit(&[put(4, 4)]), Err(StoreError::ReadOnly));
@@ -128,14 +128,14 @@
     for value in 0..200 {
         store.commit(&[put(7, value)]).unwrap();
     }
-    let before = store.length();
+    let before = store.log_length();
     store.compact().unwrap();
-    assert!(store.length() < before / 10);
+    assert!(store.log_length() < before / 10);
     let second = Store::open(Folder::new(path.clone())).err();
     assert_eq!(second, Some(StoreError::Disk(DiskError::Locked)));
     drop(store);
     let (store, report) = Store::open(Folder::new(path.clone())).unwrap();
-    assert_eq!((store.get(&[7]), report.mended.len(), report.dropped), (Some(&[199; 5][..]), 0, 0));
+    assert_eq!((store.get(&[7]), report.repaired.len(), report.dropped_bytes), (Some(&[199; 5][..]), 0, 0));
     drop(store);
     let mut other = std::fs::read(path.join("log.1")).unwrap();
     other[8] = 9;
@@ -143,7 +143,7 @@
     other[20..24].copy_from_slice(&sum);
     std::fs::write(path.join("log.1"), other).unwrap();
     let unknown = Store::open(Folder::new(path.clone())).err();
-    assert_eq!(unknown, Some(StoreError::Version { file: "log.1".to_string(), version: 9 }));
+    assert_eq!(unknown, Some(StoreError::UnsupportedVersion { file: "log.1".to_string(), version: 9 }));
     std::fs::remove_dir_all(&path).unwrap();
 }
 
@@ -159,7 +159,8 @@
                 0 => store.compact().unwrap(),
                 1 => {
                     // Power goes between two batches: nothing acknowledged goes with it.
-                    disk = Fake::of(disk.after_cut([chance.rand_range(0..50) as usize, 0]));
+                    disk =
+                        Fake::with_files(disk.files_after_power_cut([chance.rand_range(0..50) as usize, 0]));
                     let (opened, report) = Store::open(disk.clone()).unwrap();
                     assert!(report.missing_from.is_none(), "seed {seed}");
                     store = opened;
