--- a/crates/daemon/benches/apply.rs
+++ b/crates/daemon/benches/apply.rs
@@ -4,14 +4,24 @@
 
 use appledyke_consensus::{Batch, Content, Entry, Position};
 use appledyke_daemon::folder::Folder;
-use appledyke_fleet::members::Standing;
-use appledyke_fleet::state::{Command, Fleet, What, Write, WriteId};
+use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::state::{Command, Fleet, SettingsChange, Write, WriteId};
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn put(number: u64) -> Command {
-    let (by, why, what) =
-        ("bench".to_string(), String::new(), What::Put("{\"rules\": {}}".repeat(20), Vec::new(), Vec::new()));
-    Command::Write(Write { id: WriteId(1, number), expects: None, by, why, at_ms: 0, what })
+    let (by, why, what) = (
+        "bench".to_string(),
+        String::new(),
+        SettingsChange::Put("{\"rules\": {}}".repeat(20), Vec::new(), Vec::new()),
+    );
+    Command::Write(Write {
+        id: WriteId(1, number),
+        expected_version: None,
+        author: by,
+        reason: why,
+        at_ms: 0,
+        change: what,
+    })
 }
 
 fn apply(c: &mut Criterion) {
@@ -20,7 +30,7 @@
         let name = format!("s{member}");
         fleet.apply(
             member + 1,
-            &Command::Member { name, incarnation: 1, standing: Standing::Serving, groups: Vec::new() },
+            &Command::Member { name, incarnation: 1, status: MemberStatus::Serving, groups: Vec::new() },
         );
     }
     let mut number = 1000;
@@ -38,7 +48,7 @@
         b.iter(|| {
             index += 1;
             let entry =
-                Entry { at: Position { term: 1, index }, content: Content::Command(put(index).bytes()) };
+                Entry { at: Position { term: 1, index }, content: Content::Command(put(index).to_bytes()) };
             folder.persist(&Batch { entries: vec![entry], ..Batch::default() }).expect("written");
         });
     });
--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -6,8 +6,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::releases::{Moves, Order, Stage, Work};
-use appledyke_fleet::talk::{Ask, Reply};
+use appledyke_fleet::releases::{AgentTask, ReleaseUpdate, Stage, TargetKind};
+use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 
 use crate::ask;
 
@@ -28,13 +28,13 @@
 }
 
 /// How a command ended: well, or how not.
-fn ran(work: &Work) -> Result<(), String> {
+fn ran(work: &AgentTask) -> Result<(), String> {
     let program = &work.command[0];
     let told = |e: std::io::Error| format!("{program}: {e}");
     let mut command = Command::new(program);
     command.args(&work.command[1..]).stdin(Stdio::null());
     let mut child = command.spawn().map_err(told)?;
-    let until = Instant::now() + Duration::from_millis(work.within_ms);
+    let until = Instant::now() + Duration::from_millis(work.timeout_ms);
     loop {
         match child.try_wait().map_err(told)? {
             Some(status) if status.success() => return Ok(()),
@@ -42,7 +42,7 @@
             None if Instant::now() >= until => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("{program}: not over after {} ms, and ended", work.within_ms));
+                return Err(format!("{program}: not over after {} ms, and ended", work.timeout_ms));
             }
             None => std::thread::sleep(LOOK),
         }
@@ -50,17 +50,17 @@
 }
 
 impl Agent {
-    fn ask(&self, asked: &Ask) -> Result<Reply, String> {
+    fn ask(&self, asked: &OperatorRequest) -> Result<OperatorReply, String> {
         ask::fleet(&self.daemons, &self.fleet, asked, PATIENCE)
     }
 
-    fn order(&self, order: Order) -> Result<Reply, String> {
-        self.ask(&Ask::Release(order))
+    fn order(&self, order: ReleaseUpdate) -> Result<OperatorReply, String> {
+        self.ask(&OperatorRequest::Release(order))
     }
 
-    fn further(&self, work: &Work, to: Stage) -> Order {
-        let (release, who, since) = (work.release.clone(), work.who.clone(), work.since);
-        Order::Further { release, who, since, to, agent: self.token }
+    fn further(&self, work: &AgentTask, to: Stage) -> ReleaseUpdate {
+        let (release, who, since) = (work.release.clone(), work.target.clone(), work.started_at);
+        ReleaseUpdate::AdvanceTransition { release, target: who, started_at: since, to, agent: self.token }
     }
 
     /// Works until it is ended.
@@ -69,8 +69,8 @@
         let mut done: BTreeMap<u64, Result<(), String>> = BTreeMap::new();
         let mut said = BTreeSet::new();
         loop {
-            match self.ask(&Ask::Work(self.who.clone())) {
-                Ok(Reply::Work(Some(work))) => self.turn(&work, &mut done, &mut said),
+            match self.ask(&OperatorRequest::AgentTask(self.who.clone())) {
+                Ok(OperatorReply::AgentTask(Some(work))) => self.turn(&work, &mut done, &mut said),
                 Ok(_) => {}
                 Err(what) => tracing::warn!("{what}"),
             }
@@ -78,56 +78,65 @@
         }
     }
 
-    fn turn(&self, work: &Work, done: &mut BTreeMap<u64, Result<(), String>>, said: &mut BTreeSet<u64>) {
+    fn turn(&self, work: &AgentTask, done: &mut BTreeMap<u64, Result<(), String>>, said: &mut BTreeSet<u64>) {
         match work.stage {
-            Stage::Empty => {
+            Stage::Drained => {
                 // Danger: begun before the fleet knows of it, an action would be begun again by another agent.
-                match self.order(self.further(work, Stage::Acting)) {
-                    Ok(Reply::Done) => self.act(work, done),
-                    Ok(Reply::Refused(why)) => tracing::info!("not begun: {why}"),
+                match self.order(self.further(work, Stage::ActionRunning)) {
+                    Ok(OperatorReply::Done) => self.act(work, done),
+                    Ok(OperatorReply::Refused(why)) => tracing::info!("not begun: {why}"),
                     // Whether it stands in the log shows at the next question.
                     other => tracing::warn!("{other:?}"),
                 }
             }
-            Stage::Acting if work.agent == self.token => {
-                if !done.contains_key(&work.since) {
+            Stage::ActionRunning if work.agent == self.token => {
+                if !done.contains_key(&work.started_at) {
                     self.act(work, done);
                 }
             }
             // Another has begun it: what became of that is not this one's to say.
             _ => return,
         }
-        let Some(result) = done.get(&work.since).filter(|_| !said.contains(&work.since)) else { return };
+        let Some(result) = done.get(&work.started_at).filter(|_| !said.contains(&work.started_at)) else {
+            return;
+        };
         let told = match result {
-            Ok(()) => self.order(self.further(work, Stage::Acted)),
+            Ok(()) => self.order(self.further(work, Stage::ActionDone)),
             Err(why) => {
-                let why = format!("the action on {} failed: {why}", work.who);
+                let why = format!("the action on {} failed: {why}", work.target);
                 let release = work.release.clone();
-                let halted = self.order(Order::Halt { release: release.clone(), why, worse: false });
-                let (who, since) = (work.who.clone(), work.since);
-                match (halted, work.moves) {
-                    (Ok(Reply::Done), Moves::Sidecars) => self.order(self.further(work, Stage::Acted)),
-                    (Ok(Reply::Done), Moves::Endpoints) => {
-                        self.order(Order::Settle { release, who, since, moved: false })
+                let halted = self.order(ReleaseUpdate::Halt { release: release.clone(), why, worse: false });
+                let (who, since) = (work.target.clone(), work.started_at);
+                match (halted, work.target_kind) {
+                    (Ok(OperatorReply::Done), TargetKind::Sidecars) => {
+                        self.order(self.further(work, Stage::ActionDone))
+                    }
+                    (Ok(OperatorReply::Done), TargetKind::Endpoints) => {
+                        self.order(ReleaseUpdate::FinishTransition {
+                            release,
+                            target: who,
+                            started_at: since,
+                            reached: false,
+                        })
                     }
                     (other, _) => other,
                 }
             }
         };
         match told {
-            Ok(Reply::Done) => {
-                said.insert(work.since);
+            Ok(OperatorReply::Done) => {
+                said.insert(work.started_at);
             }
             other => tracing::warn!("{other:?}"),
         }
     }
 
-    fn act(&self, work: &Work, done: &mut BTreeMap<u64, Result<(), String>>) {
-        tracing::info!(who = work.who, "runs {}", work.command.join(" "));
+    fn act(&self, work: &AgentTask, done: &mut BTreeMap<u64, Result<(), String>>) {
+        tracing::info!(who = work.target, "runs {}", work.command.join(" "));
         let result = ran(work);
         if let Err(why) = &result {
             tracing::error!("{why}");
         }
-        done.insert(work.since, result);
+        done.insert(work.started_at, result);
     }
 }
--- a/crates/daemon/src/ask.rs
+++ b/crates/daemon/src/ask.rs
@@ -5,7 +5,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::talk::{Ask, Frame, Frames, Greeting, OLDEST, Reply, VERSION, Who, greeted};
+use appledyke_fleet::talk::{
+    Frame, FrameReader, Initiator, MIN_VERSION, OperatorReply, OperatorRequest, VERSION, VersionNegotiation,
+    check_hello,
+};
 
 /// Longest that one daemon is waited for: another may lead by then.
 const ONE: Duration = Duration::from_secs(3);
@@ -26,18 +29,18 @@
 pub fn one(
     at: SocketAddr,
     fleet: &str,
-    ask: &Ask,
+    ask: &OperatorRequest,
     within: Duration,
     sent: &mut bool,
-) -> Result<Reply, String> {
+) -> Result<OperatorReply, String> {
     let until = Instant::now() + within;
-    let mut greeting = Greeting::default();
+    let mut greeting = VersionNegotiation::default();
     let first = match once(at, fleet, ask, greeting.version(), until, sent) {
         Ok(reply) => return Ok(reply),
         Err(Failed::Later(what)) => return Err(what),
         Err(Failed::Greeting(what)) => what,
     };
-    greeting.refused();
+    greeting.on_rejected();
     match once(at, fleet, ask, greeting.version(), until, sent) {
         Ok(reply) => Ok(reply),
         Err(Failed::Later(what)) => Err(what),
@@ -48,19 +51,19 @@
 fn once(
     at: SocketAddr,
     fleet: &str,
-    ask: &Ask,
+    ask: &OperatorRequest,
     version: u16,
     until: Instant,
     sent: &mut bool,
-) -> Result<Reply, Failed> {
+) -> Result<OperatorReply, Failed> {
     let told = |e: std::io::Error| format!("{at}: {e}");
     let left = || until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
     let mut stream = TcpStream::connect_timeout(&at, left()).map_err(told).map_err(Failed::Later)?;
     stream.set_nodelay(true).map_err(told).map_err(Failed::Later)?;
     let mut hello = Vec::new();
-    Frame::hello_as(version, fleet, Who::Operator).write(&mut hello);
+    Frame::hello_as(version, fleet, Initiator::Operator).write(&mut hello);
     stream.write_all(&hello).map_err(told).map_err(Failed::Greeting)?;
-    let (mut frames, mut piece, mut greeted_by) = (Frames::default(), vec![0; 64 * 1024], None);
+    let (mut frames, mut piece, mut greeted_by) = (FrameReader::default(), vec![0; 64 * 1024], None);
     // Danger: a question that stands behind a greeting of another version may be taken for one that was acted on.
     let failed = |greeted: bool, what| if greeted { Failed::Later(what) } else { Failed::Greeting(what) };
     loop {
@@ -68,7 +71,7 @@
         while let Some(frame) = frames.pop().map_err(|what| Failed::Later(format!("{at}: {what}")))? {
             match frame {
                 Frame::Hello { .. } if greeted_by.is_none() => {
-                    let (_, speaks) = greeted(&frame, fleet, version)
+                    let (_, speaks) = check_hello(&frame, fleet, version)
                         .map_err(|what| Failed::Later(format!("{at}: {what}")))?;
                     greeted_by = Some(speaks);
                     if since(ask) > speaks {
@@ -77,13 +80,13 @@
                         return Err(Failed::Later(why));
                     }
                     let mut out = Vec::new();
-                    if !(Frame::Ask { number: 1, ask: ask.clone() }.write(&mut out)) {
+                    if !(Frame::Request { number: 1, ask: ask.clone() }.write(&mut out)) {
                         return Err(Failed::Later("the question is too long".to_string()));
                     }
                     *sent = true;
                     stream.write_all(&out).map_err(told).map_err(Failed::Later)?;
                 }
-                Frame::NotTaken(why) => return Err(failed(up, format!("{at}: {why}"))),
+                Frame::Rejected(why) => return Err(failed(up, format!("{at}: {why}"))),
                 Frame::Reply { number: 1, reply } => return Ok(reply),
                 _ => {}
             }
@@ -103,15 +106,15 @@
 }
 
 /// The version that first knew a question.
-fn since(ask: &Ask) -> u16 {
+fn since(ask: &OperatorRequest) -> u16 {
     match ask {
-        Ask::Scopes
-        | Ask::WriteFor { .. }
-        | Ask::GetFor { .. }
-        | Ask::HistoryFor(_)
-        | Ask::SettingsOf(_)
-        | Ask::Localities => VERSION,
-        _ => OLDEST,
+        OperatorRequest::Scopes
+        | OperatorRequest::WriteScoped { .. }
+        | OperatorRequest::GetScoped { .. }
+        | OperatorRequest::ScopeHistory(_)
+        | OperatorRequest::MemberSettings(_)
+        | OperatorRequest::Localities => VERSION,
+        _ => MIN_VERSION,
     }
 }
 
@@ -123,9 +126,9 @@
 pub fn fleet(
     daemons: &BTreeMap<u16, SocketAddr>,
     name: &str,
-    ask: &Ask,
+    ask: &OperatorRequest,
     within: Duration,
-) -> Result<Reply, String> {
+) -> Result<OperatorReply, String> {
     let until = Instant::now() + within;
     let mut turns: Vec<u16> = daemons.keys().copied().collect();
     // A write may have been taken by a daemon that has not said what came of it.
@@ -138,26 +141,36 @@
             if left.is_zero() {
                 let said: Vec<String> = why.into_values().collect();
                 let said = said.join("; ");
-                return if open { Ok(Reply::Unknown(said)) } else { Err(format!("nobody answered: {said}")) };
+                return if open {
+                    Ok(OperatorReply::Unknown(said))
+                } else {
+                    Err(format!("nobody answered: {said}"))
+                };
             }
             let mut sent = false;
             match one(daemons[&place], name, ask, left.min(ONE), &mut sent) {
-                Ok(Reply::NotLeader(leader)) => {
+                Ok(OperatorReply::NotLeader(leader)) => {
                     why.insert(place, format!("{}: it does not lead", daemons[&place]));
                     hint = leader.filter(|leader| daemons.contains_key(leader) && *leader != place);
                     if hint.is_some() {
                         break;
                     }
                 }
-                Ok(Reply::Unknown(what)) => {
+                Ok(OperatorReply::Unknown(what)) => {
                     open = true;
                     why.insert(place, what);
                 }
                 // Danger: what one daemon finds faulty another may have taken before, with another template.
-                Ok(Reply::Faulty(what)) if open => return Ok(Reply::Unknown(what)),
+                Ok(OperatorReply::Invalid(what)) if open => return Ok(OperatorReply::Unknown(what)),
                 Ok(reply) => return Ok(reply),
                 Err(what) => {
-                    open |= sent && matches!(ask, Ask::Write(_) | Ask::WriteFor { .. } | Ask::Release(_));
+                    open |= sent
+                        && matches!(
+                            ask,
+                            OperatorRequest::Write(_)
+                                | OperatorRequest::WriteScoped { .. }
+                                | OperatorRequest::Release(_)
+                        );
                     why.insert(place, what);
                 }
             }
--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -121,8 +121,8 @@
         if let Some(state) = state {
             let at = batch.entries[0].at;
             let mut state = state;
-            state.pass(at.index);
-            batch.snapshot = Some(Snapshot { at, voters: [self.id].into(), state: state.bytes() });
+            state.skip_entry(at.index);
+            batch.snapshot = Some(Snapshot { at, voters: [self.id].into(), state: state.to_bytes() });
             batch.entries.clear();
         }
         self.persist(&batch)
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -14,13 +14,13 @@
 use appledyke_daemon::serve::Daemon;
 use appledyke_fleet::Version;
 use appledyke_fleet::budgets::Budget;
-use appledyke_fleet::health::Figures;
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::health::RequestCounts;
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::outs::Group;
-use appledyke_fleet::releases::{Order, Plan};
-use appledyke_fleet::scopes::{Locality, Scope, Scoped};
-use appledyke_fleet::state::{Fleet, What, Write, WriteId};
-use appledyke_fleet::talk::{Ask, MemberRow, Reply, ScopeRow};
+use appledyke_fleet::releases::{Plan, ReleaseUpdate};
+use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings};
+use appledyke_fleet::state::{Fleet, SettingsChange, Write, WriteId};
+use appledyke_fleet::talk::{MemberRow, OperatorReply, OperatorRequest, ScopeRow};
 use argh::FromArgs;
 use serde::Serialize;
 
@@ -551,7 +551,7 @@
     }
 }
 
-fn fleet(config: &Path, ask: &Ask, within: Duration) -> Result<Reply, String> {
+fn fleet(config: &Path, ask: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
     let configuration = Configuration::read(config)?;
     let daemons = configuration.daemons.iter().map(|daemon| (daemon.place, daemon.address)).collect();
     ask::fleet(&daemons, &configuration.fleet, ask, within)
@@ -564,9 +564,9 @@
     Ok(0)
 }
 
-fn unexpected(reply: Reply) -> Result<u8, String> {
+fn unexpected(reply: OperatorReply) -> Result<u8, String> {
     match reply {
-        Reply::Refused(why) | Reply::Faulty(why) => Err(format!("refused: {why}")),
+        OperatorReply::Refused(why) | OperatorReply::Invalid(why) => Err(format!("refused: {why}")),
         other => Err(format!("an answer to another question: {other:?}")),
     }
 }
@@ -606,10 +606,10 @@
     Ok(plan)
 }
 
-fn order(config: &Path, order: Order, done: &str) -> Result<u8, String> {
-    match fleet(config, &Ask::Release(order), PATIENCE)? {
-        Reply::Done => show(false, &(), || done.to_string()),
-        Reply::Unknown(why) => {
+fn order(config: &Path, order: ReleaseUpdate, done: &str) -> Result<u8, String> {
+    match fleet(config, &OperatorRequest::Release(order), PATIENCE)? {
+        OperatorReply::Done => show(false, &(), || done.to_string()),
+        OperatorReply::Unknown(why) => {
             eprintln!("unknown: {why}; say it again: it takes effect once");
             Ok(UNKNOWN)
         }
@@ -621,16 +621,17 @@
     match command {
         ReleaseCommand::Check(CheckRelease { config, file }) => {
             let plan = plan(&file)?;
-            let Reply::Settings(written) = fleet(&config, &Ask::Get(None), PATIENCE)? else {
+            let OperatorReply::Settings(written) = fleet(&config, &OperatorRequest::Get(None), PATIENCE)?
+            else {
                 return Err("the fleet has no settings".to_string());
             };
-            let Reply::Members(members) = fleet(&config, &Ask::Members, PATIENCE)? else {
+            let OperatorReply::Members(members) = fleet(&config, &OperatorRequest::Members, PATIENCE)? else {
                 return Err("the fleet does not tell its members".to_string());
             };
             let groups = written.map(|written| written.groups).unwrap_or_default();
-            let here = |row: &MemberRow| row.groups.contains(&plan.group) && row.standing != Standing::Gone;
+            let here = |row: &MemberRow| row.groups.contains(&plan.group) && row.status != MemberStatus::Gone;
             let members = members.into_iter().filter(here).map(|row| row.name).collect();
-            let (of, most) = plan.fits(&groups, members)?;
+            let (of, most) = plan.check_against(&groups, members)?;
             let count = if plan.order.is_empty() { of.len() } else { plan.order.len() };
             show(false, &(), || {
                 format!(
@@ -646,16 +647,16 @@
         ReleaseCommand::Start(StartRelease { config, file }) => {
             let plan = plan(&file)?;
             let done = format!("{} has started; release status says how it stands", plan.name);
-            order(&config, Order::Start(Box::new(plan), Figures::default()), &done)
+            order(&config, ReleaseUpdate::Start(Box::new(plan), RequestCounts::default()), &done)
         }
         ReleaseCommand::Status(ReleaseStatus { config, json }) => {
-            match fleet(&config, &Ask::Releases, PATIENCE)? {
-                Reply::Releases(releases, runs) => show(json, &(&releases, &runs), || {
-                    let mut text: String = releases.iter().map(|release| release.line() + "\n").collect();
-                    for release in releases.iter().filter(|release| !release.is_over()) {
+            match fleet(&config, &OperatorRequest::Releases, PATIENCE)? {
+                OperatorReply::Releases(releases, runs) => show(json, &(&releases, &runs), || {
+                    let mut text: String = releases.iter().map(|release| release.summary() + "\n").collect();
+                    for release in releases.iter().filter(|release| !release.is_ended()) {
                         for who in &release.order {
                             let runs = runs.iter().find(|(name, _)| name == who);
-                            text += &format!("  {who}: {}", release.steps[who].line(&release.plan));
+                            text += &format!("  {who}: {}", release.steps[who].summary(&release.plan));
                             runs.into_iter().for_each(|(_, runs)| text += &format!(", runs {runs}"));
                             text += "\n";
                         }
@@ -667,39 +668,49 @@
         }
         ReleaseCommand::Halt(HaltRelease { config, name, why }) => {
             let done = format!("{name} has halted");
-            order(&config, Order::Halt { release: name, why, worse: false }, &done)
+            order(&config, ReleaseUpdate::Halt { release: name, why, worse: false }, &done)
         }
         ReleaseCommand::Resume(ResumeRelease { config, name }) => {
             let done = format!("{name} goes on");
-            order(&config, Order::Resume(name), &done)
+            order(&config, ReleaseUpdate::Resume(name), &done)
         }
         ReleaseCommand::Back(BackRelease { config, name }) => {
             let done = format!("{name} goes back");
-            order(&config, Order::Back(name), &done)
+            order(&config, ReleaseUpdate::Rollback(name), &done)
         }
         ReleaseCommand::Settle(SettleRelease { config, name, who, moved }) => {
-            let Reply::Releases(releases, _) = fleet(&config, &Ask::Releases, PATIENCE)? else {
+            let OperatorReply::Releases(releases, _) = fleet(&config, &OperatorRequest::Releases, PATIENCE)?
+            else {
                 return Err("the fleet does not tell its releases".to_string());
             };
             let release = releases.iter().find(|release| release.plan.name == name);
-            let going = release.and_then(|release| release.steps.get(&who)?.going);
+            let going = release.and_then(|release| release.steps.get(&who)?.transition);
             let Some(going) = going else { return Err(format!("{who} is not under way in {name}")) };
             let done = format!("{who} is not under way any more");
-            order(&config, Order::Settle { release: name, who, since: going.since, moved }, &done)
+            order(
+                &config,
+                ReleaseUpdate::FinishTransition {
+                    release: name,
+                    target: who,
+                    started_at: going.started_at,
+                    reached: moved,
+                },
+                &done,
+            )
         }
         ReleaseCommand::End(EndRelease { config, name }) => {
             let done = format!("{name} has ended");
-            order(&config, Order::End(name, "by an operator".to_string()), &done)
+            order(&config, ReleaseUpdate::End(name, "by an operator".to_string()), &done)
         }
     }
 }
 
 fn endpoint(config: &Path, name: String, out: bool, anyway: Option<String>) -> Result<u8, String> {
-    match fleet(config, &Ask::Endpoint { name: name.clone(), out, anyway }, PATIENCE)? {
-        Reply::Done if out => {
+    match fleet(config, &OperatorRequest::Endpoint { name: name.clone(), out, force: anyway }, PATIENCE)? {
+        OperatorReply::Done if out => {
             show(false, &(), || format!("{name} is out of service; outs says once it is empty"))
         }
-        Reply::Done => show(false, &(), || format!("{name} is in service, if the list has it")),
+        OperatorReply::Done => show(false, &(), || format!("{name} is in service, if the list has it")),
         other => unexpected(other),
     }
 }
@@ -718,7 +729,7 @@
     json: bool,
 }
 
-fn write(config: &Path, what: What, wish: Wish) -> Result<u8, String> {
+fn write(config: &Path, what: SettingsChange, wish: Wish) -> Result<u8, String> {
     let id = match &wish.id {
         None => WriteId(random()?, random()?),
         Some(text) => {
@@ -732,19 +743,20 @@
     };
     let at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     let by = if wish.by.is_empty() { std::env::var("USER").unwrap_or_default() } else { wish.by };
-    let write = Write { id, expects: wish.expects, by, why: wish.why, at_ms, what };
+    let write =
+        Write { id, expected_version: wish.expects, author: by, reason: wish.why, at_ms, change: what };
     // What is for all is asked as ever, which daemons of an older version know too.
     let ask = match wish.scope.clone() {
-        Scope::All => Ask::Write(write),
-        scope => Ask::WriteFor { scope, write },
+        Scope::All => OperatorRequest::Write(write),
+        scope => OperatorRequest::WriteScoped { scope, write },
     };
     // Danger: a write that nobody has taken has no effect, one that may have been taken may still have one.
     let reply = fleet(config, &ask, Duration::from_secs(wish.seconds));
     let id = format!("{:x}-{:x}", id.0, id.1);
     let (word, detail, status) = match reply {
-        Ok(Reply::Committed(version)) => ("committed", version.to_string(), 0),
-        Ok(Reply::Refused(why) | Reply::Faulty(why)) => ("refused", why, REFUSED),
-        Ok(Reply::Unknown(why)) => ("unknown", why, UNKNOWN),
+        Ok(OperatorReply::Committed(version)) => ("committed", version.to_string(), 0),
+        Ok(OperatorReply::Refused(why) | OperatorReply::Invalid(why)) => ("refused", why, REFUSED),
+        Ok(OperatorReply::Unknown(why)) => ("unknown", why, UNKNOWN),
         Err(why) => ("refused", why, REFUSED),
         Ok(other) => return unexpected(other),
     };
@@ -752,7 +764,7 @@
     let mut more = String::new();
     if word == "committed"
         && wish.scope != Scope::All
-        && let Ok(Reply::Scopes(rows)) = fleet(config, &Ask::Scopes, PATIENCE)
+        && let Ok(OperatorReply::Scopes(rows)) = fleet(config, &OperatorRequest::Scopes, PATIENCE)
         && let Some(row) = rows.iter().find(|row| row.scope == wish.scope)
     {
         told["members"] = row.members.into();
@@ -771,8 +783,8 @@
 fn nobody_serves(configuration: &Configuration, anyway: bool) -> Result<(), String> {
     for (place, at) in configuration.others() {
         let mut sent = false;
-        if let Ok(Reply::Status(status)) =
-            ask::one(at, &configuration.fleet, &Ask::Status, PATIENCE / 10, &mut sent)
+        if let Ok(OperatorReply::Status(status)) =
+            ask::one(at, &configuration.fleet, &OperatorRequest::Status, PATIENCE / 10, &mut sent)
             && !status.voters.is_empty()
             && !anyway
         {
@@ -800,11 +812,11 @@
 
 fn backup(config: &Path, file: &Path) -> Result<u8, String> {
     let named = |e: std::io::Error| format!("{}: {e}", file.display());
-    let reply = fleet(config, &Ask::Backup, PATIENCE)?;
-    let Reply::Backup(bytes) = reply else { return unexpected(reply) };
+    let reply = fleet(config, &OperatorRequest::Backup, PATIENCE)?;
+    let OperatorReply::Backup(bytes) = reply else { return unexpected(reply) };
     let mut out = fs::OpenOptions::new().write(true).create_new(true).open(file).map_err(named)?;
     out.write_all(&bytes).and_then(|()| out.sync_all()).map_err(named)?;
-    let fleet = Fleet::of(&bytes)?;
+    let fleet = Fleet::from_bytes(&bytes)?;
     println!(
         "version {}, {} members, up to entry {}",
         fleet.version(),
@@ -822,15 +834,16 @@
 }
 
 fn members(config: &Path, json: bool) -> Result<u8, String> {
-    let rows = match fleet(config, &Ask::Members, PATIENCE)? {
-        Reply::Members(rows) => rows,
+    let rows = match fleet(config, &OperatorRequest::Members, PATIENCE)? {
+        OperatorReply::Members(rows) => rows,
         other => return unexpected(other),
     };
     // A daemon of an older version knows none.
-    let localities: BTreeMap<String, Locality> = match fleet(config, &Ask::Localities, PATIENCE / 5) {
-        Ok(Reply::Localities(rows)) => rows.into_iter().collect(),
-        _ => BTreeMap::new(),
-    };
+    let localities: BTreeMap<String, Locality> =
+        match fleet(config, &OperatorRequest::Localities, PATIENCE / 5) {
+            Ok(OperatorReply::Localities(rows)) => rows.into_iter().collect(),
+            _ => BTreeMap::new(),
+        };
     #[derive(Serialize)]
     struct Row<'a> {
         #[serde(flatten)]
@@ -843,7 +856,7 @@
     show(json, &told, || {
         let line = |row: &MemberRow| {
             let version = row.version.map_or("-".to_string(), |version| version.to_string());
-            let (name, standing) = (&row.name, row.standing.name());
+            let (name, standing) = (&row.name, row.status.name());
             let belongs = belongs(row).map(locality_line).unwrap_or_default();
             format!("{name} {standing} version {version} incarnation {}{belongs}\n", row.incarnation)
         };
@@ -886,36 +899,43 @@
         if version.is_some() || scope != Scope::All {
             return Err("--of: what holds for a member has no --version and no --for".to_string());
         }
-        return match fleet(config, &Ask::SettingsOf(name.clone()), PATIENCE)? {
-            Reply::Merged(Some(merged)) => {
+        return match fleet(config, &OperatorRequest::MemberSettings(name.clone()), PATIENCE)? {
+            OperatorReply::Merged(Some(merged)) => {
                 if merged.locality.is_none() {
                     eprintln!("{name} has not said what it belongs to");
                 }
-                let of: Vec<_> = merged.of.iter().map(|(of, version)| (of.to_string(), version)).collect();
+                let of: Vec<_> =
+                    merged.sources.iter().map(|(of, version)| (of.to_string(), version)).collect();
                 let told = serde_json::json!({"version": merged.version, "settings": merged.settings,
                     "belongs": merged.locality, "of": of});
                 show(json, &told, || merged.settings.clone())
             }
-            Reply::Merged(None) => Err(format!("{name} is no member, or nothing is put that concerns it")),
+            OperatorReply::Merged(None) => {
+                Err(format!("{name} is no member, or nothing is put that concerns it"))
+            }
             other => unexpected(other),
         };
     }
     let none = Err("there are no such settings".to_string());
     match scope {
-        Scope::All => match fleet(config, &Ask::Get(version), PATIENCE)? {
-            Reply::Settings(Some(written)) => show(json, &written, || written.settings.clone()),
-            Reply::Settings(None) => none,
-            other => unexpected(other),
-        },
-        scope => match fleet(config, &Ask::GetFor { scope: scope.clone(), version }, PATIENCE)? {
-            Reply::Scoped(Some(scoped)) => match &scoped.settings {
-                Some(settings) => show(json, &scoped, || settings.clone()),
-                None if json => show(json, &scoped, String::new),
-                None => Err(format!("what was put for {scope} was removed with version {}", scoped.version)),
-            },
-            Reply::Scoped(None) => none,
+        Scope::All => match fleet(config, &OperatorRequest::Get(version), PATIENCE)? {
+            OperatorReply::Settings(Some(written)) => show(json, &written, || written.settings.clone()),
+            OperatorReply::Settings(None) => none,
             other => unexpected(other),
         },
+        scope => {
+            match fleet(config, &OperatorRequest::GetScoped { scope: scope.clone(), version }, PATIENCE)? {
+                OperatorReply::Scoped(Some(scoped)) => match &scoped.settings {
+                    Some(settings) => show(json, &scoped, || settings.clone()),
+                    None if json => show(json, &scoped, String::new),
+                    None => {
+                        Err(format!("what was put for {scope} was removed with version {}", scoped.version))
+                    }
+                },
+                OperatorReply::Scoped(None) => none,
+                other => unexpected(other),
+            }
+        }
     }
 }
 
@@ -925,17 +945,19 @@
         format!("{version}{back}{what} by {by} at {at_ms} ms: {why}\n")
     };
     match scope {
-        Scope::All => match fleet(config, &Ask::History, PATIENCE)? {
-            Reply::History(rows) => show(json, &rows, || {
-                rows.iter().map(|w| line(w.version, w.back_to, "", &w.by, w.at_ms, &w.why)).collect()
+        Scope::All => match fleet(config, &OperatorRequest::History, PATIENCE)? {
+            OperatorReply::History(rows) => show(json, &rows, || {
+                rows.iter()
+                    .map(|w| line(w.version, w.rollback_to, "", &w.author, w.at_ms, &w.reason))
+                    .collect()
             }),
             other => unexpected(other),
         },
-        scope => match fleet(config, &Ask::HistoryFor(scope), PATIENCE)? {
-            Reply::HistoryFor(rows) => show(json, &rows, || {
-                let row = |s: &Scoped| {
+        scope => match fleet(config, &OperatorRequest::ScopeHistory(scope), PATIENCE)? {
+            OperatorReply::ScopeHistory(rows) => show(json, &rows, || {
+                let row = |s: &ScopedSettings| {
                     let removed = if s.settings.is_none() { " removed" } else { "" };
-                    line(s.version, s.back_to, removed, &s.by, s.at_ms, &s.why)
+                    line(s.version, s.rollback_to, removed, &s.author, s.at_ms, &s.reason)
                 };
                 rows.iter().map(row).collect()
             }),
@@ -949,11 +971,12 @@
     let mut rows = Vec::new();
     for daemon in &configuration.daemons {
         let mut sent = false;
-        let reply = ask::one(daemon.address, &configuration.fleet, &Ask::Status, PATIENCE / 5, &mut sent);
+        let reply =
+            ask::one(daemon.address, &configuration.fleet, &OperatorRequest::Status, PATIENCE / 5, &mut sent);
         rows.push((
             daemon.place,
             match reply {
-                Ok(Reply::Status(status)) => Ok(status),
+                Ok(OperatorReply::Status(status)) => Ok(status),
                 Ok(other) => Err(format!("{other:?}")),
                 Err(what) => Err(what),
             },
@@ -964,7 +987,7 @@
     };
     // Of the scopes the leader can say; where none leads nobody is waited for.
     let scopes = match rows.iter().any(|(_, row)| leads(row)) && !json {
-        true => fleet(config, &Ask::Scopes, PATIENCE / 5).ok(),
+        true => fleet(config, &OperatorRequest::Scopes, PATIENCE / 5).ok(),
         false => None,
     };
     show(json, &rows, || {
@@ -987,13 +1010,13 @@
                     if s.role == "Leader" {
                         text += &format!(", hears {heard} of {} others", s.peers.len());
                     }
-                    s.apart.iter().for_each(|why| text += &format!(", apart: {why}"));
+                    s.excluded.iter().for_each(|why| text += &format!(", apart: {why}"));
                     text += "\n";
                 }
                 Err(what) => text += &format!("{place}: {what}\n"),
             }
         }
-        if let Some(Reply::Scopes(rows)) = &scopes
+        if let Some(OperatorReply::Scopes(rows)) = &scopes
             && rows.iter().any(|row| row.scope != Scope::All)
         {
             let scoped = rows.iter().filter(|row| row.scope != Scope::All && row.bytes.is_some()).count();
@@ -1034,31 +1057,33 @@
         Command::Get(Get { config, version, scope, member, json }) => {
             get(&config, version, scope, member, json)
         }
-        Command::Budgets(ShowBudgets { config, json }) => match fleet(&config, &Ask::Budgets, PATIENCE)? {
-            Reply::Budgets(rows) => show(json, &rows, || {
-                let row = |row: &appledyke_fleet::talk::BudgetRow| {
-                    let b = &row.budget;
-                    let over = if row.over > 0 {
-                        format!(", {} over until taken back", row.over)
-                    } else {
-                        String::new()
+        Command::Budgets(ShowBudgets { config, json }) => {
+            match fleet(&config, &OperatorRequest::Budgets, PATIENCE)? {
+                OperatorReply::Budgets(rows) => show(json, &rows, || {
+                    let row = |row: &appledyke_fleet::talk::BudgetRow| {
+                        let b = &row.budget;
+                        let over = if row.excess > 0 {
+                            format!(", {} over until taken back", row.excess)
+                        } else {
+                            String::new()
+                        };
+                        format!(
+                            "{}: whole {}, alone {} for each of {}, granted {} to {} holders, counted {}, free {}{over}\n",
+                            b.resource,
+                            b.quota,
+                            b.standalone_share,
+                            b.max_members,
+                            row.granted,
+                            row.holders,
+                            row.reserved,
+                            b.divisible().saturating_sub(row.reserved)
+                        )
                     };
-                    format!(
-                        "{}: whole {}, alone {} for each of {}, granted {} to {} holders, counted {}, free {}{over}\n",
-                        b.of,
-                        b.whole,
-                        b.alone,
-                        b.members,
-                        row.granted,
-                        row.holders,
-                        row.counted,
-                        b.divisible().saturating_sub(row.counted)
-                    )
-                };
-                rows.iter().map(row).collect()
-            }),
-            other => unexpected(other),
-        },
+                    rows.iter().map(row).collect()
+                }),
+                other => unexpected(other),
+            }
+        }
         Command::Out(TakeEndpoint { config, name, anyway }) => endpoint(&config, name, true, anyway),
         Command::In(PutEndpoint { config, name }) => endpoint(&config, name, false, None),
         Command::Release(Release { what }) => release(what),
@@ -1070,25 +1095,27 @@
             Agent { daemons, fleet, who, token }.run();
             Ok(0)
         }
-        Command::Outs(ShowOuts { config, json }) => match fleet(&config, &Ask::Outs, PATIENCE)? {
-            Reply::Outs(rows) => show(json, &rows, || {
-                let row = |(name, holders): &(String, Vec<String>)| match holders.len() {
-                    0 => format!("{name}: empty\n"),
-                    _ => format!("{name}: held, or not known to be empty, by {}\n", holders.join(", ")),
-                };
-                rows.iter().map(row).collect()
-            }),
-            other => unexpected(other),
-        },
+        Command::Outs(ShowOuts { config, json }) => {
+            match fleet(&config, &OperatorRequest::DrainedEndpoints, PATIENCE)? {
+                OperatorReply::DrainedEndpoints(rows) => show(json, &rows, || {
+                    let row = |(name, holders): &(String, Vec<String>)| match holders.len() {
+                        0 => format!("{name}: empty\n"),
+                        _ => format!("{name}: held, or not known to be empty, by {}\n", holders.join(", ")),
+                    };
+                    rows.iter().map(row).collect()
+                }),
+                other => unexpected(other),
+            }
+        }
         Command::Forget(Forget { config, name }) => {
-            match fleet(&config, &Ask::Forget(name.clone()), PATIENCE)? {
-                Reply::Done => show(false, &(), || format!("{name} is no member any more")),
+            match fleet(&config, &OperatorRequest::Forget(name.clone()), PATIENCE)? {
+                OperatorReply::Done => show(false, &(), || format!("{name} is no member any more")),
                 other => unexpected(other),
             }
         }
         Command::Ended(Ended { config, name, incarnation }) => {
-            match fleet(&config, &Ask::Ended { name: name.clone(), incarnation }, PATIENCE)? {
-                Reply::Done => show(false, &(), || format!("what {name} held is free")),
+            match fleet(&config, &OperatorRequest::MarkEnded { name: name.clone(), incarnation }, PATIENCE)? {
+                OperatorReply::Done => show(false, &(), || format!("what {name} held is free")),
                 other => unexpected(other),
             }
         }
@@ -1110,37 +1137,44 @@
                 _ => (settings, Vec::new(), Vec::new()),
             };
             let wish = Wish { scope, expects, by, why, id, seconds, json };
-            write(&config, What::Put(settings, budgets, groups), wish)
+            write(&config, SettingsChange::Put(settings, budgets, groups), wish)
         }
         Command::Rollback(Rollback { config, to, scope, expects, by, why, id, seconds, json }) => {
-            write(&config, What::Back(to), Wish { scope, expects, by, why, id, seconds, json })
+            write(&config, SettingsChange::Rollback(to), Wish { scope, expects, by, why, id, seconds, json })
         }
         Command::Remove(Remove { config, scope, expects, by, why, id, seconds, json }) => {
-            write(&config, What::Remove, Wish { scope, expects, by, why, id, seconds, json })
+            write(&config, SettingsChange::Remove, Wish { scope, expects, by, why, id, seconds, json })
         }
-        Command::Scopes(ShowScopes { config, json }) => match fleet(&config, &Ask::Scopes, PATIENCE)? {
-            Reply::Scopes(rows) => show(json, &rows.iter().map(scope_row).collect::<Vec<_>>(), || {
-                if rows.is_empty() {
-                    return "nothing was ever put".to_string();
+        Command::Scopes(ShowScopes { config, json }) => {
+            match fleet(&config, &OperatorRequest::Scopes, PATIENCE)? {
+                OperatorReply::Scopes(rows) => {
+                    show(json, &rows.iter().map(scope_row).collect::<Vec<_>>(), || {
+                        if rows.is_empty() {
+                            return "nothing was ever put".to_string();
+                        }
+                        rows.iter().map(scope_line).collect()
+                    })
                 }
-                rows.iter().map(scope_line).collect()
-            }),
-            other => unexpected(other),
-        },
+                other => unexpected(other),
+            }
+        }
         Command::Backup(Backup { config, file }) => backup(&config, &file),
         Command::Restore(Restore { config, file, anyway }) => {
             let bytes = fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let state = Fleet::of(&bytes).map_err(|what| format!("{}: {what}", file.display()))?;
+            let state = Fleet::from_bytes(&bytes).map_err(|what| format!("{}: {what}", file.display()))?;
             let generation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
             found(&config, Some(state.restored(generation)), anyway)
         }
-        Command::HandOver(HandOver { config, to }) => match fleet(&config, &Ask::HandOver(to), PATIENCE)? {
-            Reply::Done => show(false, &(), || format!("place {to} is asked to lead")),
-            other => unexpected(other),
-        },
+        Command::HandOver(HandOver { config, to }) => {
+            match fleet(&config, &OperatorRequest::TransferLeadership(to), PATIENCE)? {
+                OperatorReply::Done => show(false, &(), || format!("place {to} is asked to lead")),
+                other => unexpected(other),
+            }
+        }
         Command::TakeOut(TakeOut { config, place, anyway }) => {
-            match fleet(&config, &Ask::TakeOut { place, anyway }, PATIENCE)? {
-                Reply::Done => show(false, &(), || format!("place {place} votes no more")),
+            match fleet(&config, &OperatorRequest::RemoveReplica { replica: place, force: anyway }, PATIENCE)?
+            {
+                OperatorReply::Done => show(false, &(), || format!("place {place} votes no more")),
                 other => unexpected(other),
             }
         }
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -8,14 +8,16 @@
 use appledyke::units::{Moment, Span};
 use appledyke_consensus::{Id, Index, Replica, Role, Settings, Term};
 use appledyke_fleet::Version;
-use appledyke_fleet::divide::Divider;
-use appledyke_fleet::evidence::{Cursor, Evidence};
+use appledyke_fleet::divide::Allocator;
+use appledyke_fleet::evidence::{Cursor, EvidenceStore};
 use appledyke_fleet::evidence_coding::Encoder;
-use appledyke_fleet::heard::Heard;
-use appledyke_fleet::runner::Runner;
+use appledyke_fleet::heard::MemberTracker;
+use appledyke_fleet::runner::ReleaseRunner;
 use appledyke_fleet::scopes::Locality;
 use appledyke_fleet::state::{Command, Fleet};
-use appledyke_fleet::talk::{Ask, Frames, Greeting, Reply, Report, VERSION, Who};
+use appledyke_fleet::talk::{
+    FrameReader, Initiator, OperatorReply, OperatorRequest, Report, VERSION, VersionNegotiation,
+};
 use appledyke_sidecar::net::connection::Connection;
 use appledyke_sidecar::net::slots::{Key, Slots};
 use mio::net::TcpListener;
@@ -76,11 +78,11 @@
 
 struct Peer {
     connection: Connection,
-    frames: Frames,
+    frames: FrameReader,
     since: Moment,
     /// When nothing waited to be sent last.
     clear: Moment,
-    who: Option<Who>,
+    who: Option<Initiator>,
     /// The version that this side has greeted with or would, and from the other's greeting on that of the connection.
     speaks: u16,
     /// What a member belongs to, as it has said.
@@ -96,7 +98,7 @@
 
 impl Peer {
     fn new(connection: Connection, now: Moment, dialed: Option<u16>, speaks: u16) -> Peer {
-        let (frames, cursor, locality) = (Frames::default(), Cursor::default(), Locality::default());
+        let (frames, cursor, locality) = (FrameReader::default(), Cursor::default(), Locality::default());
         let (who, incarnation) = (None, 0);
         Peer {
             connection,
@@ -119,7 +121,7 @@
     folder: Folder,
     replica: Replica,
     fleet: Fleet,
-    heard: Option<Heard>,
+    heard: Option<MemberTracker>,
     /// What each member that was heard since this replica leads says it belongs to, where it says so.
     localities: BTreeMap<String, Locality>,
     /// What is merged of several scopes, for members.
@@ -127,8 +129,8 @@
     /// Up to where a write of settings may be under way that this replica proposed or came to lead with, and whether such a
     /// one may be for a scope.
     unsettled: (Index, bool),
-    divider: Option<Divider>,
-    runner: Option<Runner>,
+    divider: Option<Allocator>,
+    runner: Option<ReleaseRunner>,
     /// The endpoints that members are to look for, as of a version of the settings, and the mark of these.
     looks: Option<(Version, (u64, Vec<String>))>,
     compacted: Index,
@@ -139,7 +141,7 @@
     fn looks(&mut self) -> &(u64, Vec<String>) {
         let version = self.fleet.version();
         let kept = self.looks.take().filter(|(of, _)| *of == version);
-        &self.looks.insert(kept.unwrap_or_else(|| (version, self.fleet.looks()))).1
+        &self.looks.insert(kept.unwrap_or_else(|| (version, self.fleet.watch_list()))).1
     }
 }
 
@@ -175,21 +177,21 @@
     peers: Slots<Peer>,
     dials: BTreeMap<u16, (SocketAddr, Option<Key>, Moment)>,
     /// The version that each place is greeted with next.
-    greetings: BTreeMap<u16, Greeting>,
+    greetings: BTreeMap<u16, VersionNegotiation>,
     life: Option<Life>,
     /// Why it does not serve.
     apart: Option<String>,
     reopen: Moment,
-    evidence: Evidence,
+    evidence: EvidenceStore,
     heard_records: u64,
     tickets: u64,
-    reads: BTreeMap<u64, (Key, u64, Ask)>,
+    reads: BTreeMap<u64, (Key, u64, OperatorRequest)>,
     /// Reports that ask for grants, and those for which a majority is asked whether this replica leads still.
     reports: Vec<(Key, Report)>,
     confirming: Option<(u64, Vec<(Key, Report)>)>,
     writes: BTreeMap<Index, Vec<Waiting>>,
     /// Writes of settings that wait until another one's fate is known.
-    held: VecDeque<(Key, u64, Ask)>,
+    held: VecDeque<(Key, u64, OperatorRequest)>,
     /// The one that is being checked.
     checking: Option<scopes::Checking>,
     /// Digests of the state after some entries, by place.
@@ -231,7 +233,7 @@
             life: None,
             apart: None,
             reopen: now,
-            evidence: Evidence::default(),
+            evidence: EvidenceStore::default(),
             heard_records: 0,
             tickets: 0,
             reads: BTreeMap::new(),
@@ -361,17 +363,17 @@
         (self.apart, self.reopen, self.role) = (Some(why), self.now + REOPEN, None);
         self.unconfirmed();
         for (_, (key, number, _)) in std::mem::take(&mut self.reads) {
-            self.reply(key, number, Reply::NotLeader(None));
+            self.reply(key, number, OperatorReply::NotLeader(None));
         }
         let checking = self.checking.take().map(|checking| checking.whose());
         let held = std::mem::take(&mut self.held).into_iter().map(|(key, number, _)| (key, number));
         for (key, number) in checking.into_iter().chain(held) {
-            self.reply(key, number, Reply::NotLeader(None));
+            self.reply(key, number, OperatorReply::NotLeader(None));
         }
         let writes = std::mem::take(&mut self.writes).into_values().flatten();
         for Waiting { key, whom, .. } in writes {
             if let Whom::Operator { number } = whom {
-                self.reply(key, number, Reply::Unknown("the daemon stopped serving".to_string()));
+                self.reply(key, number, OperatorReply::Unknown("the daemon stopped serving".to_string()));
             }
         }
     }
@@ -408,8 +410,8 @@
         let over = self.peers.iter().filter(|(_, peer)| {
             let silent = match peer.who {
                 None => peer.dialed.is_none() && now.since(peer.since) > GREETING_IN,
-                Some(Who::Member { .. } | Who::Operator) => now.since(peer.since) > idle,
-                Some(Who::Replica(_)) => false,
+                Some(Initiator::Member { .. } | Initiator::Operator) => now.since(peer.since) > idle,
+                Some(Initiator::Replica(_)) => false,
             };
             let older = peer.dialed.is_some() && peer.speaks < VERSION && now.since(peer.since) > OLDER;
             silent || older || now.since(peer.clear) > stuck && peer.connection.unsent() > 0
@@ -420,16 +422,16 @@
         let Some(life) = &mut self.life else { return };
         let Some(heard) = &mut life.heard else { return };
         for command in heard.proposals(now, &life.fleet) {
-            let _ = life.replica.propose(command.bytes());
+            let _ = life.replica.propose(command.to_bytes());
         }
         let Some(divider) = &mut life.divider else { return };
         for change in divider.proposals(now, life.fleet.budgets()) {
-            let _ = life.replica.propose(Command::Divide(change).bytes());
+            let _ = life.replica.propose(Command::SetShares(change).to_bytes());
         }
         let Some(runner) = &mut life.runner else { return };
         for order in runner.proposals(now, &life.fleet, heard) {
             tracing::info!("proposes {order:?}");
-            let _ = life.replica.propose(Command::Release(order).bytes());
+            let _ = life.replica.propose(Command::Release(order).to_bytes());
         }
     }
 
--- a/crates/daemon/src/serve/connections.rs
+++ b/crates/daemon/src/serve/connections.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use appledyke_consensus::Id;
-use appledyke_fleet::talk::{Frame, Reply, VERSION, Who, greeted};
+use appledyke_fleet::talk::{Frame, Initiator, OperatorReply, VERSION, check_hello};
 use appledyke_sidecar::net::connection::{self, Connection};
 use appledyke_sidecar::net::slots::Key;
 
@@ -21,7 +21,7 @@
         let entry = self.dials.get_mut(&place).expect("a place that is dialed");
         (entry.1, entry.2) = (opened.as_ref().ok().copied(), now + DIAL_AGAIN);
         let Ok(key) = opened else { return };
-        self.send(key, &Frame::hello_as(version, &self.configuration.fleet.clone(), Who::Replica(id)));
+        self.send(key, &Frame::hello_as(version, &self.configuration.fleet.clone(), Initiator::Replica(id)));
         // What it knows of the state, for one that was not there to hear it.
         let own = self.configuration.place;
         let marks: Vec<_> =
@@ -63,7 +63,7 @@
             && (peer.connection.unsent() == 0 || peer.connection.is_up().is_ok_and(|up| up))
             && self.greetings.get(&place).is_some_and(|greeting| greeting.version() == peer.speaks)
         {
-            self.greetings.entry(place).or_default().cut();
+            self.greetings.entry(place).or_default().on_closed();
         }
         peer.connection.close(self.poll.registry());
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    pub(super) fn reply(&mut self, key: Key, number: u64, reply: Reply) {
+    pub(super) fn reply(&mut self, key: Key, number: u64, reply: OperatorReply) {
         self.send(key, &Frame::Reply { number, reply });
     }
 
@@ -134,33 +134,35 @@
         let Some(peer) = self.peers.get_mut(key) else { return };
         let (who, dialed) = (peer.who.clone(), peer.dialed);
         match (frame, who) {
-            (Frame::NotTaken(why), _) => {
+            (Frame::Rejected(why), _) => {
                 tracing::warn!("not taken by another: {why}");
                 if let Some(place) = dialed {
-                    self.greetings.entry(place).or_default().refused();
+                    self.greetings.entry(place).or_default().on_rejected();
                 }
                 self.hang_up(key);
             }
             (frame @ Frame::Hello { .. }, None) => {
-                match greeted(&frame, &self.configuration.fleet, peer.speaks) {
+                match check_hello(&frame, &self.configuration.fleet, peer.speaks) {
                     Ok((who, speaks)) => self.greet(key, who, speaks, dialed),
                     Err(why) => {
-                        self.send(key, &Frame::NotTaken(why.clone()));
+                        self.send(key, &Frame::Rejected(why.clone()));
                         tracing::warn!("a connection is closed: {why}");
                         self.hang_up(key);
                     }
                 }
             }
-            (Frame::Agree(message), Some(Who::Replica(id))) if dialed.is_none() && message.from == id => {
+            (Frame::Consensus(message), Some(Initiator::Replica(id)))
+                if dialed.is_none() && message.from == id =>
+            {
                 if let Some(life) = &mut self.life {
                     life.replica.hear(message);
                     self.work();
                 }
             }
-            (Frame::Digest { index, digest }, Some(Who::Replica(id))) if dialed.is_none() => {
+            (Frame::Digest { index, digest }, Some(Initiator::Replica(id))) if dialed.is_none() => {
                 self.compare(index, id.place, digest);
             }
-            (Frame::Belongs(locality), Some(Who::Member { .. })) if peer.speaks >= VERSION => {
+            (Frame::Locality(locality), Some(Initiator::Member { .. })) if peer.speaks >= VERSION => {
                 match locality.check() {
                     Ok(()) => peer.locality = locality,
                     Err(why) => {
@@ -169,13 +171,13 @@
                     }
                 }
             }
-            (Frame::Report(report), Some(Who::Member { name })) if report.name == name => {
+            (Frame::Report(report), Some(Initiator::Member { name })) if report.name == name => {
                 self.report(key, report)
             }
-            (Frame::AskOut { ask, anyway }, Some(Who::Member { name })) => {
+            (Frame::DrainRequest { ask, anyway }, Some(Initiator::Member { name })) => {
                 self.asked_out(key, name, ask, anyway)
             }
-            (Frame::Ask { number, ask }, Some(Who::Operator)) => self.asked(key, number, ask),
+            (Frame::Request { number, ask }, Some(Initiator::Operator)) => self.asked(key, number, ask),
             _ => {
                 tracing::warn!("a connection is closed: a frame that is not its to send");
                 self.hang_up(key);
@@ -183,15 +185,15 @@
         }
     }
 
-    pub(super) fn greet(&mut self, key: Key, who: Who, speaks: u16, dialed: Option<u16>) {
+    pub(super) fn greet(&mut self, key: Key, who: Initiator, speaks: u16, dialed: Option<u16>) {
         if let Some(place) = dialed {
-            self.greetings.entry(place).or_default().taken();
+            self.greetings.entry(place).or_default().on_accepted();
         } else {
-            if let Who::Replica(id) = &who {
+            if let Initiator::Replica(id) = &who {
                 // Danger: what an earlier process of this place left in a connection comes too late to be its word.
                 let earlier = self.peers.iter().filter(|(_, peer)| {
                     peer.dialed.is_none()
-                        && matches!(&peer.who, Some(Who::Replica(other)) if other.place == id.place)
+                        && matches!(&peer.who, Some(Initiator::Replica(other)) if other.place == id.place)
                 });
                 for earlier in earlier.map(|(key, _)| key).collect::<Vec<_>>() {
                     self.hang_up(earlier);
@@ -204,7 +206,7 @@
                     self.hang_up(other);
                 }
             }
-            let hello = Frame::hello_as(speaks, &self.configuration.fleet, Who::Replica(self.id()));
+            let hello = Frame::hello_as(speaks, &self.configuration.fleet, Initiator::Replica(self.id()));
             self.send(key, &hello);
         }
         if let Some(peer) = self.peers.get_mut(key) {
--- a/crates/daemon/src/serve/operators.rs
+++ b/crates/daemon/src/serve/operators.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use appledyke_consensus::{Id, Refused, Role};
-use appledyke_fleet::budgets::{self, Holder, Thing};
-use appledyke_fleet::heard::Heard;
-use appledyke_fleet::members::TEXT_MOST;
+use appledyke_fleet::budgets::{self, Holder, Resource};
+use appledyke_fleet::heard::MemberTracker;
+use appledyke_fleet::members::MAX_TEXT_BYTES;
 use appledyke_fleet::outs;
-use appledyke_fleet::releases::Order;
+use appledyke_fleet::releases::ReleaseUpdate;
 use appledyke_fleet::scopes::Scope;
-use appledyke_fleet::state::{Command, SETTINGS_MOST, What, Write};
-use appledyke_fleet::talk::{Ask, BudgetRow, MemberRow, Reply, Status};
+use appledyke_fleet::state::{Command, MAX_SETTINGS_BYTES, SettingsChange, Write};
+use appledyke_fleet::talk::{BudgetRow, MemberRow, OperatorReply, OperatorRequest, Status};
 use appledyke_fleet::{Answer, Version};
 use appledyke_sidecar::launch::check_agreed;
 use appledyke_sidecar::net::slots::Key;
@@ -18,42 +18,46 @@
 use super::{Daemon, Whom};
 
 impl Daemon {
-    pub(super) fn asked(&mut self, key: Key, number: u64, ask: Ask) {
+    pub(super) fn asked(&mut self, key: Key, number: u64, ask: OperatorRequest) {
         if let Some(peer) = self.peers.get_mut(key) {
             peer.since = self.now;
         }
-        if ask == Ask::Status {
+        if ask == OperatorRequest::Status {
             return self.answer(key, number, &ask);
         }
         if self.waits_for_another(key, number, &ask) {
             return;
         }
         let ticket = self.tickets;
-        let Some(life) = &mut self.life else { return self.reply(key, number, Reply::NotLeader(None)) };
+        let Some(life) = &mut self.life else {
+            return self.reply(key, number, OperatorReply::NotLeader(None));
+        };
         let done = match ask {
-            Ask::Write(write) => self.write(key, number, &Scope::All, write),
-            Ask::WriteFor { scope, write } => self.write(key, number, &scope, write),
-            Ask::HandOver(place) => {
+            OperatorRequest::Write(write) => self.write(key, number, &Scope::All, write),
+            OperatorRequest::WriteScoped { scope, write } => self.write(key, number, &scope, write),
+            OperatorRequest::TransferLeadership(place) => {
                 let to = life.replica.voters().iter().copied().find(|id| id.place == place);
                 match to {
-                    Some(to) => life.replica.hand_over(to).map(|()| Some(Reply::Done)),
-                    None => Ok(Some(Reply::Refused(format!("place {place} does not vote")))),
+                    Some(to) => life.replica.hand_over(to).map(|()| Some(OperatorReply::Done)),
+                    None => Ok(Some(OperatorReply::Refused(format!("place {place} does not vote")))),
                 }
             }
-            Ask::TakeOut { place, anyway } => self.take_out(key, number, place, anyway),
-            Ask::Endpoint { name, out, anyway } => {
+            OperatorRequest::RemoveReplica { replica: place, force: anyway } => {
+                self.take_out(key, number, place, anyway)
+            }
+            OperatorRequest::Endpoint { name, out, force: anyway } => {
                 if let Some(reason) = &anyway {
                     tracing::warn!(name, reason, "{name} is taken whatever is out already: {reason}");
                 }
-                let missing = life.heard.as_ref().map(Heard::missing).unwrap_or_default();
-                self.propose(key, number, &Command::Endpoint { name, out, anyway, missing })
+                let missing = life.heard.as_ref().map(MemberTracker::missing_endpoints).unwrap_or_default();
+                self.propose(key, number, &Command::Endpoint { name, out, force: anyway, missing })
             }
-            Ask::Release(order) => self.release(key, number, order),
-            Ask::Forget(name) => self.propose(key, number, &Command::Forget(name)),
-            Ask::Ended { name, incarnation } => match &mut life.divider {
+            OperatorRequest::Release(order) => self.release(key, number, order),
+            OperatorRequest::Forget(name) => self.propose(key, number, &Command::Forget(name)),
+            OperatorRequest::MarkEnded { name, incarnation } => match &mut life.divider {
                 Some(divider) => {
-                    divider.ended(self.now, &Holder { name, incarnation });
-                    Ok(Some(Reply::Done))
+                    divider.mark_ended(self.now, &Holder { name, incarnation });
+                    Ok(Some(OperatorReply::Done))
                 }
                 None => Err(Refused::NotLeader(life.replica.leader())),
             },
@@ -69,17 +73,17 @@
     }
 
     /// Answers what has an answer already.
-    pub(super) fn outcome(&mut self, key: Key, number: u64, done: Result<Option<Reply>, Refused>) {
+    pub(super) fn outcome(&mut self, key: Key, number: u64, done: Result<Option<OperatorReply>, Refused>) {
         match done {
             Ok(Some(reply)) => self.reply(key, number, reply),
             Ok(None) => {}
             Err(Refused::NotLeader(leader)) => {
-                self.reply(key, number, Reply::NotLeader(leader.map(|id| id.place)));
+                self.reply(key, number, OperatorReply::NotLeader(leader.map(|id| id.place)));
             }
-            Err(Refused::HandsOver) => self.reply(key, number, Reply::NotLeader(None)),
+            Err(Refused::HandsOver) => self.reply(key, number, OperatorReply::NotLeader(None)),
             Err(Refused::OneAtATime) => {
                 let why = "not now: another change is under way, or this one can't be made".to_string();
-                self.reply(key, number, Reply::Refused(why));
+                self.reply(key, number, OperatorReply::Refused(why));
             }
         }
     }
@@ -91,37 +95,39 @@
         number: u64,
         scope: &Scope,
         write: Write,
-    ) -> Result<Option<Reply>, Refused> {
+    ) -> Result<Option<OperatorReply>, Refused> {
         let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
         // What is applied is committed, whoever leads now.
-        match life.fleet.done(write.id) {
-            Some(Answer::Committed(version)) => return Ok(Some(Reply::Committed(*version))),
-            Some(Answer::Refused(why)) => return Ok(Some(Reply::Refused(why.to_string()))),
+        match life.fleet.write_answer(write.id) {
+            Some(Answer::Committed(version)) => return Ok(Some(OperatorReply::Committed(*version))),
+            Some(Answer::Refused(why)) => return Ok(Some(OperatorReply::Refused(why.to_string()))),
             _ => {}
         }
         if life.replica.role() != Role::Leader {
             return Err(Refused::NotLeader(life.replica.leader()));
         }
-        if write.by.len() > TEXT_MOST || write.why.len() > TEXT_MOST {
-            return Ok(Some(Reply::Faulty(format!("by, why: expected {TEXT_MOST} bytes at the most"))));
+        if write.author.len() > MAX_TEXT_BYTES || write.reason.len() > MAX_TEXT_BYTES {
+            return Ok(Some(OperatorReply::Invalid(format!(
+                "by, why: expected {MAX_TEXT_BYTES} bytes at the most"
+            ))));
         }
-        if let What::Put(settings, budgets, groups) = &write.what {
+        if let SettingsChange::Put(settings, budgets, groups) = &write.change {
             if let Err(what) = outs::check(groups) {
-                return Ok(Some(Reply::Faulty(what)));
+                return Ok(Some(OperatorReply::Invalid(what)));
             }
             if let Err(what) = budgets::check(budgets) {
-                return Ok(Some(Reply::Faulty(what)));
+                return Ok(Some(OperatorReply::Invalid(what)));
             }
-            if settings.len() > SETTINGS_MOST {
-                return Ok(Some(Reply::Faulty(format!(
-                    "settings: expected {SETTINGS_MOST} bytes at the most"
+            if settings.len() > MAX_SETTINGS_BYTES {
+                return Ok(Some(OperatorReply::Invalid(format!(
+                    "settings: expected {MAX_SETTINGS_BYTES} bytes at the most"
                 ))));
             }
             // What is for a part is checked with what it stands above.
             if *scope == Scope::All
                 && let Err(what) = check_agreed(&self.template, settings)
             {
-                return Ok(Some(Reply::Faulty(what)));
+                return Ok(Some(OperatorReply::Invalid(what)));
             }
         }
         if *scope == Scope::All && life.fleet.scopes().is_empty() {
@@ -136,27 +142,33 @@
         key: Key,
         number: u64,
         command: &Command,
-    ) -> Result<Option<Reply>, Refused> {
+    ) -> Result<Option<OperatorReply>, Refused> {
         let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
-        let at = life.replica.propose(command.bytes())?;
+        let at = life.replica.propose(command.to_bytes())?;
         self.wait(at, key, Whom::Operator { number });
         Ok(None)
     }
 
     /// An operator's or an agent's word on a release; who goes next is the leader's own to say.
-    pub(super) fn release(&mut self, key: Key, number: u64, order: Order) -> Result<Option<Reply>, Refused> {
+    pub(super) fn release(
+        &mut self,
+        key: Key,
+        number: u64,
+        order: ReleaseUpdate,
+    ) -> Result<Option<OperatorReply>, Refused> {
         let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
         let order = match order {
-            Order::Start(plan, _) => {
+            ReleaseUpdate::Start(plan, _) => {
                 if let Err(what) = plan.check() {
-                    return Ok(Some(Reply::Faulty(what)));
+                    return Ok(Some(OperatorReply::Invalid(what)));
                 }
                 let (now, fleet) = (self.now, &life.fleet);
-                let before = life.runner.as_ref().map(|r| r.before(now, fleet, &plan.group, plan.moves));
-                Order::Start(plan, before.unwrap_or_default())
+                let before =
+                    life.runner.as_ref().map(|r| r.baseline(now, fleet, &plan.group, plan.target_kind));
+                ReleaseUpdate::Start(plan, before.unwrap_or_default())
             }
-            Order::Send { .. } | Order::Found { .. } => {
-                return Ok(Some(Reply::Faulty("this is the leader's own to say".to_string())));
+            ReleaseUpdate::BeginTransition { .. } | ReleaseUpdate::MarkReached { .. } => {
+                return Ok(Some(OperatorReply::Invalid("this is the leader's own to say".to_string())));
             }
             other => other,
         };
@@ -169,17 +181,17 @@
         number: u64,
         place: u16,
         anyway: bool,
-    ) -> Result<Option<Reply>, Refused> {
+    ) -> Result<Option<OperatorReply>, Refused> {
         let Some(life) = &mut self.life else { return Err(Refused::NotLeader(None)) };
         let voters = life.replica.voters();
         let Some(out) = voters.iter().copied().find(|id| id.place == place) else {
-            return Ok(Some(Reply::Refused(format!("place {place} does not vote"))));
+            return Ok(Some(OperatorReply::Refused(format!("place {place} does not vote"))));
         };
         if life.replica.role() != Role::Leader {
             return Err(Refused::NotLeader(life.replica.leader()));
         }
         if out == life.replica.id() {
-            return Ok(Some(Reply::Refused(format!("place {place} leads: hand over first"))));
+            return Ok(Some(OperatorReply::Refused(format!("place {place} leads: hand over first"))));
         }
         let left: std::collections::BTreeSet<Id> = voters.iter().copied().filter(|id| *id != out).collect();
         let peers = life.replica.peers();
@@ -191,7 +203,7 @@
                 "{heard} of the {} that would be left are heard: one more that fails ends all writing; say --anyway to do it",
                 left.len()
             );
-            return Ok(Some(Reply::Refused(why)));
+            return Ok(Some(OperatorReply::Refused(why)));
         }
         let at = life.replica.change(left)?;
         self.wait(at, key, Whom::Operator { number });
@@ -199,77 +211,83 @@
     }
 
     /// Answers what may be answered now.
-    pub(super) fn answer(&mut self, key: Key, number: u64, ask: &Ask) {
+    pub(super) fn answer(&mut self, key: Key, number: u64, ask: &OperatorRequest) {
         let Some(life) = &self.life else {
             let reply = match ask {
-                Ask::Status => Reply::Status(self.status()),
-                _ => Reply::NotLeader(None),
+                OperatorRequest::Status => OperatorReply::Status(self.status()),
+                _ => OperatorReply::NotLeader(None),
             };
             return self.reply(key, number, reply);
         };
         let reply = match ask {
-            Ask::Status => Reply::Status(self.status()),
-            Ask::Members => {
+            OperatorRequest::Status => OperatorReply::Status(self.status()),
+            OperatorRequest::Members => {
                 let versions: BTreeMap<&str, Version> =
-                    life.heard.iter().flat_map(|heard| heard.versions(self.now)).collect();
+                    life.heard.iter().flat_map(|heard| heard.active_versions(self.now)).collect();
                 let rows = life.fleet.members().iter().map(|(name, member)| MemberRow {
                     name: name.clone(),
                     incarnation: member.incarnation,
-                    standing: member.standing,
+                    status: member.status,
                     version: versions.get(name.as_str()).copied(),
                     groups: member.groups.clone(),
                     out: outs::is_out(member),
                 });
-                Reply::Members(rows.collect())
-            }
-            Ask::Get(None) => Reply::Settings(life.fleet.settings().cloned()),
-            Ask::Get(Some(version)) => {
-                Reply::Settings(life.fleet.history().find(|written| written.version == *version).cloned())
+                OperatorReply::Members(rows.collect())
             }
-            Ask::History => Reply::History(life.fleet.history().cloned().collect()),
-            Ask::Backup => Reply::Backup(life.fleet.bytes()),
-            Ask::Outs => {
-                let (_, outs) = life.fleet.endpoints_out();
+            OperatorRequest::Get(None) => OperatorReply::Settings(life.fleet.settings().cloned()),
+            OperatorRequest::Get(Some(version)) => OperatorReply::Settings(
+                life.fleet.history().find(|written| written.version == *version).cloned(),
+            ),
+            OperatorRequest::History => OperatorReply::History(life.fleet.history().cloned().collect()),
+            OperatorRequest::Backup => OperatorReply::Backup(life.fleet.to_bytes()),
+            OperatorRequest::DrainedEndpoints => {
+                let (_, outs) = life.fleet.drained_endpoints();
                 let holders = |name: &String| match &life.heard {
-                    Some(heard) => heard.holders(self.now, &life.fleet, name),
+                    Some(heard) => heard.members_using(self.now, &life.fleet, name),
                     None => life.fleet.members().keys().cloned().collect(),
                 };
-                Reply::Outs(outs.iter().map(|name| (name.clone(), holders(name))).collect())
+                OperatorReply::DrainedEndpoints(
+                    outs.iter().map(|name| (name.clone(), holders(name))).collect(),
+                )
             }
-            Ask::Releases => {
+            OperatorRequest::Releases => {
                 let releases = life.fleet.releases().iter().map(|(_, release)| release.clone()).collect();
-                let runs = life.heard.iter().flat_map(|heard| heard.runs(self.now));
+                let runs = life.heard.iter().flat_map(|heard| heard.program_versions(self.now));
                 let runs = runs.map(|(who, runs)| (who.to_string(), runs.to_string())).collect();
-                Reply::Releases(releases, runs)
+                OperatorReply::Releases(releases, runs)
             }
-            Ask::Work(who) => Reply::Work(life.fleet.releases().work(who)),
-            Ask::Budgets => {
+            OperatorRequest::AgentTask(who) => {
+                OperatorReply::AgentTask(life.fleet.releases().agent_task(who))
+            }
+            OperatorRequest::Budgets => {
                 let budgets = life.fleet.budgets();
-                let row = |of: Thing| {
+                let row = |of: Resource| {
                     let budget = *budgets.budget(of)?;
                     let (granted, holders) =
-                        budgets.parts(of).fold((0, 0), |sum, (_, part)| (sum.0 + part.granted, sum.1 + 1));
+                        budgets.shares(of).fold((0, 0), |sum, (_, part)| (sum.0 + part.granted, sum.1 + 1));
                     Some(BudgetRow {
                         budget,
                         granted,
-                        counted: budgets.counted(of),
+                        reserved: budgets.reserved(of),
                         holders,
-                        over: budgets.over(of),
+                        excess: budgets.excess(of),
                     })
                 };
-                Reply::Budgets(Thing::ALL.into_iter().filter_map(row).collect())
-            }
-            Ask::Scopes | Ask::GetFor { .. } | Ask::HistoryFor(_) | Ask::SettingsOf(_) | Ask::Localities => {
-                life.answer_scopes(self.now, ask)
+                OperatorReply::Budgets(Resource::ALL.into_iter().filter_map(row).collect())
             }
-            Ask::Write(_)
-            | Ask::WriteFor { .. }
-            | Ask::HandOver(_)
-            | Ask::TakeOut { .. }
-            | Ask::Ended { .. }
-            | Ask::Forget(_)
-            | Ask::Release(_)
-            | Ask::Endpoint { .. } => {
+            OperatorRequest::Scopes
+            | OperatorRequest::GetScoped { .. }
+            | OperatorRequest::ScopeHistory(_)
+            | OperatorRequest::MemberSettings(_)
+            | OperatorRequest::Localities => life.answer_scopes(self.now, ask),
+            OperatorRequest::Write(_)
+            | OperatorRequest::WriteScoped { .. }
+            | OperatorRequest::TransferLeadership(_)
+            | OperatorRequest::RemoveReplica { .. }
+            | OperatorRequest::MarkEnded { .. }
+            | OperatorRequest::Forget(_)
+            | OperatorRequest::Release(_)
+            | OperatorRequest::Endpoint { .. } => {
                 return;
             }
         };
@@ -289,7 +307,7 @@
             voters: Vec::new(),
             version: Version::default(),
             peers: Vec::new(),
-            apart: self.apart.clone(),
+            excluded: self.apart.clone(),
             evidence: self.heard_records,
         };
         if let Some(life) = &self.life {
--- a/crates/daemon/src/serve/scopes.rs
+++ b/crates/daemon/src/serve/scopes.rs
@@ -7,10 +7,10 @@
 use appledyke::units::{Moment, Span};
 use appledyke_consensus::{Id, Refused, Role};
 use appledyke_fleet::Version;
-use appledyke_fleet::heard::Heard;
-use appledyke_fleet::scopes::{Locality, Scope, Scoped, Scopes};
-use appledyke_fleet::state::{Command, Fleet, SETTINGS_MOST, What, Write, Written};
-use appledyke_fleet::talk::{Ask, Merged, Reply, ScopeRow, VERSION, Who};
+use appledyke_fleet::heard::MemberTracker;
+use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings, Scopes};
+use appledyke_fleet::state::{Command, Fleet, MAX_SETTINGS_BYTES, SettingsChange, SettingsVersion, Write};
+use appledyke_fleet::talk::{Initiator, MergedSettings, OperatorReply, OperatorRequest, ScopeRow, VERSION};
 use appledyke_sidecar::launch::check_agreed;
 use appledyke_sidecar::net::slots::Key;
 use serde_json::Value;
@@ -42,14 +42,14 @@
     ) -> Option<(Version, String)> {
         let version = fleet.version_for(name, locality).filter(|version| *version > knows)?;
         if fleet.scopes().is_empty() {
-            return fleet.settings_of(name, locality);
+            return fleet.settings_for(name, locality);
         }
-        let own = fleet.scopes().last(&Scope::Member(name.to_string())).map(|_| name.to_string());
+        let own = fleet.scopes().latest(&Scope::Member(name.to_string())).map(|_| name.to_string());
         let key = (locality.clone(), own);
         if let Some(kept) = self.of.get(&key).filter(|(of, _)| *of == version) {
             return Some(kept.clone());
         }
-        let merged = fleet.settings_of(name, locality)?;
+        let merged = fleet.settings_for(name, locality)?;
         self.bytes -= self.of.remove(&key).map_or(0, |(_, text)| text.len());
         if self.bytes + merged.1.len() > MERGED_BYTES_MOST {
             (self.of, self.bytes) = (BTreeMap::new(), 0);
@@ -63,11 +63,13 @@
 /// The members that a leader hears, the version that each says it acts on, and what it belongs to.
 fn heard<'a>(
     now: Moment,
-    heard: &'a Heard,
+    heard: &'a MemberTracker,
     localities: &'a BTreeMap<String, Locality>,
 ) -> impl Iterator<Item = (&'a str, Version, &'a Locality)> {
     static NONE: Locality = Locality { service: None, zone: None, region: None };
-    heard.versions(now).map(move |(name, version)| (name, version, localities.get(name).unwrap_or(&NONE)))
+    heard
+        .active_versions(now)
+        .map(move |(name, version)| (name, version, localities.get(name).unwrap_or(&NONE)))
 }
 
 /// A name and a locality that belong to a scope and to no other.
@@ -116,10 +118,10 @@
             [] => what,
             scopes => format!("for {}: {what}", named(scopes)),
         };
-        if merged.len() > SETTINGS_MOST {
+        if merged.len() > MAX_SETTINGS_BYTES {
             let size = merged.len();
             return Some(Err(told(format!(
-                "the settings would have {size} bytes, {SETTINGS_MOST} at the most"
+                "the settings would have {size} bytes, {MAX_SETTINGS_BYTES} at the most"
             ))));
         }
         Some(check_agreed(template, &merged).map_err(told))
@@ -132,7 +134,7 @@
     changed: &Scope,
     members: &[(&str, &Locality)],
 ) -> VecDeque<(Vec<Scope>, String, Locality)> {
-    let there = |scope: &&Scope| scopes.last(scope).is_some_and(|last| last.settings.is_some());
+    let there = |scope: &&Scope| scopes.latest(scope).is_some_and(|last| last.settings.is_some());
     let above: Vec<&Scope> = match changed {
         Scope::All => scopes.iter().map(|(scope, _)| scope).filter(there).collect(),
         one => iter::once(one).filter(there).collect(),
@@ -141,14 +143,15 @@
     let lone = lone.iter().map(|(name, locality)| (name.as_str(), locality));
     let (nobody, nowhere) = (String::new(), Locality::default());
     let base = iter::once((nobody.as_str(), &nowhere)).filter(|_| *changed == Scope::All);
-    let concerned = members.iter().copied().filter(|(name, locality)| changed.holds(name, locality));
+    let concerned = members.iter().copied().filter(|(name, locality)| changed.contains(name, locality));
     let ways = scopes.combinations(base.chain(lone).chain(concerned)).into_iter();
     ways.map(|(combination, (name, locality))| (combination, name.to_string(), locality.clone())).collect()
 }
 
-fn as_scoped(written: &Written) -> Scoped {
-    let Written { version, settings, by, why, at_ms, back_to, .. } = written.clone();
-    Scoped { version, settings: Some(settings), by, why, at_ms, back_to }
+fn as_scoped(written: &SettingsVersion) -> ScopedSettings {
+    let SettingsVersion { version, settings, author: by, reason: why, at_ms, rollback_to: back_to, .. } =
+        written.clone();
+    ScopedSettings { version, settings: Some(settings), author: by, reason: why, at_ms, rollback_to: back_to }
 }
 
 impl Life {
@@ -174,23 +177,23 @@
         let mut all = fleet.settings().map(|written| (written.version, written.settings.clone()));
         let later = Version { number: fleet.version().number + 1, ..fleet.version() };
         if *scope == Scope::All {
-            all = match &write.what {
-                What::Put(settings, ..) => Some((later, settings.clone())),
-                What::Back(version) => {
+            all = match &write.change {
+                SettingsChange::Put(settings, ..) => Some((later, settings.clone())),
+                SettingsChange::Rollback(version) => {
                     let back = fleet.history().find(|written| written.version == *version);
                     back.map(|written| (later, written.settings.clone()))
                 }
-                What::Remove => all,
+                SettingsChange::Remove => all,
             };
         } else {
-            let settings = match &write.what {
-                What::Put(settings, ..) => Some(settings.clone()),
-                What::Back(version) => {
+            let settings = match &write.change {
+                SettingsChange::Put(settings, ..) => Some(settings.clone()),
+                SettingsChange::Rollback(version) => {
                     let back = scopes.history(scope).find(|scoped| scoped.version == *version);
                     // What is not kept is refused by the state.
                     back.and_then(|back| back.settings.clone())
                 }
-                What::Remove => None,
+                SettingsChange::Remove => None,
             };
             if let Some(text) = &settings {
                 // Danger: what is no object has no keys, and would say nothing of itself when it is laid over others.
@@ -201,8 +204,15 @@
                     return Err(format!("for {scope}: settings.{key}: it is put for all, not for a scope"));
                 }
             }
-            let (by, why, at_ms) = (write.by.clone(), write.why.clone(), write.at_ms);
-            let scoped = Scoped { version: later, settings, by, why, at_ms, back_to: None };
+            let (by, why, at_ms) = (write.author.clone(), write.reason.clone(), write.at_ms);
+            let scoped = ScopedSettings {
+                version: later,
+                settings,
+                author: by,
+                reason: why,
+                at_ms,
+                rollback_to: None,
+            };
             scopes.put(scope, scoped).map_err(|full| full.to_string())?;
         }
         let members: Vec<(&str, &Locality)> = self
@@ -226,7 +236,7 @@
             })
             .collect();
         let row = |scope: &Scope, version, bytes: Option<usize>| {
-            let own = members.iter().filter(|(name, locality, _)| scope.holds(name, locality));
+            let own = members.iter().filter(|(name, locality, _)| scope.contains(name, locality));
             let acting = own.clone().filter(|(_, _, acts)| *acts).count() as u64;
             let (scope, bytes) = (scope.clone(), bytes.map(|bytes| bytes as u64));
             ScopeRow { scope, version, bytes, members: own.count() as u64, acting }
@@ -238,19 +248,20 @@
     }
 
     /// What holds for a member; none where nobody knows of it, or nothing concerns it.
-    fn settings_for(&self, name: &str) -> Option<Merged> {
-        let known = self.heard.as_ref().is_some_and(|heard| heard.all().any(|(other, _)| other == name));
+    fn settings_for(&self, name: &str) -> Option<MergedSettings> {
+        let known =
+            self.heard.as_ref().is_some_and(|heard| heard.last_reports().any(|(other, _)| other == name));
         if !known && !self.fleet.members().contains_key(name) {
             return None;
         }
         let locality = self.localities.get(name).cloned();
         let of = locality.clone().unwrap_or_default();
-        let (version, settings) = self.fleet.settings_of(name, &of)?;
+        let (version, settings) = self.fleet.settings_for(name, &of)?;
         let scopes = self.fleet.scopes().combinations(iter::once((name, &of)));
         let above = scopes.into_keys().flatten();
         let all = self.fleet.settings().map(|_| Scope::All);
-        let of = all.into_iter().chain(above).map(|scope| (scope.clone(), self.fleet.version_of(&scope)));
-        Some(Merged { version, settings, locality, of: of.collect() })
+        let of = all.into_iter().chain(above).map(|scope| (scope.clone(), self.fleet.scope_version(&scope)));
+        Some(MergedSettings { version, settings, locality, sources: of.collect() })
     }
 
     /// Whether a write waits until another one's fate is known. Danger: two that are well each for itself, and checked each
@@ -267,28 +278,31 @@
     }
 
     /// Answers what is asked of parts of the fleet.
-    pub(super) fn answer_scopes(&self, now: Moment, ask: &Ask) -> Reply {
+    pub(super) fn answer_scopes(&self, now: Moment, ask: &OperatorRequest) -> OperatorReply {
         match ask {
-            Ask::Scopes => Reply::Scopes(self.scope_rows(now)),
-            Ask::GetFor { scope: Scope::All, version } => {
-                let of = |written: &&Written| version.is_none_or(|version| written.version == version);
-                Reply::Scoped(self.fleet.history().filter(of).last().map(as_scoped))
+            OperatorRequest::Scopes => OperatorReply::Scopes(self.scope_rows(now)),
+            OperatorRequest::GetScoped { scope: Scope::All, version } => {
+                let of =
+                    |written: &&SettingsVersion| version.is_none_or(|version| written.version == version);
+                OperatorReply::Scoped(self.fleet.history().filter(of).last().map(as_scoped))
+            }
+            OperatorRequest::GetScoped { scope, version } => {
+                let of = |scoped: &&ScopedSettings| version.is_none_or(|version| scoped.version == version);
+                OperatorReply::Scoped(self.fleet.scopes().history(scope).filter(of).last().cloned())
             }
-            Ask::GetFor { scope, version } => {
-                let of = |scoped: &&Scoped| version.is_none_or(|version| scoped.version == version);
-                Reply::Scoped(self.fleet.scopes().history(scope).filter(of).last().cloned())
+            OperatorRequest::ScopeHistory(Scope::All) => {
+                OperatorReply::ScopeHistory(self.fleet.history().map(as_scoped).collect())
             }
-            Ask::HistoryFor(Scope::All) => Reply::HistoryFor(self.fleet.history().map(as_scoped).collect()),
-            Ask::HistoryFor(scope) => {
-                Reply::HistoryFor(self.fleet.scopes().history(scope).cloned().collect())
+            OperatorRequest::ScopeHistory(scope) => {
+                OperatorReply::ScopeHistory(self.fleet.scopes().history(scope).cloned().collect())
             }
-            Ask::SettingsOf(name) => Reply::Merged(self.settings_for(name)),
-            Ask::Localities => {
+            OperatorRequest::MemberSettings(name) => OperatorReply::Merged(self.settings_for(name)),
+            OperatorRequest::Localities => {
                 let members = self.heard.iter().flat_map(|of| heard(now, of, &self.localities));
                 let rows = members.map(|(name, _, locality)| (name.to_string(), locality.clone()));
-                Reply::Localities(rows.collect())
+                OperatorReply::Localities(rows.collect())
             }
-            _ => Reply::Done,
+            _ => OperatorReply::Done,
         }
     }
 }
@@ -302,7 +316,7 @@
         number: u64,
         scope: &Scope,
         write: Write,
-    ) -> Result<Option<Reply>, Refused> {
+    ) -> Result<Option<OperatorReply>, Refused> {
         let Some(life) = &self.life else { return Err(Refused::NotLeader(None)) };
         // Where something was put before, all spoke this version then; and one that is away must not hold up the rest.
         if *scope != Scope::All
@@ -310,7 +324,7 @@
             && let Some((place, why)) = self.older_voter(life)
         {
             // Danger: one that was replaced without knowing it would refuse for good what another has taken.
-            return Ok(Some(Reply::Faulty(format!(
+            return Ok(Some(OperatorReply::Invalid(format!(
                 "not before all daemons speak version {VERSION}: place {place} {why}"
             ))));
         }
@@ -319,7 +333,7 @@
                 self.checking = Some(checking);
                 Ok(None)
             }
-            Err(why) => Ok(Some(Reply::Faulty(why))),
+            Err(why) => Ok(Some(OperatorReply::Invalid(why))),
         }
     }
 
@@ -329,7 +343,7 @@
         let own = life.replica.id();
         let speaks = |id: &Id| {
             let peers = self.peers.iter().map(|(_, peer)| peer);
-            let of = peers.filter(|peer| peer.who == Some(Who::Replica(*id)));
+            let of = peers.filter(|peer| peer.who == Some(Initiator::Replica(*id)));
             of.map(|peer| peer.speaks).max()
         };
         let voters = life.replica.voters();
@@ -342,10 +356,10 @@
     }
 
     /// A write that waits for another is asked again once that one's fate is known, or this replica leads no more.
-    pub(super) fn waits_for_another(&mut self, key: Key, number: u64, ask: &Ask) -> bool {
+    pub(super) fn waits_for_another(&mut self, key: Key, number: u64, ask: &OperatorRequest) -> bool {
         let scope = match ask {
-            Ask::Write(_) => &Scope::All,
-            Ask::WriteFor { scope, .. } => scope,
+            OperatorRequest::Write(_) => &Scope::All,
+            OperatorRequest::WriteScoped { scope, .. } => scope,
             _ => return false,
         };
         let waits = self.checking.is_some() || self.life.as_ref().is_some_and(|life| life.waits(scope));
@@ -366,7 +380,7 @@
                 Some(Ok(())) => {}
                 Some(Err(why)) => {
                     self.checking = None;
-                    self.reply(key, number, Reply::Faulty(why));
+                    self.reply(key, number, OperatorReply::Invalid(why));
                 }
                 None => {
                     let Some(checking) = self.checking.take() else { return };
@@ -388,10 +402,10 @@
         number: u64,
         scope: &Scope,
         write: Write,
-    ) -> Result<Option<Reply>, Refused> {
+    ) -> Result<Option<OperatorReply>, Refused> {
         let command = match scope {
             Scope::All => Command::Write(write),
-            scope => Command::Scoped(scope.clone(), write),
+            scope => Command::WriteScoped(scope.clone(), write),
         };
         let proposed = self.propose(key, number, &command);
         if let (Some(life), Ok(None)) = (&mut self.life, &proposed) {
--- a/crates/daemon/src/serve/work.rs
+++ b/crates/daemon/src/serve/work.rs
@@ -5,11 +5,11 @@
 use appledyke::units::Span;
 use appledyke_consensus::{Content, Entry, Index, Position, Role, Term, Work};
 use appledyke_fleet::Answer;
-use appledyke_fleet::divide::Divider;
-use appledyke_fleet::heard::{self, Heard};
-use appledyke_fleet::runner::Runner;
+use appledyke_fleet::divide::Allocator;
+use appledyke_fleet::heard::{self, MemberTracker};
+use appledyke_fleet::runner::ReleaseRunner;
 use appledyke_fleet::state::{Command, Fleet};
-use appledyke_fleet::talk::{Frame, Reply};
+use appledyke_fleet::talk::{Frame, OperatorReply};
 use appledyke_sidecar::net::slots::Key;
 
 use super::{Daemon, MARKS_MOST, Waiting, Whom};
@@ -33,7 +33,7 @@
                 }
             }
             if let Some(snapshot) = install {
-                match Fleet::of(&snapshot.state) {
+                match Fleet::from_bytes(&snapshot.state) {
                     Ok(fleet) => {
                         (life.fleet, life.compacted) = (fleet, snapshot.at.index);
                         let passed =
@@ -60,12 +60,12 @@
                 }
                 if let Some((key, number, _)) = self.reads.remove(&ticket) {
                     let leader = self.leader();
-                    self.reply(key, number, Reply::NotLeader(leader));
+                    self.reply(key, number, OperatorReply::NotLeader(leader));
                 }
             }
             for message in messages {
                 let to = message.to.place;
-                self.send_to(to, &Frame::Agree(message));
+                self.send_to(to, &Frame::Consensus(message));
             }
         }
         self.look_at_role();
@@ -109,20 +109,20 @@
         let (id, term) = (life.replica.id(), life.replica.term());
         tracing::info!(%id, term, role = ?role, "replica {id} is {role:?} in term {term}");
         self.role = Some(role);
-        let terms = heard::Terms {
+        let terms = heard::LivenessTimeouts {
             lease: self.configuration.lease(),
             gone: Span::from_millis(self.configuration.gone_ms),
         };
         let generation = life.fleet.version().generation;
-        life.heard = (role == Role::Leader).then(|| Heard::new(self.now, terms));
-        life.divider = (role == Role::Leader).then(|| Divider::new(self.now, generation));
-        life.runner = (role == Role::Leader).then(Runner::new);
+        life.heard = (role == Role::Leader).then(|| MemberTracker::new(self.now, terms));
+        life.divider = (role == Role::Leader).then(|| Allocator::new(self.now, generation));
+        life.runner = (role == Role::Leader).then(ReleaseRunner::new);
         // What it holds and has not applied may have writes of settings of whoever led before.
         (life.localities, life.unsettled) = (BTreeMap::new(), (life.replica.last().index, true));
         // Danger: what was checked against the state of an earlier term may be faulty with what another leader committed.
         if let Some((key, number)) = self.checking.take().map(|checking| checking.whose()) {
             let leader = self.leader();
-            self.reply(key, number, Reply::NotLeader(leader));
+            self.reply(key, number, OperatorReply::NotLeader(leader));
         }
     }
 
@@ -134,23 +134,23 @@
         let Some(life) = &mut self.life else { return };
         let index = entry.at.index;
         let answer = match &entry.content {
-            Content::Command(bytes) => match Command::of(bytes) {
+            Content::Command(bytes) => match Command::from_bytes(bytes) {
                 Ok(command) => life.fleet.apply(index, &command),
                 Err(what) => {
                     // The same everywhere: it is passed over.
                     tracing::error!("entry {index}: {what}");
-                    life.fleet.pass(index);
+                    life.fleet.skip_entry(index);
                     Answer::Done
                 }
             },
             Content::Blank | Content::Voters(_) => {
-                life.fleet.pass(index);
+                life.fleet.skip_entry(index);
                 Answer::Done
             }
         };
         if index >= life.compacted + self.configuration.compact_every {
             life.compacted = index;
-            life.replica.compact(index, life.fleet.bytes());
+            life.replica.compact(index, life.fleet.to_bytes());
         }
         if index.is_multiple_of(self.configuration.compare_every) {
             let digest = life.fleet.digest();
@@ -173,22 +173,22 @@
         for waiting in self.writes.remove(&index).unwrap_or_default() {
             let reply = match answer {
                 _ if term != Some(waiting.term) => {
-                    Reply::Unknown("another leader's entry came in its place".to_string())
+                    OperatorReply::Unknown("another leader's entry came in its place".to_string())
                 }
-                Answer::Committed(version) => Reply::Committed(*version),
-                Answer::Refused(why) => Reply::Refused(why.to_string()),
-                Answer::Done => Reply::Done,
+                Answer::Committed(version) => OperatorReply::Committed(*version),
+                Answer::Refused(why) => OperatorReply::Refused(why.to_string()),
+                Answer::Done => OperatorReply::Done,
             };
             match waiting.whom {
                 Whom::Operator { number } => self.reply(waiting.key, number, reply),
                 Whom::Member { ask } => {
                     let refused = match reply {
-                        Reply::Done => None,
-                        Reply::Refused(why) => Some(why),
+                        OperatorReply::Done => None,
+                        OperatorReply::Refused(why) => Some(why),
                         // Danger: what nobody knows is not to be told as a yes or a no; it asks again.
                         _ => continue,
                     };
-                    self.send(waiting.key, &Frame::OutTold { ask, refused });
+                    self.send(waiting.key, &Frame::DrainAnswer { ask, refused });
                 }
             }
         }
--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::budgets::{Budget, Thing};
-use appledyke_fleet::state::What;
-use appledyke_fleet::talk::{Ask, BudgetRow, Reply};
+use appledyke_fleet::budgets::{Budget, Resource};
+use appledyke_fleet::state::SettingsChange;
+use appledyke_fleet::talk::{BudgetRow, OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::holders::Holders;
 use appledyke_lab::rig::links::Standing;
@@ -25,7 +25,14 @@
 const UNDER_WAY: Duration = Duration::from_millis(60);
 
 fn write_outs(whole: u64) -> Budget {
-    Budget { of: Thing::WriteOuts, whole, window_ms: 1000, least: 2, alone: 3, members: 8 }
+    Budget {
+        resource: Resource::Attempts,
+        quota: whole,
+        window_ms: 1000,
+        min_share: 2,
+        standalone_share: 3,
+        max_members: 8,
+    }
 }
 
 struct Both {
@@ -57,13 +64,17 @@
     }
 
     fn put(&mut self, budgets: &[Budget]) {
-        let write = self.daemons.a_write(What::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
-        assert!(matches!(self.daemons.ask(&Ask::Write(write), PATIENCE), Ok(Reply::Committed(_))));
+        let write =
+            self.daemons.a_write(SettingsChange::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
+        assert!(matches!(
+            self.daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            Ok(OperatorReply::Committed(_))
+        ));
     }
 
     fn row(&self) -> BudgetRow {
-        match self.daemons.ask(&Ask::Budgets, PATIENCE) {
-            Ok(Reply::Budgets(rows)) if rows.len() == 1 => rows[0].clone(),
+        match self.daemons.ask(&OperatorRequest::Budgets, PATIENCE) {
+            Ok(OperatorReply::Budgets(rows)) if rows.len() == 1 => rows[0].clone(),
             other => panic!("{other:?}"),
         }
     }
@@ -72,7 +83,7 @@
     fn divided(&self, holders: u64) {
         let waited = self.daemons.wait("all is divided", |_| {
             let row = self.row();
-            row.holders == holders && row.over == 0 && row.granted * 10 >= row.budget.divisible() * 9
+            row.holders == holders && row.excess == 0 && row.granted * 10 >= row.budget.divisible() * 9
         });
         waited.unwrap_or_else(|said| panic!("{said}\n{:?}", self.row()));
     }
@@ -194,7 +205,14 @@
 
 #[test]
 fn connections_of_one_that_is_stopped_stay_counted_and_an_operators_word_frees_them() {
-    let budget = Budget { of: Thing::Connections, whole: 8, window_ms: 0, least: 1, alone: 1, members: 3 };
+    let budget = Budget {
+        resource: Resource::Connections,
+        quota: 8,
+        window_ms: 0,
+        min_share: 1,
+        standalone_share: 1,
+        max_members: 3,
+    };
     let mut both = Both::begin("stock", 3, json!({"connections": {"part": 1}}));
     both.put(&[budget]);
     let clients = both.load(&["s0", "s1", "s2"]);
@@ -208,16 +226,18 @@
     let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     both.sidecars.kill("s2");
-    let Ok(Reply::Members(rows)) = both.daemons.ask(&Ask::Members, PATIENCE) else { panic!() };
+    let Ok(OperatorReply::Members(rows)) = both.daemons.ask(&OperatorRequest::Members, PATIENCE) else {
+        panic!()
+    };
     let gone = rows.into_iter().find(|row| row.name == "s2").unwrap();
-    let ended = Ask::Ended { name: gone.name, incarnation: gone.incarnation };
-    assert_eq!(both.daemons.ask(&ended, PATIENCE), Ok(Reply::Done));
+    let ended = OperatorRequest::MarkEnded { name: gone.name, incarnation: gone.incarnation };
+    assert_eq!(both.daemons.ask(&ended, PATIENCE), Ok(OperatorReply::Done));
     both.daemons.wait("what it held is free", |_| both.row().holders == 2).unwrap();
     // One that comes back says by its lock that no other process of its name is there.
     both.sidecars.kill("s1");
     both.start("s1");
     both.daemons
-        .wait("its earlier life holds nothing", |_| both.row().holders == 2 && both.row().over == 0)
+        .wait("its earlier life holds nothing", |_| both.row().holders == 2 && both.row().excess == 0)
         .unwrap();
     let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
@@ -252,7 +272,14 @@
 
 #[test]
 fn a_cap_on_connections_ends_with_its_budget() {
-    let budget = Budget { of: Thing::Connections, whole: 1, window_ms: 0, least: 1, alone: 0, members: 1 };
+    let budget = Budget {
+        resource: Resource::Connections,
+        quota: 1,
+        window_ms: 0,
+        min_share: 1,
+        standalone_share: 0,
+        max_members: 1,
+    };
     let mut both = Both::begin("cap", 1, json!({}));
     both.put(&[budget]);
     both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Waits));
@@ -291,8 +318,15 @@
         both.daemons.wait("some have called it again", |_| calls().len() >= before + 4).unwrap();
         most_within(calls(), window - UNDER_WAY).0
     };
-    let of = Thing::ListCalls;
-    let budget = Budget { of, whole: 14, window_ms: 2000, least: 1, alone: 1, members: 10 };
+    let of = Resource::DiscoveryCalls;
+    let budget = Budget {
+        resource: of,
+        quota: 14,
+        window_ms: 2000,
+        min_share: 1,
+        standalone_share: 1,
+        max_members: 10,
+    };
     let (with, without) = (most("list", &[budget]), most("list-free", &[]));
     assert!(with <= 14 && without > 14, "{with} with the budget, {without} without");
 }
@@ -314,7 +348,7 @@
         // What was on its way when the list said so is not counted.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
-        let granted = |both: &Both| matches!(both.daemons.ask(&Ask::Budgets, PATIENCE), Ok(Reply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
+        let granted = |both: &Both| matches!(both.daemons.ask(&OperatorRequest::Budgets, PATIENCE), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
         both.daemons.wait("its parts are granted", |_| granted(&both)).unwrap();
         std::thread::sleep(2 * WINDOW);
         let reqs = |at: usize| {
@@ -325,21 +359,35 @@
         assert!(other > 60, "the others serve on: {other}");
         cold
     };
-    let of = Thing::ColdWriteOuts;
-    let budget = Budget { of, whole: 24, window_ms: 1000, least: 1, alone: 1, members: 6 };
+    let of = Resource::ColdAttempts;
+    let budget = Budget {
+        resource: of,
+        quota: 24,
+        window_ms: 1000,
+        min_share: 1,
+        standalone_share: 1,
+        max_members: 6,
+    };
     let (with, without) = (most("cold", &[budget]), most("cold-free", &[]));
     assert!((1..=24).contains(&with) && without > 24, "{with} with the budget, {without} without");
 }
 
 #[test]
 fn thirty_that_come_at_once_to_three_hundred_have_their_least_and_the_sum_stays_below() {
-    let of = Thing::WriteOuts;
+    let of = Resource::Attempts;
     // Danger: on a busy machine another daemon comes to lead, who knows nobody, and what has to come within so many reports
     // begins anew. Elections have tests of their own.
     let calm = Shape { election_ms: 2000, lease_ms: 2000, ..Shape::default() };
     let mut both = Both::begin_shaped("crowd", 0, json!({}), calm);
     let whole = 3000;
-    both.put(&[Budget { of, whole, window_ms: 1000, least: 2, alone: 1, members: 400 }]);
+    both.put(&[Budget {
+        resource: of,
+        quota: whole,
+        window_ms: 1000,
+        min_share: 2,
+        standalone_share: 1,
+        max_members: 400,
+    }]);
     both.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), HOLDERS_BEAT, &[of]);
     holders.come(300, 20);
@@ -380,9 +428,16 @@
 /// Danger: holders that went on asking the one that led before were granted nothing, and what they were awaited to hold never came.
 #[test]
 fn holders_of_the_rig_go_on_under_another_leader() {
-    let of = Thing::WriteOuts;
+    let of = Resource::Attempts;
     let mut both = Both::begin("after", 0, json!({}));
-    both.put(&[Budget { of, whole: 1000, window_ms: 1000, least: 2, alone: 1, members: 30 }]);
+    both.put(&[Budget {
+        resource: of,
+        quota: 1000,
+        window_ms: 1000,
+        min_share: 2,
+        standalone_share: 1,
+        max_members: 30,
+    }]);
     let leader = both.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
     holders.come(20, 10);
@@ -396,9 +451,16 @@
 
 #[test]
 fn more_holders_than_least_parts_and_a_whole_lowered_to_a_tenth_stay_within_it() {
-    let of = Thing::WriteOuts;
+    let of = Resource::Attempts;
     let mut both = Both::begin("many", 0, json!({}));
-    let budget = |whole| Budget { of, whole, window_ms: 1000, least: 2, alone: 1, members: 60 };
+    let budget = |whole| Budget {
+        resource: of,
+        quota: whole,
+        window_ms: 1000,
+        min_share: 2,
+        standalone_share: 1,
+        max_members: 60,
+    };
     both.put(&[budget(1000)]);
     both.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
@@ -411,13 +473,13 @@
     both.daemons
         .wait("it is taken back", |_| {
             most.set(most.get().max(all(&holders)));
-            both.row().over == 0 && all(&holders) <= 100
+            both.row().excess == 0 && all(&holders) <= 100
         })
         .unwrap();
     assert!(most.get() <= 1000, "{}", most.get());
     let until = Instant::now() + 4 * WINDOW;
     while Instant::now() < until {
-        let (held, counted) = (all(&holders), both.row().counted);
+        let (held, counted) = (all(&holders), both.row().reserved);
         assert!(held <= 100 && counted <= 40, "{held} held, {counted} counted");
     }
     let with = (0..50).filter(|who| holders.holds(*who, of) > 1).count();
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::outs::{Amount, Group};
-use appledyke_fleet::state::What;
-use appledyke_fleet::talk::{Ask, MemberRow, Reply};
+use appledyke_fleet::state::SettingsChange;
+use appledyke_fleet::talk::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Standing as Link, Way};
 use appledyke_lab::rig::processes::beside;
@@ -27,8 +27,11 @@
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
         daemons.begin().unwrap();
-        let write = daemons.a_write(What::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
-        assert!(matches!(daemons.ask(&Ask::Write(write), PATIENCE), Ok(Reply::Committed(_))));
+        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
+        assert!(matches!(
+            daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            Ok(OperatorReply::Committed(_))
+        ));
         let mut sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
         sidecars.groups(&["zone a"]);
@@ -44,8 +47,8 @@
     }
 
     fn rows(&self) -> Vec<MemberRow> {
-        match self.daemons.ask(&Ask::Members, PATIENCE) {
-            Ok(Reply::Members(rows)) => rows,
+        match self.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+            Ok(OperatorReply::Members(rows)) => rows,
             other => panic!("{other:?}"),
         }
     }
@@ -79,8 +82,8 @@
 fn most(number: u32) -> Vec<Group> {
     vec![Group {
         name: "zone a".into(),
-        most_out: Some(Amount::Number(number)),
-        least_serving: None,
+        max_out: Some(Amount::Number(number)),
+        min_serving: None,
         endpoints: Vec::new(),
     }]
 }
@@ -136,9 +139,12 @@
     both.wait("it is missed", |rows| rows.iter().any(|row| row.name == "s2" && row.out));
     assert!(both.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
     // It cannot be forgotten by mistake while it serves; one that never comes back makes the group smaller.
-    assert!(matches!(both.daemons.ask(&Ask::Forget("s1".into()), PATIENCE), Ok(Reply::Refused(_))));
+    assert!(matches!(
+        both.daemons.ask(&OperatorRequest::Forget("s1".into()), PATIENCE),
+        Ok(OperatorReply::Refused(_))
+    ));
     both.sidecars.kill("s2");
-    assert_eq!(both.daemons.ask(&Ask::Forget("s2".into()), PATIENCE), Ok(Reply::Done));
+    assert_eq!(both.daemons.ask(&OperatorRequest::Forget("s2".into()), PATIENCE), Ok(OperatorReply::Done));
     assert_eq!(both.drain(&["s1".to_string()]), ["200 drains\n"]);
     // SIGTERM is not refused: who leaves is out, and holds the others back.
     both.sidecars.told("s1", "resume\n").unwrap();
@@ -211,7 +217,7 @@
     }
     // Once daemons are back they know of it.
     both.wait("it is known", |rows| {
-        rows.iter().any(|row| row.name == "s0" && row.standing == Standing::Drained)
+        rows.iter().any(|row| row.name == "s0" && row.status == MemberStatus::Drained)
     });
     both.daemons
         .wait("the other is refused", |_| both.drain(&["s1".to_string()])[0].contains("1 of 1 out in zone a"))
@@ -229,8 +235,8 @@
 fn a_group_of_one_with_a_share_never_goes_out_and_faulty_groups_are_refused_by_key() {
     let half = Group {
         name: "zone a".into(),
-        most_out: Some(Amount::Share(0.5)),
-        least_serving: None,
+        max_out: Some(Amount::Share(0.5)),
+        min_serving: None,
         endpoints: Vec::new(),
     };
     let both = Both::begin("one", 1, &[half]);
@@ -256,7 +262,7 @@
 #[test]
 fn an_endpoint_out_of_service_is_empty_only_once_every_member_says_so() {
     let mut both = Both::begin("endpoint", 3, &most(1));
-    let ask = |both: &Both, asked: Ask| both.daemons.ask(&asked, PATIENCE).unwrap();
+    let ask = |both: &Both, asked: OperatorRequest| both.daemons.ask(&asked, PATIENCE).unwrap();
     let view = |both: &Both| {
         for name in names(3).iter().cycle().take(60) {
             let _ = req(both.sidecars.at(name), "/menu/1");
@@ -265,16 +271,19 @@
     view(&both);
     assert!(both.sidecars.endpoints.iter().all(|endpoint| endpoint.reqs() > 0));
     both.sidecars.process("s2").stop();
-    assert_eq!(ask(&both, Ask::Endpoint { name: "e0".into(), out: true, anyway: None }), Reply::Done);
-    let holders = |both: &Both| match ask(both, Ask::Outs) {
-        Reply::Outs(rows) if rows.len() == 1 && rows[0].0 == "e0" => rows[0].1.clone(),
+    assert_eq!(
+        ask(&both, OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None }),
+        OperatorReply::Done
+    );
+    let holders = |both: &Both| match ask(both, OperatorRequest::DrainedEndpoints) {
+        OperatorReply::DrainedEndpoints(rows) if rows.len() == 1 && rows[0].0 == "e0" => rows[0].1.clone(),
         other => panic!("{other:?}"),
     };
     // Two have said that they hold nothing there; one is stopped, and holds its connections past its lease.
     let waited = both.daemons.wait("two have left it", |_| holders(&both) == ["s2"]);
     waited.unwrap_or_else(|_| panic!("{:?} {:?}", holders(&both), both.sidecars.process("s0").log()));
     both.wait("it is missed", |rows| {
-        rows.iter().any(|row| row.name == "s2" && row.standing == Standing::Silent)
+        rows.iter().any(|row| row.name == "s2" && row.status == MemberStatus::Silent)
     });
     assert_eq!(holders(&both), ["s2"]);
     // A new leader takes nobody's word for given, and hears all.
@@ -290,14 +299,17 @@
     // One that starts now hears of it before it is counted on, or does not know and holds it up.
     both.start("s3");
     both.wait("it serves", |rows| {
-        rows.iter().any(|row| row.name == "s3" && row.standing == Standing::Serving)
+        rows.iter().any(|row| row.name == "s3" && row.status == MemberStatus::Serving)
     });
     both.daemons.wait("it knows too", |_| holders(&both).is_empty()).unwrap();
     let all = both.sidecars.endpoints[0].reqs();
     view(&both);
     assert_eq!((both.sidecars.endpoints[0].reqs(), all), (before, before));
     // Back in service it has reqs again.
-    assert_eq!(ask(&both, Ask::Endpoint { name: "e0".into(), out: false, anyway: None }), Reply::Done);
+    assert_eq!(
+        ask(&both, OperatorRequest::Endpoint { name: "e0".into(), out: false, force: None }),
+        OperatorReply::Done
+    );
     both.daemons
         .wait("it has reqs again", |_| {
             view(&both);
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use appledyke_fleet::Version;
-use appledyke_fleet::members::Standing;
-use appledyke_fleet::state::What;
-use appledyke_fleet::talk::{Ask, Reply};
+use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::state::SettingsChange;
+use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::Standing as Link;
 use appledyke_lab::rig::processes::beside;
@@ -33,7 +33,7 @@
             both.start(&format!("s{number}"));
         }
         both.wait_for("all serve", |rows| {
-            rows.iter().filter(|(_, standing, _)| *standing == Standing::Serving).count() == members
+            rows.iter().filter(|(_, standing, _)| *standing == MemberStatus::Serving).count() == members
         });
         both
     }
@@ -43,21 +43,21 @@
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
-    fn members(&self) -> Vec<(String, Standing, Option<Version>)> {
-        match self.daemons.ask(&Ask::Members, PATIENCE).unwrap() {
-            Reply::Members(rows) => {
-                rows.into_iter().map(|row| (row.name, row.standing, row.version)).collect()
+    fn members(&self) -> Vec<(String, MemberStatus, Option<Version>)> {
+        match self.daemons.ask(&OperatorRequest::Members, PATIENCE).unwrap() {
+            OperatorReply::Members(rows) => {
+                rows.into_iter().map(|row| (row.name, row.status, row.version)).collect()
             }
             other => panic!("{other:?}"),
         }
     }
 
-    fn wait_for(&self, what: &str, check: impl Fn(&[(String, Standing, Option<Version>)]) -> bool) {
+    fn wait_for(&self, what: &str, check: impl Fn(&[(String, MemberStatus, Option<Version>)]) -> bool) {
         let waited = self.daemons.wait(what, |_| check(&self.members()));
         waited.unwrap_or_else(|said| panic!("{said}\n{:?}", self.members()));
     }
 
-    fn stands(&self, name: &str, standing: Standing) {
+    fn stands(&self, name: &str, standing: MemberStatus) {
         self.wait_for(&format!("{name} is {}", standing.name()), |rows| {
             rows.iter().any(|(row, stands, _)| row == name && *stands == standing)
         });
@@ -95,9 +95,11 @@
     // A leader that is cut off with all members takes a put that is never committed: nobody acts on it.
     let old = both.daemons.wait_for_leader().unwrap();
     both.daemons.around(old, Link::cut());
-    let write = both.daemons.a_write(What::Put(with_method("never"), Vec::new(), Vec::new()), None);
+    let write = both.daemons.a_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
     let at = both.daemons.at(old);
-    let asked = std::thread::spawn(move || appledyke_lab::rig::fleet::ask(at, &Ask::Write(write), PATIENCE));
+    let asked = std::thread::spawn(move || {
+        appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), PATIENCE)
+    });
     both.daemons.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let second = both.daemons.put(&with_method("bread")).unwrap();
     both.acts_on(&names, second);
@@ -108,10 +110,13 @@
         );
     }
     both.daemons.around(old, Link::default());
-    assert!(!matches!(asked.join().unwrap(), Ok(Reply::Committed(version)) if version <= second));
+    assert!(!matches!(asked.join().unwrap(), Ok(OperatorReply::Committed(version)) if version <= second));
     // A way back is a way forwards.
-    let back = both.daemons.a_write(What::Back(first), None);
-    let Reply::Committed(third) = both.daemons.ask(&Ask::Write(back), PATIENCE).unwrap() else { panic!() };
+    let back = both.daemons.a_write(SettingsChange::Rollback(first), None);
+    let OperatorReply::Committed(third) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+    else {
+        panic!()
+    };
     both.acts_on(&names, third);
     assert!(names.iter().all(|name| req(both.sidecars.at(name), "/soup/1") == Some(200)));
 }
@@ -121,25 +126,28 @@
     let mut both = Both::begin("standing", 3);
     both.sidecars.process("s0").leave();
     assert!(both.sidecars.process("s0").ended(PATIENCE).unwrap().success());
-    both.stands("s0", Standing::Gone);
+    both.stands("s0", MemberStatus::Gone);
     both.sidecars.kill("s1");
-    both.stands("s1", Standing::Silent);
+    both.stands("s1", MemberStatus::Silent);
     // Stopped for longer than a lease, while the settings change and change back.
     both.sidecars.process("s2").stop();
-    both.stands("s2", Standing::Silent);
+    both.stands("s2", MemberStatus::Silent);
     let first = both.daemons.put(&with_method("soup")).unwrap();
-    let back = both.daemons.a_write(What::Back(first), None);
-    let Reply::Committed(second) = both.daemons.ask(&Ask::Write(back), PATIENCE).unwrap() else { panic!() };
+    let back = both.daemons.a_write(SettingsChange::Rollback(first), None);
+    let OperatorReply::Committed(second) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+    else {
+        panic!()
+    };
     both.sidecars.process("s2").go_on();
-    both.stands("s2", Standing::Serving);
+    both.stands("s2", MemberStatus::Serving);
     both.acts_on(&["s2"], second);
     both.start("s1");
-    both.stands("s1", Standing::Serving);
+    both.stands("s1", MemberStatus::Serving);
     both.acts_on(&["s1"], second);
     both.sidecars.told("s1", "drain\n").unwrap();
-    both.stands("s1", Standing::Drained);
+    both.stands("s1", MemberStatus::Drained);
     both.sidecars.told("s1", "resume\n").unwrap();
-    both.stands("s1", Standing::Serving);
+    both.stands("s1", MemberStatus::Serving);
 }
 
 #[test]
@@ -257,7 +265,7 @@
     let version = both.daemons.put(&with_method("soup")).unwrap();
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
     both.acts_on(&all, version);
-    both.wait_for("all serve", |rows| rows.iter().all(|(_, standing, _)| *standing == Standing::Serving));
+    both.wait_for("all serve", |rows| rows.iter().all(|(_, standing, _)| *standing == MemberStatus::Serving));
     // Nobody was unseated by them.
     assert_eq!(both.daemons.status(leader).unwrap().term, term);
 }
@@ -288,21 +296,21 @@
 }
 
 /// One report over a connection of its own, and what the daemon answers.
-fn report(at: std::net::SocketAddr, incarnation: u64, process: u64) -> appledyke_fleet::talk::Told {
+fn report(at: std::net::SocketAddr, incarnation: u64, process: u64) -> appledyke_fleet::talk::ReportAnswer {
     use std::io::{Read, Write};
 
-    use appledyke_fleet::talk::{Frame, Frames, Report, Who};
+    use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report};
     let name = "copy".to_string();
     let mut stream = std::net::TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut out = Vec::new();
-    Frame::hello("rig", Who::Member { name: name.clone() }).write(&mut out);
-    Frame::Report(Report { name, incarnation, process, ..Report::default() }).write(&mut out);
+    Frame::hello("rig", Initiator::Member { name: name.clone() }).write(&mut out);
+    Frame::Report(Report { name, incarnation, process_nonce: process, ..Report::default() }).write(&mut out);
     stream.write_all(&out).unwrap();
-    let (mut frames, mut piece) = (Frames::default(), [0; 4096]);
+    let (mut frames, mut piece) = (FrameReader::default(), [0; 4096]);
     loop {
         while let Some(frame) = frames.pop().unwrap() {
-            if let Frame::Told(told) = frame {
+            if let Frame::ReportAnswer(told) = frame {
                 return told;
             }
         }
@@ -317,10 +325,10 @@
     let both = Both::begin("copies", 0);
     let at = both.daemons.at(both.daemons.wait_for_leader().unwrap());
     // A machine was copied with all that its sidecar drew at its start but the process's number.
-    assert!(!report(at, 7, 1).twin);
-    assert!(report(at, 7, 2).twin && report(at, 7, 1).twin);
+    assert!(!report(at, 7, 1).duplicate_process);
+    assert!(report(at, 7, 2).duplicate_process && report(at, 7, 1).duplicate_process);
     // A restart of either follows both.
-    assert!(!report(at, 8, 3).twin);
+    assert!(!report(at, 8, 3).duplicate_process);
     assert!(report(at, 7, 1).superseded && report(at, 7, 2).superseded && !report(at, 8, 3).superseded);
 }
 
@@ -328,7 +336,7 @@
 fn what_a_daemon_said_before_a_frame_that_cannot_be_read_is_taken() {
     use std::io::Write;
 
-    use appledyke_fleet::talk::{Frame, Told, Who};
+    use appledyke_fleet::talk::{Frame, Initiator, ReportAnswer};
     let root = std::env::temp_dir().join(format!("appledyke-members-{}-spoilt", std::process::id()));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -336,9 +344,10 @@
         let id = appledyke_consensus::Id { place: 1, life: 1 };
         let (mut stream, _) = listener.accept().unwrap();
         let mut out = Vec::new();
-        Frame::hello("rig", Who::Replica(id)).write(&mut out);
+        Frame::hello("rig", Initiator::Replica(id)).write(&mut out);
         let settings = Some((Version { generation: 0, number: 1 }, with_method("soup")));
-        Frame::Told(Told { leads: true, settings, ..Told::default() }).write(&mut out);
+        Frame::ReportAnswer(ReportAnswer { is_leader: true, settings, ..ReportAnswer::default() })
+            .write(&mut out);
         // All in one piece: the settings are known from here on, and are not told again.
         out.extend([4, 0, 0, 0, 99, 99, 99, 99]);
         stream.write_all(&out).unwrap();
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 use appledyke_consensus::Id;
-use appledyke_fleet::talk::{Frame, Frames, Report, Told, Who};
+use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report, ReportAnswer};
 use appledyke_lab::rig::fleet::PATIENCE;
 use appledyke_lab::rig::processes::beside;
 use appledyke_lab::rig::sidecars::Sidecars;
@@ -22,7 +22,7 @@
 
 /// Hears one connection out, as a daemon of version 2 does; it answers one report, and ends the connection behind it.
 fn hear(mut stream: TcpStream, says_why: bool, heard: &Sender<Frame>) {
-    let (mut frames, mut piece) = (Frames::default(), [0; 4096]);
+    let (mut frames, mut piece) = (FrameReader::default(), [0; 4096]);
     loop {
         match stream.read(&mut piece) {
             Ok(read) if read > 0 => frames.push(&piece[..read]),
@@ -33,17 +33,24 @@
             match frame {
                 Frame::Hello { version: 2, .. } => {
                     let id = Id { place: 1, life: 1 };
-                    write(&mut stream, &Frame::hello_as(2, "rig", Who::Replica(id)));
+                    write(&mut stream, &Frame::hello_as(2, "rig", Initiator::Replica(id)));
                 }
                 Frame::Hello { version, .. } => {
                     if says_why {
                         let why = format!("frames here are of version 2, not {version}");
-                        write(&mut stream, &Frame::NotTaken(why));
+                        write(&mut stream, &Frame::Rejected(why));
                     }
                     return;
                 }
                 Frame::Report(Report { number, .. }) => {
-                    write(&mut stream, &Frame::Told(Told { leads: true, number, ..Told::default() }));
+                    write(
+                        &mut stream,
+                        &Frame::ReportAnswer(ReportAnswer {
+                            is_leader: true,
+                            number,
+                            ..ReportAnswer::default()
+                        }),
+                    );
                     return;
                 }
                 _ => return,
@@ -76,7 +83,7 @@
         sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
         let next = || heard.recv_timeout(PATIENCE).expect("the sidecar says something");
         let version = || match next() {
-            Frame::Hello { version, who: Who::Member { name }, .. } if name == "s0" => version,
+            Frame::Hello { version, who: Initiator::Member { name }, .. } if name == "s0" => version,
             other => panic!("{other:?}"),
         };
         for _ in 0..2 {
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use appledyke_consensus::keep;
-use appledyke_fleet::state::What;
-use appledyke_fleet::talk::{Ask, Frame, Reply, Who};
+use appledyke_fleet::state::SettingsChange;
+use appledyke_fleet::talk::{Frame, Initiator, OperatorReply, OperatorRequest};
 use appledyke_fleet::{Command, Version};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape, ask};
 use appledyke_lab::rig::folders;
@@ -131,19 +131,22 @@
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let later = fleet.put(&settings(2)).unwrap();
     // What is asked of it while it stands still is the first that it reads when it goes on.
-    let write = fleet.a_write(What::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
+    let write = fleet.a_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
     let at = fleet.at(old);
-    let asked = [Ask::Get(None), Ask::Write(write)]
+    let asked = [OperatorRequest::Get(None), OperatorRequest::Write(write)]
         .map(|question| std::thread::spawn(move || ask(at, &question, PATIENCE)));
     std::thread::sleep(Duration::from_millis(100));
     fleet.process(old).go_on();
     let [read, put] = asked.map(|thread| thread.join().unwrap());
     match read.unwrap() {
-        Reply::NotLeader(_) => {}
-        Reply::Settings(Some(written)) => assert_eq!(written.version, later),
+        OperatorReply::NotLeader(_) => {}
+        OperatorReply::Settings(Some(written)) => assert_eq!(written.version, later),
         other => panic!("{other:?}"),
     }
-    assert!(matches!(put.unwrap(), Reply::NotLeader(_) | Reply::Unknown(_) | Reply::Refused(_)));
+    assert!(matches!(
+        put.unwrap(),
+        OperatorReply::NotLeader(_) | OperatorReply::Unknown(_) | OperatorReply::Refused(_)
+    ));
     fleet.wait_for_one_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 2);
 }
@@ -155,14 +158,14 @@
     let old = fleet.wait_for_leader().unwrap();
     // Cut off from the others, silently; all operators reach it still.
     fleet.around(old, Standing::cut());
-    let write = fleet.a_write(What::Put(settings(2), Vec::new(), Vec::new()), None);
+    let write = fleet.a_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
     let at = fleet.at(old);
-    let put = std::thread::spawn(move || ask(at, &Ask::Write(write), PATIENCE));
+    let put = std::thread::spawn(move || ask(at, &OperatorRequest::Write(write), PATIENCE));
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let version = fleet.put(&settings(3)).unwrap();
     fleet.around(old, Standing::default());
     let said = put.join().unwrap();
-    assert!(!matches!(said, Ok(Reply::Committed(_))), "{said:?}");
+    assert!(!matches!(said, Ok(OperatorReply::Committed(_))), "{said:?}");
     fleet.wait_for_one_state().unwrap();
     let history = fleet.history().unwrap();
     assert_eq!(
@@ -300,7 +303,7 @@
         fleet.put(&settings(round)).unwrap();
     }
     let status = fleet.status(leader).unwrap();
-    assert!(status.apart.is_some() && status.voters.is_empty(), "{status:?}");
+    assert!(status.excluded.is_some() && status.voters.is_empty(), "{status:?}");
     std::fs::remove_dir(&log).unwrap();
     std::fs::rename(&away, &log).unwrap();
     fleet.wait_for_one_state().unwrap();
@@ -312,15 +315,17 @@
     let mut fleet = begun("answer");
     let leader = fleet.wait_for_leader().unwrap();
     fleet.door(leader).stand(Standing { back: Way::Held, ..Standing::default() });
-    let write = Ask::Write(fleet.a_write(What::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))));
+    let write = OperatorRequest::Write(
+        fleet.a_write(SettingsChange::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))),
+    );
     assert!(ask(fleet.at(leader), &write, Duration::from_millis(400)).is_err());
     // It took effect, and its teller never heard. The leader goes; another says what came of it.
     fleet.kill(leader);
     fleet.door(leader).stand(Standing::default());
-    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), Reply::Committed(number(1)));
+    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
     fleet.start(leader).unwrap();
     fleet.wait_for_one_state().unwrap();
-    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), Reply::Committed(number(1)));
+    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
     assert_eq!(fleet.history().unwrap().len(), 1);
 }
 
@@ -329,10 +334,10 @@
     let (mut store, _) = Store::open(Folder::new(folder.to_path_buf())).unwrap();
     let mut kept = keep::kept(store.iter()).unwrap();
     let altered = kept.entries.iter_mut().rev().find_map(|entry| match &mut entry.content {
-        appledyke_consensus::Content::Command(bytes) => match Command::of(bytes) {
+        appledyke_consensus::Content::Command(bytes) => match Command::from_bytes(bytes) {
             Ok(Command::Write(mut write)) => {
-                write.why = "altered".to_string();
-                *bytes = Command::Write(write).bytes();
+                write.reason = "altered".to_string();
+                *bytes = Command::Write(write).to_bytes();
                 Some(entry.clone())
             }
             _ => None,
@@ -365,7 +370,7 @@
     assert!(line.contains("stops serving"), "{line}");
     let after = fleet.wait_for_one_state().unwrap();
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
-    assert!(fleet.history().unwrap().iter().all(|written| written.why != "altered"));
+    assert!(fleet.history().unwrap().iter().all(|written| written.reason != "altered"));
 }
 
 #[test]
@@ -374,13 +379,13 @@
     let leader = fleet.wait_for_leader().unwrap();
     let at = fleet.at(leader);
     let mut greeting = Vec::new();
-    Frame::hello("rig", Who::Operator).write(&mut greeting);
+    Frame::hello("rig", Initiator::Operator).write(&mut greeting);
     let mut long = greeting.clone();
     long.extend(u32::MAX.to_le_bytes());
     let mut not_its = greeting.clone();
     Frame::Digest { index: 8, digest: 1 }.write(&mut not_its);
     let mut other = Vec::new();
-    Frame::hello("other", Who::Operator).write(&mut other);
+    Frame::hello("other", Initiator::Operator).write(&mut other);
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &long, &not_its, &other] {
         let mut stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(SOON)).unwrap();
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -6,12 +6,14 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use appledyke_fleet::health::{Figures, Must};
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::health::{Criteria, RequestCounts};
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::outs::{Amount, Group};
-use appledyke_fleet::releases::{Action, Course, FORMAT, GoesBack, Moves, Order, Plan, Release, Side, Stage};
-use appledyke_fleet::state::What;
-use appledyke_fleet::talk::{Ask, MemberRow, Reply};
+use appledyke_fleet::releases::{
+    Action, FORMAT, Plan, Release, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
+};
+use appledyke_fleet::state::SettingsChange;
+use appledyke_fleet::talk::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Link, Standing as Way};
 use appledyke_lab::rig::operators::Operators;
@@ -34,26 +36,26 @@
     Plan {
         format: FORMAT,
         name: name.into(),
-        moves: Moves::Sidecars,
+        target_kind: TargetKind::Sidecars,
         group: "zone a".into(),
         order: Vec::new(),
-        most_out: 2,
+        max_out: 2,
         from: "1".into(),
         to: "2".into(),
         action: None,
-        empty_in_ms: 15_000,
-        back_in_ms: 15_000,
+        drain_timeout_ms: 15_000,
+        return_timeout_ms: 15_000,
         settle_ms: 100,
         watch_ms: 500,
-        watch_most_ms: 15_000,
-        must: Must {
-            least_reqs: 30,
+        max_watch_ms: 15_000,
+        criteria: Criteria {
+            min_requests: 30,
             served_lower: Some(0.05),
-            nacked_higher: None,
+            rejected_higher: None,
             failed_higher: None,
             slow_higher: None,
         },
-        goes_back: GoesBack::Never,
+        rollback: RollbackPolicy::Never,
     }
 }
 
@@ -79,13 +81,16 @@
         daemons.begin().unwrap();
         let group = |name: &str, most, endpoints: &[&str]| Group {
             name: name.into(),
-            most_out: Some(Amount::Number(most)),
-            least_serving: None,
+            max_out: Some(Amount::Number(most)),
+            min_serving: None,
             endpoints: endpoints.iter().map(ToString::to_string).collect(),
         };
         let groups = vec![group("zone a", 2, &[]), group("pool", 1, &["e0", "e1"])];
-        let write = daemons.a_write(What::Put("{}".to_string(), Vec::new(), groups), None);
-        assert!(matches!(daemons.ask(&Ask::Write(write), PATIENCE), Ok(Reply::Committed(_))));
+        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups), None);
+        assert!(matches!(
+            daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            Ok(OperatorReply::Committed(_))
+        ));
         let mut sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
         sidecars.groups(&["zone a"]);
@@ -98,8 +103,8 @@
     }
 
     fn rows(&self) -> Vec<MemberRow> {
-        match self.daemons.ask(&Ask::Members, PATIENCE) {
-            Ok(Reply::Members(rows)) => rows,
+        match self.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+            Ok(OperatorReply::Members(rows)) => rows,
             other => panic!("{other:?}"),
         }
     }
@@ -110,12 +115,15 @@
             .unwrap_or_else(|said| panic!("{said}\n{:?}", self.rows()));
     }
 
-    fn say(&self, order: Order) -> Reply {
-        self.daemons.ask(&Ask::Release(order), PATIENCE).unwrap()
+    fn say(&self, order: ReleaseUpdate) -> OperatorReply {
+        self.daemons.ask(&OperatorRequest::Release(order), PATIENCE).unwrap()
     }
 
     fn start(&self, plan: &Plan) {
-        assert_eq!(self.say(Order::Start(Box::new(plan.clone()), Figures::default())), Reply::Done);
+        assert_eq!(
+            self.say(ReleaseUpdate::Start(Box::new(plan.clone()), RequestCounts::default())),
+            OperatorReply::Done
+        );
     }
 
     fn release(&self, name: &str) -> Release {
@@ -131,7 +139,7 @@
             match seen {
                 Some(release) if check(&release) => return release,
                 Some(release) if start.elapsed() > 2 * PATIENCE => {
-                    panic!("{what}: {}\n{:?}", release.line(), self.rows())
+                    panic!("{what}: {}\n{:?}", release.summary(), self.rows())
                 }
                 _ => std::thread::sleep(Duration::from_millis(10)),
             }
@@ -175,7 +183,7 @@
 }
 
 fn ended(how: &'static str) -> impl Fn(&Release) -> bool {
-    move |release| release.course == Course::Ended(how.to_string())
+    move |release| release.state == ReleaseState::Ended(how.to_string())
 }
 
 #[test]
@@ -184,7 +192,7 @@
     let clients = front(&both, 5);
     let referee = Referee::watch(both.sidecars.lookup(), names(5));
     both.start(&plan("r"));
-    both.until("r", "two are moved", |release| release.moved(Side::New).count() >= 2);
+    both.until("r", "two are moved", |release| release.reached(Side::New).count() >= 2);
     // In the middle of a step: it goes on under another leader where it stood.
     let leader = both.daemons.wait_for_leader().unwrap();
     both.daemons.kill(leader);
@@ -205,7 +213,7 @@
     both.operators.flawed.push("2".into());
     let clients = front(&both, 5);
     std::thread::sleep(Duration::from_millis(1500));
-    both.start(&Plan { goes_back: GoesBack::WhenWorse, ..plan("r") });
+    both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
     let release = both.until("r", "it goes back", ended("all are back"));
     let (why, worse) = release.halted.clone().unwrap();
     assert!(worse && why.contains("not served, against"), "{why}");
@@ -221,20 +229,20 @@
     let mut both = Both::begin_heard("outage", 6);
     let clients = front(&both, 6);
     std::thread::sleep(Duration::from_millis(2500));
-    both.start(&Plan { goes_back: GoesBack::WhenWorse, ..plan("r") });
-    both.until("r", "one is moved", |release| release.moved(Side::New).count() >= 1);
+    both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
+    both.until("r", "one is moved", |release| release.reached(Side::New).count() >= 1);
     both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Fails));
-    let release = both.until("r", "it halts", |release| release.course == Course::Halted);
+    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     let (why, worse) = release.halted.clone().unwrap();
     let told = why.starts_with("those not moved do worse than before") || why.contains("nobody is left");
     assert!(!worse && told, "{why}");
     // Those under way come back, and nobody else goes; then it goes on by an operator's word.
     both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Well));
-    let release = both.until("r", "nobody is under way", |release| release.going().next().is_none());
-    assert_eq!(release.course, Course::Halted);
+    let release = both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
+    assert_eq!(release.state, ReleaseState::Halted);
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(both.say(Order::Resume("r".into())), Reply::Done);
+    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
     drop(clients.stop());
 }
@@ -243,48 +251,49 @@
 fn one_killed_while_it_drains_is_moved_all_the_same_and_one_that_falls_silent_halts_it() {
     let mut both = Both::begin("killed", 4);
     let clients = front(&both, 4);
-    both.start(&Plan { most_out: 1, empty_in_ms: 60_000, ..plan("r") });
+    both.start(&Plan { max_out: 1, drain_timeout_ms: 60_000, ..plan("r") });
     let first = both
         .daemons
         .wait("one is sent out", |daemons| {
-            Operators::release(daemons, "r").is_some_and(|r| r.going().any(|(_, g)| g.stage == Stage::Sent))
+            Operators::release(daemons, "r")
+                .is_some_and(|r| r.transitions().any(|(_, g)| g.stage == Stage::Draining))
         })
-        .map(|()| both.release("r").going().next().map(|(who, _)| who.clone()));
+        .map(|()| both.release("r").transitions().next().map(|(who, _)| who.clone()));
     let first = first.unwrap().unwrap_or("s0".to_string());
     // Killed outright before it is empty, and back by itself with the old version: its place in the release stands.
     let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
     both.sidecars.kill(&first);
     both.sidecars.start(&first, &at, BEAT_MS).unwrap();
     let release = both.until("r", "it halts, or goes on", |release| {
-        release.course == Course::Halted || release.moved(Side::New).count() >= 1
+        release.state == ReleaseState::Halted || release.reached(Side::New).count() >= 1
     });
     // Either it came back with the old version, and the release says so, or the operators were quicker.
-    if let (Course::Halted, Some((why, worse))) = (&release.course, &release.halted) {
+    if let (ReleaseState::Halted, Some((why, worse))) = (&release.state, &release.halted) {
         assert!(why.contains("came back with 1, 2 was expected") && !worse, "{why}");
-        both.until("r", "nobody is under way", |release| release.going().next().is_none());
-        assert_eq!(both.say(Order::Resume("r".into())), Reply::Done);
+        both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
+        assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     }
-    both.until("r", "some are moved", |release| release.moved(Side::New).count() >= 2);
+    both.until("r", "some are moved", |release| release.reached(Side::New).count() >= 2);
     // Two that fall silent beside it are more than may be out.
     let left: Vec<String> = both
         .release("r")
         .order
         .iter()
-        .filter(|who| both.release("r").steps[*who].moved.is_some())
+        .filter(|who| both.release("r").steps[*who].reached.is_some())
         .cloned()
         .collect();
     left.iter().take(2).for_each(|who| both.sidecars.process(who).stop());
     let release =
-        both.until("r", "it halts", |release| release.course == Course::Halted || release.is_over());
+        both.until("r", "it halts", |release| release.state == ReleaseState::Halted || release.is_ended());
     let why = release.halted.clone().map_or(String::new(), |(why, _)| why);
     assert!(
-        release.course == Course::Halted && why.starts_with("more out than may be"),
+        release.state == ReleaseState::Halted && why.starts_with("more out than may be"),
         "{}",
-        release.line()
+        release.summary()
     );
     left.iter().take(2).for_each(|who| both.sidecars.process(who).go_on());
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
-    assert_eq!(both.say(Order::Resume("r".into())), Reply::Done);
+    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
     drop(clients.stop());
 }
@@ -293,17 +302,17 @@
 fn too_few_reqs_are_not_well_and_a_backup_put_back_halts_it() {
     let mut both = Both::begin_heard("few", 3);
     // Nobody asks anything: what was moved cannot be judged.
-    both.start(&Plan { most_out: 1, watch_most_ms: 1500, ..plan("r") });
-    let release = both.until("r", "it halts", |release| release.course == Course::Halted);
-    assert!(release.line().contains("too few reqs to judge s0 after 1500 ms"), "{}", release.line());
-    let release = both.until("r", "s0 stays moved", |release| release.going().next().is_none());
-    assert_eq!(release.moved(Side::New).collect::<Vec<_>>(), ["s0"]);
+    both.start(&Plan { max_out: 1, max_watch_ms: 1500, ..plan("r") });
+    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+    assert!(release.summary().contains("too few reqs to judge s0 after 1500 ms"), "{}", release.summary());
+    let release = both.until("r", "s0 stays moved", |release| release.transitions().next().is_none());
+    assert_eq!(release.reached(Side::New).collect::<Vec<_>>(), ["s0"]);
     // A backup of the middle of a release, put back: it is halted, and says why.
     let config = both.daemons.configuration(1).display().to_string();
     let file = both.daemons.root.join("backup").display().to_string();
     let (status, text) = both.daemons.command(&["backup", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
-    assert_eq!(both.say(Order::Back("r".into())), Reply::Done);
+    assert_eq!(both.say(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
     for place in both.daemons.places() {
         both.daemons.kill(place);
         std::fs::remove_dir_all(both.daemons.folder(place)).unwrap();
@@ -313,12 +322,12 @@
     both.daemons.places().for_each(|place| both.daemons.start(place).unwrap());
     both.daemons.wait_for_leader().unwrap();
     let release = both.until("r", "it is there", |_| true);
-    assert!(release.line().contains("halted: restored from a backup"), "{}", release.line());
+    assert!(release.summary().contains("halted: restored from a backup"), "{}", release.summary());
     // It goes back by what its members say that they run.
     both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 3);
     let clients = front(&both, 3);
-    assert_eq!(both.say(Order::Back("r".into())), Reply::Done);
-    both.until("r", "it ends", |release| release.is_over() || release.course == Course::Halted);
+    assert_eq!(both.say(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
+    both.until("r", "it ends", |release| release.is_ended() || release.state == ReleaseState::Halted);
     assert_eq!(both.operators.moves("s0", "1"), 1);
     drop(clients.stop());
 }
@@ -334,23 +343,23 @@
     both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 5);
     let clients = front(&both, 5);
     both.start(&plan("r"));
-    both.until("r", "one is on its way", |release| release.going().next().is_some());
+    both.until("r", "one is on its way", |release| release.transitions().next().is_some());
     links.iter().for_each(|(_, link)| link.stand(Way::cut()));
-    let release = both.until("r", "it halts", |release| release.course == Course::Halted);
-    assert!(release.line().contains("more out than may be"), "{}", release.line());
+    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+    assert!(release.summary().contains("more out than may be"), "{}", release.summary());
     both.until("r", "nobody is under way", |release| {
-        release.going().all(|(who, _)| ["s3", "s4"].contains(&who.as_str()))
+        release.transitions().all(|(who, _)| ["s3", "s4"].contains(&who.as_str()))
     });
     // On its own side nobody goes out, and all that were not sent before serve on.
-    let sent: Vec<String> = both.release("r").going().map(|(who, _)| who.clone()).collect();
+    let sent: Vec<String> = both.release("r").transitions().map(|(who, _)| who.clone()).collect();
     for name in ["s3", "s4"].iter().filter(|name| !sent.contains(&name.to_string())) {
         assert_eq!(both.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
         assert_eq!(req(both.sidecars.at(name), "/healthz"), Some(200));
     }
     links.iter().for_each(|(_, link)| link.stand(Way::default()));
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
-    both.until("r", "nobody is under way", |release| release.going().next().is_none());
-    assert_eq!(both.say(Order::Resume("r".into())), Reply::Done);
+    both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
+    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
     let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
     assert_eq!(lost, 0);
@@ -366,7 +375,7 @@
 fn act(both: &Both, script: &str) -> Option<Action> {
     let log = both.daemons.root.join("acts").display().to_string();
     let line = format!("echo {{name}} {{version}} >> {log}; {script}");
-    Some(Action { command: vec!["/bin/sh".into(), "-c".into(), line], within_ms: 3000 })
+    Some(Action { command: vec!["/bin/sh".into(), "-c".into(), line], timeout_ms: 3000 })
 }
 
 fn acts(both: &Both) -> Vec<String> {
@@ -380,22 +389,30 @@
     let clients = front(&both, 3);
     let order = vec!["e1".to_string(), "e0".to_string()];
     let action = act(&both, "sleep 0.3");
-    let moved =
-        Plan { moves: Moves::Endpoints, group: "pool".into(), order, most_out: 1, action, ..plan("r") };
+    let moved = Plan {
+        target_kind: TargetKind::Endpoints,
+        group: "pool".into(),
+        order,
+        max_out: 1,
+        action,
+        ..plan("r")
+    };
     let agents = [agent(&both, "e0"), agent(&both, "e1")];
     both.start(&moved);
     // While it is acted on, no connection is open to it and nothing reaches it.
     let acting = |who: &'static str| {
-        move |r: &Release| r.going().any(|(g, going)| g == who && going.stage == Stage::Acting)
+        move |r: &Release| r.transitions().any(|(g, going)| g == who && going.stage == Stage::ActionRunning)
     };
     both.until("r", "e1 is acted on", acting("e1"));
     assert_eq!(both.sidecars.endpoints[1].open(), 0);
     // An operator may not take the other one beside it.
-    let beside = Ask::Endpoint { name: "e0".into(), out: true, anyway: None };
+    let beside = OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None };
     let said = both.daemons.ask(&beside, PATIENCE).unwrap();
-    assert_eq!(said, Reply::Refused("1 of 1 out in pool, which has 2: e1".into()));
+    assert_eq!(said, OperatorReply::Refused("1 of 1 out in pool, which has 2: e1".into()));
     let before = both.sidecars.endpoints[1].reqs();
-    both.until("r", "it is back", |release| release.going().all(|(_, going)| going.stage != Stage::Acting));
+    both.until("r", "it is back", |release| {
+        release.transitions().all(|(_, going)| going.stage != Stage::ActionRunning)
+    });
     assert!(both.sidecars.endpoints[1].reqs() >= before);
     both.until("r", "it ends", ended("all are moved"));
     assert_eq!(acts(&both), ["e1 2", "e0 2"]);
@@ -411,17 +428,27 @@
     let clients = front(&both, 2);
     let order = vec!["e0".to_string()];
     let action = act(&both, "sleep 1");
-    let moved =
-        Plan { moves: Moves::Endpoints, group: "pool".into(), order, most_out: 1, action, ..plan("r") };
+    let moved = Plan {
+        target_kind: TargetKind::Endpoints,
+        group: "pool".into(),
+        order,
+        max_out: 1,
+        action,
+        ..plan("r")
+    };
     let _agent = agent(&both, "e0");
     both.start(&moved);
-    both.until("r", "e0 is acted on", |r| r.going().any(|(_, going)| going.stage == Stage::Acting));
+    both.until("r", "e0 is acted on", |r| {
+        r.transitions().any(|(_, going)| going.stage == Stage::ActionRunning)
+    });
     // All have said that they hold nothing there: one is stopped with that, and the list drops the endpoint.
     both.sidecars.process("s2").stop();
     let at = both.sidecars.endpoints[0].at;
     both.sidecars.list.tell(&[entry(0, at, "removed")]);
     let before = both.sidecars.endpoints[0].reqs();
-    both.until("r", "e0 is to be back", |r| r.going().any(|(_, going)| going.stage >= Stage::Acted));
+    both.until("r", "e0 is to be back", |r| {
+        r.transitions().any(|(_, going)| going.stage >= Stage::ActionDone)
+    });
     assert_eq!(both.sidecars.endpoints[0].reqs(), before);
     // It is another process by now, and the list has it again; who was stopped goes on with what it knew, and learns.
     both.sidecars.list.tell(&[entry(0, at, "up")]);
@@ -438,42 +465,48 @@
     let mut both = Both::begin("unknown", 3);
     let clients = front(&both, 3);
     let moved = |both: &Both, name: &str, script: &str| Plan {
-        moves: Moves::Endpoints,
+        target_kind: TargetKind::Endpoints,
         group: "pool".into(),
         order: vec!["e0".into()],
-        most_out: 1,
+        max_out: 1,
         action: act(both, script),
         ..plan(name)
     };
     let first = agent(&both, "e0");
     both.start(&moved(&both, "fails", "exit 3"));
-    let release = both.until("fails", "it halts", |release| release.course == Course::Halted);
+    let release = both.until("fails", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(
-        release.line().contains("the action on e0 failed: /bin/sh: exit status: 3"),
+        release.summary().contains("the action on e0 failed: /bin/sh: exit status: 3"),
         "{}",
-        release.line()
+        release.summary()
     );
-    both.until("fails", "e0 is back in service", |release| release.going().next().is_none());
-    assert_eq!(both.say(Order::End("fails".into(), "so".into())), Reply::Done);
+    both.until("fails", "e0 is back in service", |release| release.transitions().next().is_none());
+    assert_eq!(both.say(ReleaseUpdate::End("fails".into(), "so".into())), OperatorReply::Done);
     // The agent is killed in the middle: another one beside it does not begin again.
     let before = acts(&both).len();
     both.start(&moved(&both, "lost", "sleep 30"));
-    both.until("lost", "it is acted on", |r| r.going().any(|(_, going)| going.stage == Stage::Acting));
+    both.until("lost", "it is acted on", |r| {
+        r.transitions().any(|(_, going)| going.stage == Stage::ActionRunning)
+    });
     both.daemons.wait("the command runs", |_| acts(&both).len() > before).unwrap();
     drop(first);
     let _second = agent(&both, "e0");
-    let release = both.until("lost", "it halts", |release| release.course == Course::Halted);
-    assert!(release.line().contains("what became of the action on e0 is unknown"), "{}", release.line());
+    let release = both.until("lost", "it halts", |release| release.state == ReleaseState::Halted);
+    assert!(
+        release.summary().contains("what became of the action on e0 is unknown"),
+        "{}",
+        release.summary()
+    );
     assert_eq!(acts(&both).len(), before + 1);
     // It is out until somebody says what became of it.
     assert!(
-        matches!(both.say(Order::End("lost".into(), "so".into())), Reply::Refused(why) if why.contains("under way still: e0"))
+        matches!(both.say(ReleaseUpdate::End("lost".into(), "so".into())), OperatorReply::Refused(why) if why.contains("under way still: e0"))
     );
     let config = both.daemons.configuration(1).display().to_string();
     let (status, text) =
         both.daemons.command(&["release", "settle", "--config", &config, "lost", "e0", "--moved"]).unwrap();
     assert_eq!(status, Some(0), "{text}");
-    both.until("lost", "nobody is under way", |release| release.going().next().is_none());
+    both.until("lost", "nobody is under way", |release| release.transitions().next().is_none());
     let (status, text) = both.daemons.command(&["release", "end", "--config", &config, "lost"]).unwrap();
     assert_eq!(status, Some(0), "{text}");
     drop(clients.stop());
@@ -485,27 +518,27 @@
     let clients = front(&both, 3);
     std::thread::sleep(Duration::from_millis(300));
     both.sidecars.process("s2").stop();
-    both.wait("it is missed", |rows| rows.iter().any(|row| row.standing == Standing::Silent));
+    both.wait("it is missed", |rows| rows.iter().any(|row| row.status == MemberStatus::Silent));
     let action = act(&both, "true");
     let order = vec!["e0".to_string()];
     let held = Plan {
-        moves: Moves::Endpoints,
+        target_kind: TargetKind::Endpoints,
         group: "pool".into(),
         order,
-        most_out: 1,
+        max_out: 1,
         action,
-        empty_in_ms: 1500,
+        drain_timeout_ms: 1500,
         ..plan("r")
     };
     let _agent = agent(&both, "e0");
     both.start(&held);
     // What the stopped one holds there it holds: it is not empty, and nothing is done to it.
-    let release = both.until("r", "it halts", |release| release.course == Course::Halted);
-    assert!(release.line().contains("e0 is not empty after 1500 ms"), "{}", release.line());
+    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+    assert!(release.summary().contains("e0 is not empty after 1500 ms"), "{}", release.summary());
     assert_eq!(acts(&both), Vec::<String>::new());
     both.sidecars.process("s2").go_on();
-    both.until("r", "e0 is back in service", |release| release.going().next().is_none());
-    assert_eq!(both.say(Order::Resume("r".into())), Reply::Done);
+    both.until("r", "e0 is back in service", |release| release.transitions().next().is_none());
+    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
     assert_eq!(acts(&both), ["e0 2"]);
     drop(clients.stop());
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -8,11 +8,14 @@
 
 use appledyke_consensus::Id;
 use appledyke_fleet::Version;
-use appledyke_fleet::evidence::Seen;
+use appledyke_fleet::evidence::Observation;
 use appledyke_fleet::evidence_coding::Decoder;
 use appledyke_fleet::scopes::{Locality, Scope};
-use appledyke_fleet::state::{SETTINGS_MOST, What, Write};
-use appledyke_fleet::talk::{Ask, Frame, Frames, OLDEST, Reply, Report, ScopeRow, Told, VERSION, Who};
+use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
+use appledyke_fleet::talk::{
+    Frame, FrameReader, Initiator, MIN_VERSION, OperatorReply, OperatorRequest, Report, ReportAnswer,
+    ScopeRow, VERSION,
+};
 use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
 use appledyke_lab::rig::links::Standing as Link;
 use appledyke_lab::rig::processes::beside;
@@ -77,23 +80,23 @@
     json!({ "methods": methods.collect::<Vec<_>>() }).to_string()
 }
 
-fn put(text: &str) -> What {
-    What::Put(text.to_string(), Vec::new(), Vec::new())
+fn put(text: &str) -> SettingsChange {
+    SettingsChange::Put(text.to_string(), Vec::new(), Vec::new())
 }
 
-fn written(daemons: &mut Daemons, of: &str, what: What, expects: Option<Version>) -> Reply {
+fn written(daemons: &mut Daemons, of: &str, what: SettingsChange, expects: Option<Version>) -> OperatorReply {
     let write = daemons.a_write(what, expects);
-    daemons.ask(&Ask::WriteFor { scope: scope(of), write }, PATIENCE).unwrap()
+    daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, PATIENCE).unwrap()
 }
 
 fn committed(daemons: &mut Daemons, of: &str, text: &str) -> Version {
     // Danger: all must speak version 3, which shows only once they have greeted each other.
-    let mut last = Reply::Done;
+    let mut last = OperatorReply::Done;
     for _ in 0..400 {
         last = written(daemons, of, put(text), None);
         match &last {
-            Reply::Committed(version) => return *version,
-            Reply::Faulty(why) if why.contains("not before all daemons") => {
+            OperatorReply::Committed(version) => return *version,
+            OperatorReply::Invalid(why) if why.contains("not before all daemons") => {
                 thread::sleep(Duration::from_millis(25));
             }
             _ => break,
@@ -103,8 +106,8 @@
 }
 
 fn rows(daemons: &Daemons) -> Vec<ScopeRow> {
-    match daemons.ask(&Ask::Scopes, PATIENCE).unwrap() {
-        Reply::Scopes(rows) => rows,
+    match daemons.ask(&OperatorRequest::Scopes, PATIENCE).unwrap() {
+        OperatorReply::Scopes(rows) => rows,
         other => panic!("{other:?}"),
     }
 }
@@ -121,7 +124,7 @@
 /// A member by raw frames, of one connection.
 struct Raw {
     stream: TcpStream,
-    frames: Frames,
+    frames: FrameReader,
     report: Report,
     speaks: u16,
     /// Bytes that have come.
@@ -136,17 +139,17 @@
     fn greet(at: SocketAddr, name: &str, version: u16, locality: Option<Locality>) -> Raw {
         let stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let report = Report { name: name.into(), incarnation: 1, process: 1, ..Report::default() };
-        let (frames, decoder) = (Frames::default(), Decoder::default());
+        let report = Report { name: name.into(), incarnation: 1, process_nonce: 1, ..Report::default() };
+        let (frames, decoder) = (FrameReader::default(), Decoder::default());
         let mut raw =
             Raw { stream, frames, report, speaks: 0, bytes: 0, decoder, coded: 0, coded_records: 0 };
-        raw.send(&Frame::hello_as(version, FLEET, Who::Member { name: name.into() }));
+        raw.send(&Frame::hello_as(version, FLEET, Initiator::Member { name: name.into() }));
         match raw.next() {
             Frame::Hello { version, .. } => raw.speaks = version,
             other => panic!("{other:?}"),
         }
         if let Some(locality) = locality {
-            raw.send(&Frame::Belongs(locality));
+            raw.send(&Frame::Locality(locality));
         }
         raw
     }
@@ -175,28 +178,28 @@
     }
 
     /// Reports, and takes the settings that it is told: it knows them and acts on them from then on.
-    fn told(&mut self) -> Told {
+    fn told(&mut self) -> ReportAnswer {
         self.report.number += 1;
         self.send(&Frame::Report(self.report.clone()));
         let told = loop {
             match self.next() {
-                Frame::Told(told) if told.number == self.report.number => break told,
-                Frame::Told(_) => {}
-                Frame::ToldCoded(mut told, coded) => {
+                Frame::ReportAnswer(told) if told.number == self.report.number => break told,
+                Frame::ReportAnswer(_) => {}
+                Frame::CodedReportAnswer(mut told, coded) => {
                     let mut passed = self.decoder.decode(&coded).unwrap();
-                    passed.append(&mut told.passed);
+                    passed.append(&mut told.observations);
                     self.coded += 1;
                     self.coded_records = coded.records.len();
                     if told.number == self.report.number {
-                        break Told { passed, ..told };
+                        break ReportAnswer { observations: passed, ..told };
                     }
                 }
                 other => panic!("{other:?}"),
             }
         };
         if let Some((version, _)) = &told.settings {
-            assert!(*version > self.report.knows, "settings go only forwards");
-            (self.report.knows, self.report.version) = (*version, *version);
+            assert!(*version > self.report.latest_known, "settings go only forwards");
+            (self.report.latest_known, self.report.version) = (*version, *version);
         }
         told
     }
@@ -351,14 +354,13 @@
             .into();
         let at = daemons.at(daemons.wait_for_leader().unwrap());
         let asked = writes.into_iter().map(|write| {
-            let asked = Ask::WriteFor { scope: scope("service=menu"), write };
+            let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
             thread::spawn(move || ask(at, &asked, PATIENCE).unwrap())
         });
-        let replies: Vec<Reply> =
+        let replies: Vec<OperatorReply> =
             asked.collect::<Vec<_>>().into_iter().map(|asked| asked.join().unwrap()).collect();
-        let won = replies.iter().filter(|reply| matches!(reply, Reply::Committed(_))).count();
-        let lost =
-            |reply: &&Reply| matches!(reply, Reply::Refused(why) if why.contains("another was expected"));
+        let won = replies.iter().filter(|reply| matches!(reply, OperatorReply::Committed(_))).count();
+        let lost = |reply: &&OperatorReply| matches!(reply, OperatorReply::Refused(why) if why.contains("another was expected"));
         assert_eq!((won, replies.iter().filter(lost).count()), (1, 1), "{replies:?}");
     }
     // A version of another scope is not expected by this one.
@@ -366,7 +368,7 @@
     let expects = row(daemons, "service=menu").version;
     assert!(matches!(
         written(daemons, "service=menu", put(&with_method("tea")), Some(expects)),
-        Reply::Committed(_)
+        OperatorReply::Committed(_)
     ));
 }
 
@@ -378,9 +380,9 @@
     let _ = both.wait_for_settings();
     for round in 0..5 {
         let writes = [("service=menu", json!({"me": 3})), ("zone=a1", json!({"nInstances": 2}))];
-        let asked: Vec<Ask> = writes
+        let asked: Vec<OperatorRequest> = writes
             .iter()
-            .map(|(of, text)| Ask::WriteFor {
+            .map(|(of, text)| OperatorRequest::WriteScoped {
                 scope: scope(of),
                 write: daemons.a_write(put(&text.to_string()), None),
             })
@@ -390,12 +392,12 @@
         let mut stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let mut out = Vec::new();
-        Frame::hello(FLEET, Who::Operator).write(&mut out);
+        Frame::hello(FLEET, Initiator::Operator).write(&mut out);
         for (number, ask) in asked.into_iter().enumerate() {
-            Frame::Ask { number: number as u64, ask }.write(&mut out);
+            Frame::Request { number: number as u64, ask }.write(&mut out);
         }
         stream.write_all(&out).unwrap();
-        let (mut frames, mut piece, mut replies) = (Frames::default(), vec![0; 4096], Vec::new());
+        let (mut frames, mut piece, mut replies) = (FrameReader::default(), vec![0; 4096], Vec::new());
         while replies.len() < 2 {
             while let Some(frame) = frames.pop().unwrap() {
                 if let Frame::Reply { number, reply } = frame {
@@ -411,12 +413,15 @@
         replies.sort_by_key(|(number, _)| *number);
         let refused = "for zone=a1, service=menu: ";
         assert!(
-            matches!(&replies[..], [(0, Reply::Committed(_)), (1, Reply::Faulty(why))] if why.starts_with(refused)),
+            matches!(&replies[..], [(0, OperatorReply::Committed(_)), (1, OperatorReply::Invalid(why))] if why.starts_with(refused)),
             "{round}: {replies:?}"
         );
         let (_, settings) = both.wait_for_settings();
         assert_eq!((&settings["nInstances"], &settings["me"]), (&json!(4), &json!(3)));
-        assert!(matches!(written(daemons, "service=menu", What::Remove, None), Reply::Committed(_)));
+        assert!(matches!(
+            written(daemons, "service=menu", SettingsChange::Remove, None),
+            OperatorReply::Committed(_)
+        ));
         let _ = both.wait_for_settings();
     }
 }
@@ -426,8 +431,8 @@
     let daemons = &mut begun("checked");
     let _ = committed(daemons, "all", &json!({"nInstances": 4}).to_string());
     let _ = committed(daemons, "service=menu", &json!({"me": 3}).to_string());
-    let faulty = |reply: Reply, names: &str| {
-        assert!(matches!(&reply, Reply::Faulty(why) if why.starts_with(names)), "{names} {reply:?}");
+    let faulty = |reply: OperatorReply, names: &str| {
+        assert!(matches!(&reply, OperatorReply::Invalid(why) if why.starts_with(names)), "{names} {reply:?}");
     };
     // What is for all is checked below each scope that stands above it, also one with no members.
     let fewer = json!({"nInstances": 2}).to_string();
@@ -448,13 +453,13 @@
     let mut both = Raw::to(daemons, "s0", in_zone("a1", "menu"));
     let _ = both.wait_for_settings();
     faulty(written(daemons, "zone=a1", put(&fewer), None), "for zone=a1, service=menu: ");
-    assert!(matches!(written(daemons, "zone=b1", put(&fewer), None), Reply::Committed(_)));
+    assert!(matches!(written(daemons, "zone=b1", put(&fewer), None), OperatorReply::Committed(_)));
     // Taking away is checked too: what lies below may not be well without it.
     let _ = committed(daemons, "region=a", &json!({"nInstances": 2}).to_string());
     let _ = committed(daemons, "zone=c1", &json!({"nInstances": 4}).to_string());
     let mut three = Raw::to(daemons, "s1", Locality { region: Some("a".into()), ..in_zone("c1", "menu") });
     let _ = three.wait_for_settings();
-    faulty(written(daemons, "zone=c1", What::Remove, None), "for region=a, service=menu: ");
+    faulty(written(daemons, "zone=c1", SettingsChange::Remove, None), "for region=a, service=menu: ");
 }
 
 #[test]
@@ -510,7 +515,7 @@
     let first = committed(daemons, "all", &with_method("soup"));
     let _ = committed(daemons, "service=menu", &with_method("bread"));
     let own = committed(daemons, "member=s1", &json!({"nInstances": 2}).to_string());
-    for version in [OLDEST, VERSION] {
+    for version in [MIN_VERSION, VERSION] {
         let mut plain = Raw::greet(at, "s0", version, None);
         let (told, settings) = plain.wait_for_settings();
         assert_eq!((told, settings["methods"][0]["name"].as_str()), (first, Some("soup")));
@@ -523,24 +528,24 @@
 #[test]
 fn texts_over_the_limit_are_refused_by_their_combination_and_size() {
     let daemons = &mut begun("limit");
-    let whole = large(1, SETTINGS_MOST - 64 * 1024);
+    let whole = large(1, MAX_SETTINGS_BYTES - 64 * 1024);
     let _ = committed(daemons, "service=menu", &whole);
-    let over = large(2, SETTINGS_MOST + 1);
+    let over = large(2, MAX_SETTINGS_BYTES + 1);
     let reply = written(daemons, "service=menu", put(&over), None);
-    assert!(matches!(&reply, Reply::Faulty(why) if why.contains("bytes at the most")), "{reply:?}");
+    assert!(matches!(&reply, OperatorReply::Invalid(why) if why.contains("bytes at the most")), "{reply:?}");
     // Each has room by itself; together, for a member in both, they have not.
     let mut both = Raw::to(daemons, "s0", in_zone("a1", "menu"));
     let (version, _) = both.wait_for_settings();
     let more = json!({"zoneNote": "x".repeat(96 * 1024)}).to_string();
     let reply = written(daemons, "zone=a1", put(&more), None);
-    let Reply::Faulty(why) = &reply else { panic!("{reply:?}") };
+    let OperatorReply::Invalid(why) = &reply else { panic!("{reply:?}") };
     let size: usize = why.split(' ').find_map(|word| word.parse().ok()).unwrap();
     assert!(
-        why.starts_with("for zone=a1, service=menu: the settings would have ") && size > SETTINGS_MOST,
+        why.starts_with("for zone=a1, service=menu: the settings would have ") && size > MAX_SETTINGS_BYTES,
         "{why}"
     );
-    assert!(both.settings().is_none() && both.report.knows == version);
-    assert!(matches!(written(daemons, "zone=b1", put(&more), None), Reply::Committed(_)));
+    assert!(both.settings().is_none() && both.report.latest_known == version);
+    assert!(matches!(written(daemons, "zone=b1", put(&more), None), OperatorReply::Committed(_)));
 }
 
 #[test]
@@ -550,7 +555,10 @@
     let old = daemons.wait_for_leader().unwrap();
     daemons.around(old, Link::cut());
     let write = daemons.a_write(put(&with_method("bread")), None);
-    let (at, asked) = (daemons.at(old), Ask::WriteFor { scope: scope("service=menu"), write: write.clone() });
+    let (at, asked) = (
+        daemons.at(old),
+        OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() },
+    );
     let waits = thread::spawn(move || ask(at, &asked, PATIENCE));
     daemons
         .wait("it is in the log", |daemons| {
@@ -565,18 +573,20 @@
     daemons.around(old, Link::default());
     let _ = waits.join().unwrap();
     // Said again by its id, whatever became of it: it has its effect once.
-    let asked = Ask::WriteFor { scope: scope("service=menu"), write };
-    let mut reply = Reply::Done;
+    let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
+    let mut reply = OperatorReply::Done;
     daemons
-        .wait("its fate is known", |daemons| matches!(daemons.ask(&asked, PATIENCE), Ok(Reply::Committed(_))))
+        .wait("its fate is known", |daemons| {
+            matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_)))
+        })
         .unwrap();
     if let Ok(known) = daemons.ask(&asked, PATIENCE) {
         reply = known;
     }
-    let Reply::Committed(second) = reply else { panic!("{reply:?}") };
+    let OperatorReply::Committed(second) = reply else { panic!("{reply:?}") };
     let leader = daemons.wait_for_leader().unwrap();
     let mut later = Raw::greet(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
-    (later.report.knows, later.report.version) = (first, first);
+    (later.report.latest_known, later.report.version) = (first, first);
     let (told, settings) = later.wait_for_settings();
     assert_eq!((told, &settings["methods"][0]["name"]), (second, &json!("bread")));
 }
@@ -599,7 +609,7 @@
         };
     }
     let mut away = Raw::to(daemons, "s0", in_zone("a1", "menu"));
-    (away.report.knows, away.report.version) = (knows, knows);
+    (away.report.latest_known, away.report.version) = (knows, knows);
     let (told, settings) = away.wait_for_settings();
     assert_eq!((told, &settings["nInstances"]), (last.0, &json!(99)));
     assert_eq!(settings["methods"], serde_json::from_str::<Value>(&last.1).unwrap()["methods"]);
@@ -616,7 +626,7 @@
         assert_eq!(member.wait_for_settings().0, version);
         let before = daemons.status(leader).unwrap().last;
         let write = daemons.a_write(put(&with_method(&format!("bread{round}"))), None);
-        let asked = Ask::WriteFor { scope: scope("service=menu"), write: write.clone() };
+        let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() };
         let (at, said) = (daemons.at(leader), asked.clone());
         let first = thread::spawn(move || ask(at, &said, PATIENCE));
         daemons
@@ -630,27 +640,30 @@
         let mut fate = None;
         for _ in 0..400 {
             match daemons.ask(&asked, PATIENCE) {
-                Ok(Reply::Committed(version)) => {
+                Ok(OperatorReply::Committed(version)) => {
                     fate = Some(version);
                     break;
                 }
-                Ok(Reply::Faulty(why)) if why.contains("not before all daemons") => {
+                Ok(OperatorReply::Invalid(why)) if why.contains("not before all daemons") => {
                     thread::sleep(Duration::from_millis(25));
                 }
                 other => panic!("{other:?}"),
             }
         }
         let second = fate.unwrap();
-        assert!(second > version && !matches!(first, Ok(Reply::Committed(version)) if version != second));
+        assert!(
+            second > version && !matches!(first, Ok(OperatorReply::Committed(version)) if version != second)
+        );
         daemons.wait_for_one_state().unwrap();
-        let Reply::HistoryFor(rows) = daemons.ask(&Ask::HistoryFor(scope("service=menu")), PATIENCE).unwrap()
+        let OperatorReply::ScopeHistory(rows) =
+            daemons.ask(&OperatorRequest::ScopeHistory(scope("service=menu")), PATIENCE).unwrap()
         else {
             panic!()
         };
-        assert_eq!(rows.iter().filter(|row| row.why == write.why).count(), 1, "{rows:?}");
+        assert_eq!(rows.iter().filter(|row| row.reason == write.reason).count(), 1, "{rows:?}");
         assert!(rows.is_sorted_by_key(|row| row.version));
         let mut again = Raw::to(daemons, "s0", in_service("menu"));
-        (again.report.knows, again.report.version) = (version, version);
+        (again.report.latest_known, again.report.version) = (version, version);
         assert_eq!(again.wait_for_settings().0, second);
         version = second;
     }
@@ -661,9 +674,9 @@
     let daemons = &mut begun("older");
     let at = daemons.at(daemons.wait_for_leader().unwrap());
     let (mut old, mut new) =
-        (Raw::greet(at, "s0", OLDEST, None), Raw::greet(at, "s1", VERSION, Some(in_service("menu"))));
+        (Raw::greet(at, "s0", MIN_VERSION, None), Raw::greet(at, "s1", VERSION, Some(in_service("menu"))));
     // The lower of both is spoken.
-    assert_eq!((old.speaks, new.speaks), (OLDEST, VERSION));
+    assert_eq!((old.speaks, new.speaks), (MIN_VERSION, VERSION));
     let first = daemons.put(&with_method("soup")).unwrap();
     assert_eq!((old.wait_for_settings().0, new.wait_for_settings().0), (first, first));
     let second = committed(daemons, "service=menu", &with_method("bread"));
@@ -675,7 +688,7 @@
     assert_eq!((told, &settings["methods"][0]["name"]), (third, &json!("stew")));
     assert_eq!(new.wait_for_settings().1["methods"][0]["name"], "bread");
     // What a member belongs to is no frame of version 2.
-    old.send(&Frame::Belongs(in_service("menu")));
+    old.send(&Frame::Locality(in_service("menu")));
     let mut rest = Vec::new();
     // Well before the daemon ends what is silent.
     old.stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -690,22 +703,22 @@
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
-                let (mut frames, mut piece) = (Frames::default(), vec![0; 64 * 1024]);
+                let (mut frames, mut piece) = (FrameReader::default(), vec![0; 64 * 1024]);
                 loop {
                     while let Ok(Some(frame)) = frames.pop() {
                         let mut out = Vec::new();
-                        if let Frame::Ask { number, .. } = frame {
-                            Frame::Reply { number, reply: Reply::Done }.write(&mut out);
+                        if let Frame::Request { number, .. } = frame {
+                            Frame::Reply { number, reply: OperatorReply::Done }.write(&mut out);
                             let _ = stream.write_all(&out);
                         }
                         let Frame::Hello { version, .. } = frame else { continue };
-                        if version != OLDEST {
-                            let why = format!("frames here are of version {OLDEST}, not {version}");
-                            Frame::NotTaken(why).write(&mut out);
+                        if version != MIN_VERSION {
+                            let why = format!("frames here are of version {MIN_VERSION}, not {version}");
+                            Frame::Rejected(why).write(&mut out);
                             let _ = stream.write_all(&out);
                             return;
                         }
-                        Frame::hello_as(OLDEST, FLEET, Who::Replica(id)).write(&mut out);
+                        Frame::hello_as(MIN_VERSION, FLEET, Initiator::Replica(id)).write(&mut out);
                         let _ = stream.write_all(&out);
                     }
                     match stream.read(&mut piece) {
@@ -730,11 +743,11 @@
     let refused = |daemons: &mut Daemons, what: &str| {
         let wanted = format!("not before all daemons speak version {VERSION}: place {other} {what}");
         let write = daemons.a_write(put(&with_method("never")), None);
-        let asked = Ask::WriteFor { scope: scope("service=menu"), write };
+        let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
         daemons
             .wait(
                 &wanted,
-                |daemons| matches!(daemons.ask(&asked, PATIENCE), Ok(Reply::Faulty(why)) if why == wanted),
+                |daemons| matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Invalid(why)) if why == wanted),
             )
             .unwrap();
     };
@@ -753,8 +766,8 @@
     // Danger: from then on one machine that is away would hold up all that is put for a part of the fleet.
     daemons.kill(other);
     let write = daemons.a_write(put(&with_method("cake")), None);
-    let asked = Ask::WriteFor { scope: scope("service=menu"), write };
-    assert!(matches!(daemons.ask(&asked, PATIENCE), Ok(Reply::Committed(_))));
+    let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
+    assert!(matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_))));
 }
 
 #[test]
@@ -764,26 +777,33 @@
     let mut same = Raw::to(daemons, "s1", in_service("menu"));
     let mut bar = Raw::to(daemons, "s2", in_service("bar"));
     let mut none = Raw::to(daemons, "s3", Locality::default());
-    let seen = |sequence| Seen { sequence, age_ms: 0, endpoint: 5, method: 1, outcome: 1, part: 0.5 };
-    writer.report.seen = (1..=20).map(seen).collect();
+    let seen = |sequence| Observation {
+        sequence,
+        age_ms: 0,
+        endpoint: 5,
+        method: 1,
+        outcome: 1,
+        budget_fraction: 0.5,
+    };
+    writer.report.observations = (1..=20).map(seen).collect();
     writer.told();
-    assert_eq!((same.told().passed.len(), none.told().passed.len()), (20, 20));
+    assert_eq!((same.told().observations.len(), none.told().observations.len()), (20, 20));
     // Danger: names of another service's endpoints crowd out those that it knows.
-    assert_eq!(bar.told().passed.len(), 0);
-    none.report.seen = vec![seen(1)];
+    assert_eq!(bar.told().observations.len(), 0);
+    none.report.observations = vec![seen(1)];
     none.told();
-    assert_eq!((bar.told().passed.len(), same.told().passed.len()), (1, 1));
+    assert_eq!((bar.told().observations.len(), same.told().observations.len()), (1, 1));
     // Who has said its service hears coded records, and who has not, or speaks version 2, what it always has.
     assert_eq!((same.coded, bar.coded, none.coded), (2, 2, 0));
     let at = daemons.at(daemons.wait_for_leader().unwrap());
-    let mut older = Raw::greet(at, "s4", OLDEST, None);
-    assert_eq!((older.told().passed.len(), older.coded), (21, 0));
+    let mut older = Raw::greet(at, "s4", MIN_VERSION, None);
+    assert_eq!((older.told().observations.len(), older.coded), (21, 0));
     // Danger: who has lost what it knew would understand nothing any more.
-    same.report.catches_up = true;
+    same.report.wants_catch_up = true;
     same.decoder = Decoder::default();
     // Of the one endpoint the latest four.
-    let caught = same.told().passed;
-    assert_eq!(caught.iter().map(|passed| passed.seen.sequence).collect::<Vec<_>>(), [18, 19, 20, 1]);
+    let caught = same.told().observations;
+    assert_eq!(caught.iter().map(|passed| passed.observation.sequence).collect::<Vec<_>>(), [18, 19, 20, 1]);
 }
 
 /// Danger: an index of one byte, and a service with more endpoints than that.
@@ -792,21 +812,21 @@
     let daemons = &begun("names");
     let mut writer = Raw::to(daemons, "s0", in_service("menu"));
     let mut same = Raw::to(daemons, "s1", in_service("menu"));
-    let of = |sequence| Seen {
+    let of = |sequence| Observation {
         sequence,
         age_ms: 0,
         endpoint: 100 + sequence as u32,
         method: 1,
         outcome: 1,
-        part: 0.5,
+        budget_fraction: 0.5,
     };
-    writer.report.seen = (1..=400).map(of).collect();
+    writer.report.observations = (1..=400).map(of).collect();
     writer.told();
     let (mut heard, mut as_they_are) = (Vec::new(), 0);
     for _ in 0..6 {
-        let passed = same.told().passed;
+        let passed = same.told().observations;
         as_they_are += usize::from(!passed.is_empty() && same.coded_records == 0);
-        heard.extend(passed.iter().map(|passed| (passed.seen.sequence, passed.seen.endpoint)));
+        heard.extend(passed.iter().map(|passed| (passed.observation.sequence, passed.observation.endpoint)));
     }
     assert_eq!(heard, (1..=400).map(|sequence| (sequence, 100 + sequence as u32)).collect::<Vec<_>>());
     // Of 80 an answer: three whole ones and a part go by index.
@@ -826,8 +846,8 @@
     daemons.kill(other);
     let mut stream = TcpStream::connect(daemons.at(leader)).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    let (mut out, mut frames, mut piece) = (Vec::new(), Frames::default(), vec![0; 4096]);
-    Frame::hello_as(OLDEST, FLEET, Who::Replica(id)).write(&mut out);
+    let (mut out, mut frames, mut piece) = (Vec::new(), FrameReader::default(), vec![0; 4096]);
+    Frame::hello_as(MIN_VERSION, FLEET, Initiator::Replica(id)).write(&mut out);
     stream.write_all(&out).unwrap();
     while frames.pop().unwrap().is_none() {
         let read = stream.read(&mut piece).unwrap();
@@ -836,17 +856,19 @@
     }
     let reply = written(daemons, "service=menu", put(&with_method("never")), None);
     let wanted = format!("place {other} speaks 2");
-    assert!(matches!(&reply, Reply::Faulty(why) if why.ends_with(&wanted)), "{reply:?}");
+    assert!(matches!(&reply, OperatorReply::Invalid(why) if why.ends_with(&wanted)), "{reply:?}");
 }
 
 #[test]
 fn operators_are_answered_by_a_daemon_of_version_two_and_told_what_it_does_not_know() {
     let at = stand_in(Id { place: 1, life: 1 });
-    let one = |asked: &Ask, sent: &mut bool| appledyke_daemon::ask::one(at, FLEET, asked, PATIENCE, sent);
+    let one = |asked: &OperatorRequest, sent: &mut bool| {
+        appledyke_daemon::ask::one(at, FLEET, asked, PATIENCE, sent)
+    };
     let mut sent = false;
-    assert_eq!(one(&Ask::Status, &mut sent), Ok(Reply::Done));
+    assert_eq!(one(&OperatorRequest::Status, &mut sent), Ok(OperatorReply::Done));
     // Danger: sent all the same it could not be read, and a write of unknown fate would be told.
     let mut sent = false;
-    let why = one(&Ask::Scopes, &mut sent).unwrap_err();
+    let why = one(&OperatorRequest::Scopes, &mut sent).unwrap_err();
     assert!(!sent && why.contains("speaks version 2, which knows nothing of scopes"), "{why}");
 }
