--- a/crates/fleet/src/budgets.rs
+++ b/crates/fleet/src/budgets.rs
@@ -12,7 +12,7 @@
 
 /// An entry, by the generation of its log: one that was put back from a backup begins a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct LogPosition {
     pub generation: u64,
     pub index: Index,
 }
@@ -20,49 +20,53 @@
 /// What a budget is of: one budget to a thing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Thing {
+pub enum Resource {
     /// Write-outs to all endpoints of the list, in a window.
-    WriteOuts,
+    #[serde(rename = "write-outs")]
+    Attempts,
     /// Further write-outs of a req, in a window.
-    Repeats,
+    #[serde(rename = "repeats")]
+    Retries,
     /// Connections at one endpoint.
     Connections,
     /// Write-outs that are out at one endpoint.
     InFlight,
     /// Calls to the list's service, in a window.
-    ListCalls,
+    #[serde(rename = "list-calls")]
+    DiscoveryCalls,
     /// Write-outs to endpoints that are cold as they have just started, all of them together, in a window.
-    ColdWriteOuts,
+    #[serde(rename = "cold-write-outs")]
+    ColdAttempts,
 }
 
-impl Thing {
-    pub const ALL: [Thing; 6] = [
-        Thing::WriteOuts,
-        Thing::Repeats,
-        Thing::Connections,
-        Thing::InFlight,
-        Thing::ListCalls,
-        Thing::ColdWriteOuts,
+impl Resource {
+    pub const ALL: [Resource; 6] = [
+        Resource::Attempts,
+        Resource::Retries,
+        Resource::Connections,
+        Resource::InFlight,
+        Resource::DiscoveryCalls,
+        Resource::ColdAttempts,
     ];
 
     /// Whether it is held until it is given back; else it is spent in time.
-    pub fn is_stock(self) -> bool {
-        matches!(self, Thing::Connections | Thing::InFlight)
+    pub fn is_concurrency_limit(self) -> bool {
+        matches!(self, Resource::Connections | Resource::InFlight)
     }
 
     pub fn name(self) -> &'static str {
         match self {
-            Thing::WriteOuts => "write-outs",
-            Thing::Repeats => "repeats",
-            Thing::Connections => "connections",
-            Thing::InFlight => "in-flight",
-            Thing::ListCalls => "list-calls",
-            Thing::ColdWriteOuts => "cold-write-outs",
+            Resource::Attempts => "write-outs",
+            Resource::Retries => "repeats",
+            Resource::Connections => "connections",
+            Resource::InFlight => "in-flight",
+            Resource::DiscoveryCalls => "list-calls",
+            Resource::ColdAttempts => "cold-write-outs",
         }
     }
 }
 
-impl fmt::Display for Thing {
+impl fmt::Display for Resource {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -72,18 +76,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Budget {
-    pub of: Thing,
+    #[serde(rename = "of")]
+    pub resource: Resource,
     /// For the whole fleet: in any window, or at any moment.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub quota: u64,
     /// Of a flow, in milliseconds; 0 for a stock.
     #[serde(default)]
     pub window_ms: u64,
     /// Each member that asks gets this much at least, while there is room.
-    pub least: u64,
+    #[serde(rename = "least")]
+    pub min_share: u64,
     /// What each sidecar may use without daemons, at any time: counted with from the start.
-    pub alone: u64,
+    #[serde(rename = "alone")]
+    pub standalone_share: u64,
     /// How many sidecars that may be at the most.
-    pub members: u64,
+    #[serde(rename = "members")]
+    pub max_members: u64,
 }
 
 /// Longest window: a part that moves is idle for one.
@@ -95,13 +104,23 @@
     /// # Errors
     /// The key that is at fault, and what would do.
     pub fn check(&self) -> Result<(), String> {
-        let Budget { of, whole, window_ms, least, alone, members } = *self;
+        let Budget {
+            resource: of,
+            quota: whole,
+            window_ms,
+            min_share: least,
+            standalone_share: alone,
+            max_members: members,
+        } = *self;
         if whole == 0 || whole > WHOLE_MOST {
             return Err(format!("budgets.{of}.whole: expected 1 to {WHOLE_MOST}, not {whole}"));
         }
-        if of.is_stock() != (window_ms == 0) || window_ms > WINDOW_MOST_MS {
-            let wanted =
-                if of.is_stock() { "none for a stock".to_string() } else { format!("1 to {WINDOW_MOST_MS}") };
+        if of.is_concurrency_limit() != (window_ms == 0) || window_ms > WINDOW_MOST_MS {
+            let wanted = if of.is_concurrency_limit() {
+                "none for a stock".to_string()
+            } else {
+                format!("1 to {WINDOW_MOST_MS}")
+            };
             return Err(format!("budgets.{of}.windowMs: expected {wanted}, not {window_ms}"));
         }
         if members == 0 {
@@ -122,7 +141,7 @@
 
     /// What is divided by the log: the whole but for what sidecars may use alone.
     pub fn divisible(&self) -> u64 {
-        self.whole.saturating_sub(self.alone.saturating_mul(self.members))
+        self.quota.saturating_sub(self.standalone_share.saturating_mul(self.max_members))
     }
 }
 
@@ -133,8 +152,8 @@
 pub fn check(budgets: &[Budget]) -> Result<(), String> {
     for (at, budget) in budgets.iter().enumerate() {
         budget.check()?;
-        if budgets[..at].iter().any(|other| other.of == budget.of) {
-            return Err(format!("budgets.{}: it stands there twice", budget.of));
+        if budgets[..at].iter().any(|other| other.resource == budget.resource) {
+            return Err(format!("budgets.{}: it stands there twice", budget.resource));
         }
     }
     Ok(())
@@ -149,126 +168,126 @@
 
 /// A holder's part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Share {
     /// What it is granted from `since` on.
     pub granted: u64,
     /// What it may be using still.
-    pub counted: u64,
+    pub reserved: u64,
     /// The entry that set it last.
     pub since: Index,
 }
 
 /// A division, in one entry for many holders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum ShareChange {
     /// These are granted so much.
-    Grant(Thing, Vec<(Holder, u64)>),
+    Grant(Resource, Vec<(Holder, u64)>),
     /// These use no more than they are granted since the entry that is named.
-    Release(Thing, Vec<(Holder, Index)>),
+    Release(Resource, Vec<(Holder, Index)>),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budgets {
-    stated: BTreeMap<Thing, Budget>,
+    stated: BTreeMap<Resource, Budget>,
     /// What was granted before is not known: nothing is granted before it has run out.
     blind: bool,
-    parts: BTreeMap<Thing, BTreeMap<Holder, Part>>,
+    parts: BTreeMap<Resource, BTreeMap<Holder, Share>>,
 }
 
 impl Budgets {
-    pub fn stated(&self) -> impl Iterator<Item = &Budget> {
+    pub fn configured(&self) -> impl Iterator<Item = &Budget> {
         self.stated.values()
     }
 
-    pub fn budget(&self, of: Thing) -> Option<&Budget> {
+    pub fn budget(&self, of: Resource) -> Option<&Budget> {
         self.stated.get(&of)
     }
 
     /// The parts of a budget, also of one that is stated no more and not all given back.
-    pub fn parts(&self, of: Thing) -> impl Iterator<Item = (&Holder, &Part)> {
+    pub fn shares(&self, of: Resource) -> impl Iterator<Item = (&Holder, &Share)> {
         self.parts.get(&of).into_iter().flatten()
     }
 
-    pub fn part(&self, of: Thing, holder: &Holder) -> Option<&Part> {
+    pub fn share(&self, of: Resource, holder: &Holder) -> Option<&Share> {
         self.parts.get(&of)?.get(holder)
     }
 
     /// Holders of a part of a budget that are earlier processes of this one's name.
-    pub fn earlier(&self, of: Thing, holder: &Holder) -> impl Iterator<Item = &Holder> {
+    pub fn earlier_incarnations(&self, of: Resource, holder: &Holder) -> impl Iterator<Item = &Holder> {
         let first = Holder { name: holder.name.clone(), incarnation: 0 };
         let range = self.parts.get(&of).map(|parts| parts.range(first..holder.clone()));
         range.into_iter().flatten().map(|(earlier, _)| earlier)
     }
 
     /// What all holders may be using.
-    pub fn counted(&self, of: Thing) -> u64 {
-        self.parts(of).map(|(_, part)| part.counted).sum()
+    pub fn reserved(&self, of: Resource) -> u64 {
+        self.shares(of).map(|(_, part)| part.reserved).sum()
     }
 
     /// What may be granted now beside that.
-    pub fn room(&self, of: Thing) -> u64 {
-        self.budget(of).map_or(0, Budget::divisible).saturating_sub(self.counted(of))
+    pub fn available(&self, of: Resource) -> u64 {
+        self.budget(of).map_or(0, Budget::divisible).saturating_sub(self.reserved(of))
     }
 
     /// How far above what is to be divided now holders may stand still: after a whole was lowered, until it is taken back.
-    pub fn over(&self, of: Thing) -> u64 {
-        self.counted(of).saturating_sub(self.budget(of).map_or(0, Budget::divisible))
+    pub fn excess(&self, of: Resource) -> u64 {
+        self.reserved(of).saturating_sub(self.budget(of).map_or(0, Budget::divisible))
     }
 
     /// These budgets hold from here on. What is granted stays until it is taken back: a whole that is lowered is lowered once
     /// its parts are.
-    pub fn state(&mut self, budgets: &[Budget]) {
-        self.stated = budgets.iter().map(|budget| (budget.of, *budget)).collect();
+    pub fn configure(&mut self, budgets: &[Budget]) {
+        self.stated = budgets.iter().map(|budget| (budget.resource, *budget)).collect();
     }
 
-    pub fn apply(&mut self, index: Index, change: &Change) {
+    pub fn apply(&mut self, index: Index, change: &ShareChange) {
         match change {
-            Change::Grant(of, sets) => {
+            ShareChange::Grant(of, sets) => {
                 self.blind = false;
                 // What is lowered in the same entry makes no room in it: it is counted with until it is released.
-                let mut room = self.room(*of);
+                let mut room = self.available(*of);
                 for (holder, granted) in sets {
                     room -= self.grant(index, *of, holder, *granted, room);
                 }
             }
-            Change::Release(of, sets) => {
+            ShareChange::Release(of, sets) => {
                 let Some(parts) = self.parts.get_mut(of) else { return };
                 for (holder, since) in sets {
                     // Danger: a release of an earlier part, said late, must not free a later one.
                     if let Some(part) = parts.get_mut(holder)
                         && part.since == *since
                     {
-                        part.counted = part.granted;
+                        part.reserved = part.granted;
                     }
                 }
-                parts.retain(|_, part| part.counted > 0);
+                parts.retain(|_, part| part.reserved > 0);
             }
         }
     }
 
     /// What of the room it takes.
-    fn grant(&mut self, index: Index, of: Thing, holder: &Holder, granted: u64, room: u64) -> u64 {
+    fn grant(&mut self, index: Index, of: Resource, holder: &Holder, granted: u64, room: u64) -> u64 {
         let stated = self.stated.contains_key(&of);
         let parts = self.parts.entry(of).or_default();
         let part = parts.get(holder).copied().unwrap_or_default();
-        let more = granted.saturating_sub(part.counted);
+        let more = granted.saturating_sub(part.reserved);
         if granted == part.granted || more > room || !stated && granted > part.granted {
             return 0;
         }
-        let counted = part.counted.max(granted);
+        let counted = part.reserved.max(granted);
         if counted > 0 {
-            parts.insert(holder.clone(), Part { granted, counted, since: index });
+            parts.insert(holder.clone(), Share { granted, reserved: counted, since: index });
         }
         more
     }
 
     /// What holders may be using is not known any more, as after a restore.
-    pub fn forget_parts(&mut self) {
+    pub fn forget_shares(&mut self) {
         self.parts.clear();
         self.blind = true;
     }
 
-    pub fn is_blind(&self) -> bool {
+    pub fn are_shares_unknown(&self) -> bool {
         self.blind
     }
 }
@@ -279,7 +298,14 @@
     use oorandom::Rand64;
 
     pub fn flow(whole: u64, alone: u64, members: u64) -> Budget {
-        Budget { of: Thing::WriteOuts, whole, window_ms: 1000, least: 1, alone, members }
+        Budget {
+            resource: Resource::Attempts,
+            quota: whole,
+            window_ms: 1000,
+            min_share: 1,
+            standalone_share: alone,
+            max_members: members,
+        }
     }
 
     fn holder(number: u64) -> Holder {
@@ -289,21 +315,21 @@
     #[test]
     fn faulty_budgets_are_refused_by_key_with_what_would_do() {
         let good = flow(100, 2, 10);
-        assert_eq!(check(&[good, Budget { of: Thing::InFlight, window_ms: 0, ..good }]), Ok(()));
+        assert_eq!(check(&[good, Budget { resource: Resource::InFlight, window_ms: 0, ..good }]), Ok(()));
         for (budget, said) in [
-            (Budget { whole: 0, ..good }, "budgets.write-outs.whole: expected 1 to"),
+            (Budget { quota: 0, ..good }, "budgets.write-outs.whole: expected 1 to"),
             (Budget { window_ms: 0, ..good }, "budgets.write-outs.windowMs: expected 1 to 60000, not 0"),
             (
-                Budget { of: Thing::Connections, ..good },
+                Budget { resource: Resource::Connections, ..good },
                 "budgets.connections.windowMs: expected none for a stock",
             ),
-            (Budget { members: 0, ..good }, "budgets.write-outs.members: "),
+            (Budget { max_members: 0, ..good }, "budgets.write-outs.members: "),
             (
-                Budget { alone: 10, ..good },
+                Budget { standalone_share: 10, ..good },
                 "budgets.write-outs.alone: 10 for each of 10 is not less than the whole, 100; 9 would do",
             ),
-            (Budget { alone: u64::MAX, ..good }, "budgets.write-outs.alone: "),
-            (Budget { least: 81, ..good }, "budgets.write-outs.least: expected 1 to 80, not 81"),
+            (Budget { standalone_share: u64::MAX, ..good }, "budgets.write-outs.alone: "),
+            (Budget { min_share: 81, ..good }, "budgets.write-outs.least: expected 1 to 80, not 81"),
         ] {
             let found = check(&[budget]).unwrap_err();
             assert!(found.starts_with(said), "{found}");
@@ -313,40 +339,49 @@
 
     #[test]
     fn a_part_is_raised_into_room_only_and_counts_until_it_is_released() {
-        let of = Thing::WriteOuts;
+        let of = Resource::Attempts;
         let mut budgets = Budgets::default();
-        budgets.state(&[flow(100, 2, 10)]);
-        budgets.apply(1, &Change::Grant(of, vec![(holder(1), 50), (holder(2), 30), (holder(3), 1)]));
-        assert_eq!((budgets.counted(of), budgets.room(of), budgets.part(of, &holder(3))), (80, 0, None));
+        budgets.configure(&[flow(100, 2, 10)]);
+        budgets.apply(1, &ShareChange::Grant(of, vec![(holder(1), 50), (holder(2), 30), (holder(3), 1)]));
+        assert_eq!(
+            (budgets.reserved(of), budgets.available(of), budgets.share(of, &holder(3))),
+            (80, 0, None)
+        );
         // One is lowered, and the other gets nothing of it before it is released.
-        budgets.apply(2, &Change::Grant(of, vec![(holder(1), 10), (holder(2), 70)]));
-        assert_eq!(budgets.part(of, &holder(1)).copied(), Some(Part { granted: 10, counted: 50, since: 2 }));
-        assert_eq!(budgets.part(of, &holder(2)).map(|part| part.granted), Some(30));
-        budgets.apply(3, &Change::Release(of, vec![(holder(1), 1)]));
-        assert_eq!(budgets.counted(of), 80);
-        budgets.apply(4, &Change::Release(of, vec![(holder(1), 2)]));
-        budgets.apply(5, &Change::Grant(of, vec![(holder(2), 70)]));
-        assert_eq!((budgets.counted(of), budgets.room(of)), (80, 0));
+        budgets.apply(2, &ShareChange::Grant(of, vec![(holder(1), 10), (holder(2), 70)]));
+        assert_eq!(
+            budgets.share(of, &holder(1)).copied(),
+            Some(Share { granted: 10, reserved: 50, since: 2 })
+        );
+        assert_eq!(budgets.share(of, &holder(2)).map(|part| part.granted), Some(30));
+        budgets.apply(3, &ShareChange::Release(of, vec![(holder(1), 1)]));
+        assert_eq!(budgets.reserved(of), 80);
+        budgets.apply(4, &ShareChange::Release(of, vec![(holder(1), 2)]));
+        budgets.apply(5, &ShareChange::Grant(of, vec![(holder(2), 70)]));
+        assert_eq!((budgets.reserved(of), budgets.available(of)), (80, 0));
         // Back up within what is counted still needs no room.
-        budgets.apply(6, &Change::Grant(of, vec![(holder(2), 5)]));
-        budgets.apply(7, &Change::Grant(of, vec![(holder(2), 60)]));
-        assert_eq!(budgets.part(of, &holder(2)).copied(), Some(Part { granted: 60, counted: 70, since: 7 }));
+        budgets.apply(6, &ShareChange::Grant(of, vec![(holder(2), 5)]));
+        budgets.apply(7, &ShareChange::Grant(of, vec![(holder(2), 60)]));
+        assert_eq!(
+            budgets.share(of, &holder(2)).copied(),
+            Some(Share { granted: 60, reserved: 70, since: 7 })
+        );
         // The whole is lowered to a tenth: it says how far it stands over, and never grants into it.
-        budgets.state(&[flow(30, 2, 10)]);
-        assert_eq!((budgets.over(of), budgets.room(of)), (70, 0));
-        budgets.apply(8, &Change::Grant(of, vec![(holder(1), 0), (holder(2), 10), (holder(3), 1)]));
-        budgets.apply(9, &Change::Release(of, vec![(holder(1), 8), (holder(2), 8)]));
-        assert_eq!((budgets.over(of), budgets.room(of), budgets.parts(of).count()), (0, 0, 1));
-        budgets.state(&[]);
-        budgets.apply(10, &Change::Grant(of, vec![(holder(2), 20)]));
-        assert_eq!(budgets.part(of, &holder(2)).map(|part| part.granted), Some(10));
+        budgets.configure(&[flow(30, 2, 10)]);
+        assert_eq!((budgets.excess(of), budgets.available(of)), (70, 0));
+        budgets.apply(8, &ShareChange::Grant(of, vec![(holder(1), 0), (holder(2), 10), (holder(3), 1)]));
+        budgets.apply(9, &ShareChange::Release(of, vec![(holder(1), 8), (holder(2), 8)]));
+        assert_eq!((budgets.excess(of), budgets.available(of), budgets.shares(of).count()), (0, 0, 1));
+        budgets.configure(&[]);
+        budgets.apply(10, &ShareChange::Grant(of, vec![(holder(2), 20)]));
+        assert_eq!(budgets.share(of, &holder(2)).map(|part| part.granted), Some(10));
     }
 
     #[test]
     fn no_random_history_counts_more_than_was_ever_to_be_divided() {
         for seed in 0..400 {
             let mut chance = Rand64::new(seed);
-            let of = Thing::WriteOuts;
+            let of = Resource::Attempts;
             let mut budgets = Budgets::default();
             let (mut most, mut index) = (0, 0);
             for _ in 0..300 {
@@ -355,26 +390,26 @@
                 match draw(10) {
                     0 => {
                         let budget = flow(20 + draw(200), 1, 4);
-                        budgets.state(&[budget]);
+                        budgets.configure(&[budget]);
                         // From here on nothing is granted above the new; what is counted is above it only if it was before.
-                        most = budget.divisible().max(budgets.counted(of));
+                        most = budget.divisible().max(budgets.reserved(of));
                     }
                     1..=3 => {
                         let holders: Vec<_> = budgets
-                            .parts(of)
+                            .shares(of)
                             .map(|(h, p)| (h.clone(), p.since - draw(2).min(p.since)))
                             .collect();
-                        budgets.apply(index, &Change::Release(of, holders));
+                        budgets.apply(index, &ShareChange::Release(of, holders));
                     }
                     _ => {
                         let sets = (0..1 + draw(4)).map(|_| (holder(draw(6)), draw(120))).collect();
-                        budgets.apply(index, &Change::Grant(of, sets));
+                        budgets.apply(index, &ShareChange::Grant(of, sets));
                     }
                 }
-                let counted = budgets.counted(of);
+                let counted = budgets.reserved(of);
                 assert!(counted <= most, "seed {seed}: {counted} of {most}");
-                assert!(budgets.parts(of).all(|(_, part)| part.granted <= part.counted), "seed {seed}");
-                if budgets.over(of) == 0 {
+                assert!(budgets.shares(of).all(|(_, part)| part.granted <= part.reserved), "seed {seed}");
+                if budgets.excess(of) == 0 {
                     most = budgets.budget(of).map_or(0, Budget::divisible);
                 }
             }
--- a/crates/fleet/src/divide.rs
+++ b/crates/fleet/src/divide.rs
@@ -6,8 +6,8 @@
 use appledyke::units::{Moment, Span};
 use appledyke_consensus::Index;
 
-use crate::budgets::{Budget, Budgets, Change, Holder, Part, Stamp, Thing};
-use crate::limits::{CLOCK_DOUBT, Grant, Use};
+use crate::budgets::{Budget, Budgets, Holder, LogPosition, Resource, Share, ShareChange};
+use crate::limits::{Grant, MAX_CLOCK_DRIFT, Usage};
 
 /// How long a grant lasts. A holder that is lost keeps its part idle for so long, and an election is over within it.
 pub const LEASE: Span = Span::from_millis(3000);
@@ -29,26 +29,26 @@
 struct Heard {
     /// When it was answered last: by then, or before, it asked for what it may act on.
     answered: Moment,
-    uses: BTreeMap<Thing, (Use, f64)>,
+    uses: BTreeMap<Resource, (Usage, f64)>,
     /// Since when it has said that it acts on an entry, by thing.
-    acts: BTreeMap<Thing, (Stamp, Moment)>,
+    acts: BTreeMap<Resource, (LogPosition, Moment)>,
     /// It has said that it ends, or an operator has said so for it.
     ended: Option<Moment>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Divider {
+pub struct Allocator {
     since: Moment,
     generation: u64,
     heard: BTreeMap<Holder, Heard>,
-    divided: BTreeMap<Thing, Moment>,
-    proposed: BTreeMap<Thing, (Change, Moment)>,
+    divided: BTreeMap<Resource, Moment>,
+    proposed: BTreeMap<Resource, (ShareChange, Moment)>,
 }
 
-impl Divider {
+impl Allocator {
     /// The memory of one that leads from now on. It knows what is granted and not when that was told.
-    pub fn new(now: Moment, generation: u64) -> Divider {
-        Divider {
+    pub fn new(now: Moment, generation: u64) -> Allocator {
+        Allocator {
             since: now,
             generation,
             heard: BTreeMap::new(),
@@ -58,7 +58,7 @@
     }
 
     /// A holder's report, which is answered now.
-    pub fn report(&mut self, now: Moment, holder: &Holder, uses: &[(Thing, Use)], ends: bool) {
+    pub fn record_report(&mut self, now: Moment, holder: &Holder, uses: &[(Resource, Usage)], ends: bool) {
         let heard = self.heard.entry(holder.clone()).or_insert_with(|| Heard {
             answered: now,
             uses: BTreeMap::new(),
@@ -71,34 +71,34 @@
         }
         for (of, told) in uses {
             let before = heard.uses.get(of).map_or(0.0, |(_, wants)| *wants);
-            let wants = told.wants as f64;
+            let wants = told.wanted as f64;
             let leaps = wants >= before * LEAP;
             let wants = if leaps { wants } else { before + SMOOTHING * (wants - before) };
             heard.uses.insert(*of, (*told, wants));
-            let acts = heard.acts.entry(*of).or_insert((told.acts, now));
-            if acts.0 != told.acts {
-                *acts = (told.acts, now);
+            let acts = heard.acts.entry(*of).or_insert((told.acting_on, now));
+            if acts.0 != told.acting_on {
+                *acts = (told.acting_on, now);
             }
         }
     }
 
     /// An operator's word that a process has ended.
-    pub fn ended(&mut self, now: Moment, holder: &Holder) {
-        self.report(now, holder, &[], true);
+    pub fn mark_ended(&mut self, now: Moment, holder: &Holder) {
+        self.record_report(now, holder, &[], true);
     }
 
     /// What a holder is granted, for an answer to its report. The answer must go out only if this replica leads still.
-    pub fn grants(&self, holder: &Holder, budgets: &Budgets, applied: Index) -> Vec<Grant> {
+    pub fn grants_for(&self, holder: &Holder, budgets: &Budgets, applied: Index) -> Vec<Grant> {
         let lease_ms = LEASE.nanos() / 1_000_000;
         let grant = |budget: &Budget| {
-            let (part, index) = match budgets.part(budget.of, holder) {
+            let (part, index) = match budgets.share(budget.resource, holder) {
                 Some(part) => (part.granted, part.since),
                 None => (0, applied),
             };
-            let since = Stamp { generation: self.generation, index };
-            Grant { budget: *budget, part, since, lease_ms }
+            let since = LogPosition { generation: self.generation, index };
+            Grant { budget: *budget, share: part, since, lease_ms }
         };
-        budgets.stated().map(grant).collect()
+        budgets.configured().map(grant).collect()
     }
 
     /// Whether a holder can't be using more than it is granted.
@@ -106,56 +106,56 @@
         &self,
         now: Moment,
         budget: Option<&Budget>,
-        of: Thing,
+        of: Resource,
         holder: &Holder,
-        part: &Part,
+        part: &Share,
     ) -> bool {
         let window =
-            Span::from_millis(budget.map_or(0, |budget| budget.window_ms)) * (1.0 + 2.0 * CLOCK_DOUBT);
+            Span::from_millis(budget.map_or(0, |budget| budget.window_ms)) * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         let heard = self.heard.get(holder);
         let acted = heard
             .and_then(|heard| heard.acts.get(&of))
             .filter(|(stamp, _)| stamp.generation == self.generation && stamp.index >= part.since);
         let ended = heard.and_then(|heard| heard.ended);
-        if of.is_stock() {
+        if of.is_concurrency_limit() {
             // Danger: a process that is stopped holds what it holds, however long its lease has been over.
             let gave_back = acted.is_some()
                 && heard.and_then(|heard| heard.uses.get(&of)).is_some_and(|(told, _)| {
-                    told.held <= part.granted + budget.map_or(0, |budget| budget.alone)
+                    told.held <= part.granted + budget.map_or(0, |budget| budget.standalone_share)
                 });
             return gave_back || ended.is_some();
         }
         // What it spent before counts in windows that end after: so a window has to pass beside all else.
-        let lapsed =
-            heard.map_or(self.since, |heard| heard.answered.max(self.since)) + LEASE * (1.0 + CLOCK_DOUBT);
+        let lapsed = heard.map_or(self.since, |heard| heard.answered.max(self.since))
+            + LEASE * (1.0 + MAX_CLOCK_DRIFT);
         acted.is_some_and(|(_, at)| now >= *at + window)
             || ended.is_some_and(|at| now >= at + window)
             || now >= lapsed + window
     }
 
     /// What is to be proposed now.
-    pub fn proposals(&mut self, now: Moment, budgets: &Budgets) -> Vec<Change> {
+    pub fn proposals(&mut self, now: Moment, budgets: &Budgets) -> Vec<ShareChange> {
         let mut changes = Vec::new();
-        for of in Thing::ALL {
+        for of in Resource::ALL {
             let budget = budgets.budget(of).copied();
             let waits = self.proposed.get(&of).is_some_and(|(_, at)| now.since(*at) < AGAIN);
             let due = self.divided.get(&of).is_none_or(|at| now.since(*at) >= PACE);
-            if !due || budget.is_none() && budgets.parts(of).next().is_none() {
+            if !due || budget.is_none() && budgets.shares(of).next().is_none() {
                 continue;
             }
             let released: Vec<(Holder, Index)> = budgets
-                .parts(of)
+                .shares(of)
                 .filter(|(holder, part)| {
-                    part.counted > part.granted && self.is_released(now, budget.as_ref(), of, holder, part)
+                    part.reserved > part.granted && self.is_released(now, budget.as_ref(), of, holder, part)
                 })
                 .map(|(holder, part)| (holder.clone(), part.since))
                 .collect();
             let change = if released.is_empty() {
-                Change::Grant(of, self.division(now, of, budget.as_ref(), budgets))
+                ShareChange::Grant(of, self.division(now, of, budget.as_ref(), budgets))
             } else {
-                Change::Release(of, released)
+                ShareChange::Release(of, released)
             };
-            let empty = matches!(&change, Change::Grant(_, sets) if sets.is_empty());
+            let empty = matches!(&change, ShareChange::Grant(_, sets) if sets.is_empty());
             let same = self.proposed.get(&of).is_some_and(|(before, _)| *before == change);
             if empty || waits && same {
                 continue;
@@ -165,7 +165,7 @@
             changes.push(change);
         }
         // What has lapsed and holds nothing needs no memory.
-        let holds = |holder: &Holder| Thing::ALL.iter().any(|of| budgets.part(*of, holder).is_some());
+        let holds = |holder: &Holder| Resource::ALL.iter().any(|of| budgets.share(*of, holder).is_some());
         self.heard.retain(|holder, heard| now.since(heard.answered) <= LEASE || holds(holder));
         changes
     }
@@ -174,11 +174,11 @@
     fn division(
         &self,
         now: Moment,
-        of: Thing,
+        of: Resource,
         budget: Option<&Budget>,
         budgets: &Budgets,
     ) -> Vec<(Holder, u64)> {
-        let granted = |holder: &Holder| budgets.part(of, holder).map_or(0, |part| part.granted);
+        let granted = |holder: &Holder| budgets.share(of, holder).map_or(0, |part| part.granted);
         let here = |heard: &Heard| heard.ended.is_none() && now.since(heard.answered) <= LEASE;
         // In the order of holders.
         let wants: Vec<(&Holder, f64)> = self
@@ -186,7 +186,7 @@
             .iter()
             .filter(|(_, heard)| budget.is_some() && here(heard))
             .map(|(holder, heard)| {
-                let alone = budget.map_or(0, |budget| budget.alone) as f64;
+                let alone = budget.map_or(0, |budget| budget.standalone_share) as f64;
                 let wants = heard.uses.get(&of).map_or(0.0, |(_, wants)| *wants);
                 (holder, (wants - alone).max(0.0))
             })
@@ -198,30 +198,31 @@
         let (mut above, mut lacking) = (Vec::new(), 0);
         // Danger: a leader that is new has heard nobody, and takes nothing back before a lease of its own has passed.
         let knows_all = now.since(self.since) > LEASE;
-        for (holder, part) in budgets.parts(of) {
+        for (holder, part) in budgets.shares(of) {
             let absent = wants.binary_search_by(|(other, _)| (*other).cmp(holder)).is_err();
             if absent && part.granted > 0 && (knows_all || self.heard.contains_key(holder)) {
                 lowered.push((holder.clone(), 0));
             }
         }
         let window = Span::from_millis(budget.map_or(0, |budget| budget.window_ms));
-        if budgets.is_blind() && now.since(self.since) <= (LEASE + window) * (1.0 + 2.0 * CLOCK_DOUBT) {
+        if budgets.are_shares_unknown()
+            && now.since(self.since) <= (LEASE + window) * (1.0 + 2.0 * MAX_CLOCK_DRIFT)
+        {
             return lowered;
         }
-        let mut room = budgets.room(of);
-        if of.is_stock() {
+        let mut room = budgets.available(of);
+        if of.is_concurrency_limit() {
             // Danger: what was held before a restore is held still, and counted nowhere but by its holders.
-            let unknown =
-                self.heard.iter().filter_map(|(holder, heard)| {
-                    let held = heard.uses.get(&of)?.0.held;
-                    Some(held.saturating_sub(
-                        budgets.part(of, holder).map_or(0, |part| part.counted) + budget?.alone,
-                    ))
-                });
+            let unknown = self.heard.iter().filter_map(|(holder, heard)| {
+                let held = heard.uses.get(&of)?.0.held;
+                Some(held.saturating_sub(
+                    budgets.share(of, holder).map_or(0, |part| part.reserved) + budget?.standalone_share,
+                ))
+            });
             room = room.saturating_sub(unknown.sum());
         }
-        let least = budget.map_or(1, |budget| budget.least);
-        let counted = |holder: &Holder| budgets.part(of, holder).map_or(0, |part| part.counted);
+        let least = budget.map_or(1, |budget| budget.min_share);
+        let counted = |holder: &Holder| budgets.share(of, holder).map_or(0, |part| part.reserved);
         let first = |holder: &Holder, target: u64| least.min(target).saturating_sub(counted(holder));
         // What is lacking of least parts comes before anybody's more.
         let mut firsts: u64 =
@@ -253,7 +254,7 @@
             }
         }
         // Danger: all stand a little above their targets, none by enough to be lowered, and a newcomer waits for ever.
-        let leaves: u64 = budgets.parts(of).map(|(_, part)| part.counted - part.granted).sum();
+        let leaves: u64 = budgets.shares(of).map(|(_, part)| part.reserved - part.granted).sum();
         let (kept, comes) = (budget.map_or(0, reserve), room + leaves);
         let wanted = lacking + if comes < kept / 2 { kept } else { 0 };
         let mut wanted = wanted.saturating_sub(comes);
@@ -273,7 +274,7 @@
 /// What is kept for newcomers.
 fn reserve(budget: &Budget) -> u64 {
     let all = budget.divisible();
-    ((all as f64 * RESERVE) as u64).max(RESERVE_LEAST_PARTS * budget.least).min(all / 10)
+    ((all as f64 * RESERVE) as u64).max(RESERVE_LEAST_PARTS * budget.min_share).min(all / 10)
 }
 
 /// What each is to have: least parts first, then up to what is wanted, the smallest wishes whole; what is left is spread by
@@ -284,17 +285,18 @@
         return Vec::new();
     }
     let divided = budget.divisible() - reserve(budget);
-    if budget.least * count > divided {
+    if budget.min_share * count > divided {
         // More of them than there are least parts: the first by name have one, the others what they may use alone.
-        let have = (divided / budget.least) as usize;
-        return (0..wants.len()).map(|at| if at < have { budget.least } else { 0 }).collect();
+        let have = (divided / budget.min_share) as usize;
+        return (0..wants.len()).map(|at| if at < have { budget.min_share } else { 0 }).collect();
     }
-    let mut left = divided - budget.least * count;
+    let mut left = divided - budget.min_share * count;
     // Above the least part: up to what is wanted, by a level that all share.
-    let wished: Vec<f64> = wants.iter().map(|(_, wants)| (wants - budget.least as f64).max(0.0)).collect();
+    let wished: Vec<f64> =
+        wants.iter().map(|(_, wants)| (wants - budget.min_share as f64).max(0.0)).collect();
     let mut order: Vec<usize> = (0..wants.len()).collect();
     order.sort_by(|one, other| wished[*one].total_cmp(&wished[*other]).then(one.cmp(other)));
-    let mut parts = vec![budget.least; wants.len()];
+    let mut parts = vec![budget.min_share; wants.len()];
     for (done, at) in order.iter().enumerate() {
         let fair = left / (wants.len() - done) as u64;
         let gets = (wished[*at].ceil() as u64).min(fair);
@@ -313,7 +315,7 @@
 mod tests {
     use super::*;
 
-    const OF: Thing = Thing::WriteOuts;
+    const OF: Resource = Resource::Attempts;
 
     fn at(ms: u64) -> Moment {
         Moment::from_nanos(ms * 1_000_000)
@@ -324,14 +326,21 @@
     }
 
     fn flow(whole: u64, members: u64) -> Budget {
-        Budget { of: OF, whole, window_ms: 1000, least: 2, alone: 1, members }
+        Budget {
+            resource: OF,
+            quota: whole,
+            window_ms: 1000,
+            min_share: 2,
+            standalone_share: 1,
+            max_members: members,
+        }
     }
 
     /// A leader, holders that act on what they are told at each beat, and a log that applies at once.
     struct World {
         budgets: Budgets,
-        divider: Divider,
-        acts: BTreeMap<Holder, Stamp>,
+        divider: Allocator,
+        acts: BTreeMap<Holder, LogPosition>,
         index: Index,
         now: u64,
         entries: u64,
@@ -340,8 +349,8 @@
     impl World {
         fn new(budget: Budget) -> World {
             let mut budgets = Budgets::default();
-            budgets.state(&[budget]);
-            let divider = Divider::new(at(0), 0);
+            budgets.configure(&[budget]);
+            let divider = Allocator::new(at(0), 0);
             World { budgets, divider, acts: BTreeMap::new(), index: 0, now: 0, entries: 0 }
         }
 
@@ -352,9 +361,9 @@
                 for (number, (holder, wants)) in wants.iter().enumerate() {
                     if (self.now / 100 + number as u64).is_multiple_of(5) {
                         let acts = self.acts.get(holder).copied().unwrap_or_default();
-                        let told = Use { acts, wants: *wants, held: 0 };
-                        self.divider.report(at(self.now), holder, &[(OF, told)], false);
-                        let grant = self.divider.grants(holder, &self.budgets, self.index)[0];
+                        let told = Usage { acting_on: acts, wanted: *wants, held: 0 };
+                        self.divider.record_report(at(self.now), holder, &[(OF, told)], false);
+                        let grant = self.divider.grants_for(holder, &self.budgets, self.index)[0];
                         self.acts.insert(holder.clone(), grant.since);
                     }
                 }
@@ -367,7 +376,7 @@
         }
 
         fn granted(&self, holder: &Holder) -> u64 {
-            self.budgets.part(OF, holder).map_or(0, |part| part.granted)
+            self.budgets.share(OF, holder).map_or(0, |part| part.granted)
         }
     }
 
@@ -397,16 +406,18 @@
             let wants: Vec<_> =
                 (0..count).map(|number| (holder(number), 10 + 90 * (number as u64 % 10) / 9)).collect();
             world.run(4000, &wants);
-            let used: u64 =
-                wants.iter().map(|(holder, wants)| (world.granted(holder) + budget.alone).min(*wants)).sum();
-            let share = used as f64 / budget.whole as f64;
+            let used: u64 = wants
+                .iter()
+                .map(|(holder, wants)| (world.granted(holder) + budget.standalone_share).min(*wants))
+                .sum();
+            let share = used as f64 / budget.quota as f64;
             assert!((0.95..=1.0).contains(&share), "{count}: {share}");
         }
     }
 
     #[test]
     fn newcomers_have_their_least_though_all_others_stand_within_what_is_damped() {
-        let mut world = World::new(Budget { least: 2, ..flow(3000, 400) });
+        let mut world = World::new(Budget { min_share: 2, ..flow(3000, 400) });
         let wants: Vec<_> = (0..330).map(|number| (holder(number), 20)).collect();
         world.run(5000, &wants[..300]);
         world.run(4000, &wants);
@@ -428,9 +439,9 @@
         assert!(held > 30);
         // It falls silent: for a lease by its clock, and a window after, what it holds is nobody else's.
         world.run(3900, &both[1..]);
-        assert!(world.budgets.part(OF, &holder(0)).is_some_and(|part| part.counted == held));
+        assert!(world.budgets.share(OF, &holder(0)).is_some_and(|part| part.reserved == held));
         world.run(1500, &both[1..]);
-        assert_eq!(world.budgets.part(OF, &holder(0)), None);
+        assert_eq!(world.budgets.share(OF, &holder(0)), None);
         assert!(world.granted(&holder(1)) > 70, "{}", world.granted(&holder(1)));
     }
 
@@ -440,7 +451,7 @@
         let both = [(holder(0), 500), (holder(1), 500)];
         world.run(5000, &both);
         let held = world.granted(&holder(0));
-        world.divider = Divider::new(at(world.now), 0);
+        world.divider = Allocator::new(at(world.now), 0);
         world.run(2900, &both[1..]);
         assert_eq!(world.granted(&holder(0)), held);
         world.run(1500, &both);
@@ -449,26 +460,30 @@
 
     #[test]
     fn a_stock_is_freed_by_its_holders_word_and_never_by_time() {
-        let of = Thing::Connections;
-        let budget = Budget { of, window_ms: 0, ..flow(20, 2) };
+        let of = Resource::Connections;
+        let budget = Budget { resource: of, window_ms: 0, ..flow(20, 2) };
         let mut budgets = Budgets::default();
-        budgets.state(&[budget]);
-        budgets.apply(1, &Change::Grant(of, vec![(holder(0), 10)]));
-        budgets.apply(2, &Change::Grant(of, vec![(holder(0), 4)]));
-        let mut divider = Divider::new(at(0), 0);
-        let told = |held| [(of, Use { acts: Stamp { generation: 0, index: 2 }, wants: 4, held })];
-        divider.report(at(100), &holder(0), &told(9), false);
-        let releases = |divider: &mut Divider, ms| {
-            divider.proposals(at(ms), &budgets).iter().any(|change| matches!(change, Change::Release(..)))
+        budgets.configure(&[budget]);
+        budgets.apply(1, &ShareChange::Grant(of, vec![(holder(0), 10)]));
+        budgets.apply(2, &ShareChange::Grant(of, vec![(holder(0), 4)]));
+        let mut divider = Allocator::new(at(0), 0);
+        let told =
+            |held| [(of, Usage { acting_on: LogPosition { generation: 0, index: 2 }, wanted: 4, held })];
+        divider.record_report(at(100), &holder(0), &told(9), false);
+        let releases = |divider: &mut Allocator, ms| {
+            divider
+                .proposals(at(ms), &budgets)
+                .iter()
+                .any(|change| matches!(change, ShareChange::Release(..)))
         };
         assert!(!releases(&mut divider, 400));
         // A minute later, and a thousand: it may be stopped, and hold all nine.
         assert!(!releases(&mut divider, 60_000) && !releases(&mut divider, 1_000_000));
-        divider.report(at(1_000_100), &holder(0), &told(4), false);
+        divider.record_report(at(1_000_100), &holder(0), &told(4), false);
         assert!(releases(&mut divider, 1_000_400));
         // Or by an operator's word that its process has ended.
-        let mut divider = Divider::new(at(0), 0);
-        divider.ended(at(10), &holder(0));
+        let mut divider = Allocator::new(at(0), 0);
+        divider.mark_ended(at(10), &holder(0));
         assert!(releases(&mut divider, 300));
     }
 
@@ -483,8 +498,8 @@
             let rows: Vec<_> = wants.iter().map(|(holder, wants)| (holder, *wants)).collect();
             let parts = targets(&budget, &rows);
             assert!(parts.iter().sum::<u64>() <= budget.divisible(), "{list:?}: {parts:?}");
-            let fits = budget.least * list.len() as u64 <= 80;
-            assert!(!fits || parts.iter().all(|part| *part >= budget.least), "{list:?}: {parts:?}");
+            let fits = budget.min_share * list.len() as u64 <= 80;
+            assert!(!fits || parts.iter().all(|part| *part >= budget.min_share), "{list:?}: {parts:?}");
         }
     }
 }
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -9,11 +9,11 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a record is of use: what is older has mostly faded with those who saw it.
-pub const KEPT: Span = Span::from_millis(8000);
+pub const MAX_AGE: Span = Span::from_millis(8000);
 /// Records that are held at the most: 16 a member of a fleet of 1,000. Of one service at the most half of them; those of
 /// members without one may be all, as in a fleet without services.
-pub const MOST: usize = 16_384;
-pub const OF_A_SERVICE_MOST: usize = 8_192;
+pub const MAX_RECORDS: usize = 16_384;
+pub const MAX_RECORDS_PER_SERVICE: usize = 8_192;
 /// How often all services' records are looked through for old ones: an eighth of the time that they are kept.
 const SWEEP: Span = Span::from_millis(1000);
 /// Records of one endpoint in a catch-up: three failures make it known, one more tells of an end to them.
@@ -30,18 +30,18 @@
 ];
 
 /// The code of an outcome that says something of an endpoint.
-pub fn code(outcome: Outcome) -> Option<u8> {
+pub fn outcome_code(outcome: Outcome) -> Option<u8> {
     OUTCOMES.iter().position(|known| *known == outcome).map(|at| at as u8)
 }
 
 /// The outcome of a code; none of one that is not known here.
-pub fn outcome(code: u8) -> Option<Outcome> {
+pub fn outcome_from_code(code: u8) -> Option<Outcome> {
     OUTCOMES.get(usize::from(code)).copied()
 }
 
 /// How a write-out ended, as its sidecar tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Grows with each record of its writer's incarnation.
     pub sequence: u64,
     /// How long ago it was, when this was said: clocks of two machines are not compared.
@@ -52,16 +52,16 @@
     /// By its code.
     pub outcome: u8,
     /// The time it took, as a part of its method's latency budget.
-    pub part: f32,
+    pub budget_fraction: f32,
 }
 
 /// A record on its way to another member.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct RelayedObservation {
     /// The mark of its writer's name, and the writer's incarnation.
     pub writer: u32,
     pub incarnation: u64,
-    pub seen: Seen,
+    pub observation: Observation,
 }
 
 struct Held {
@@ -69,7 +69,7 @@
     writer: u32,
     incarnation: u64,
     at: Moment,
-    seen: Seen,
+    seen: Observation,
 }
 
 /// Up to where a reader has heard.
@@ -78,11 +78,11 @@
 
 /// Whose records are known up to where; for daemons and for members, so that none counts twice.
 #[derive(Default)]
-pub struct Known(BTreeMap<u32, (u64, u64)>);
+pub struct KnownSequences(BTreeMap<u32, (u64, u64)>);
 
-impl Known {
+impl KnownSequences {
     /// Whether a record is new; it is known from now on.
-    pub fn is_new(&mut self, writer: u32, incarnation: u64, sequence: u64) -> bool {
+    pub fn insert_if_new(&mut self, writer: u32, incarnation: u64, sequence: u64) -> bool {
         let known = self.0.entry(writer).or_default();
         let new = (incarnation, sequence) > *known;
         if new {
@@ -95,24 +95,31 @@
 /// Records by the service of their writers (`Locality::service_mark`, nought for none), each service's in their order. A reader
 /// with a service hears those of its own service and of writers without one; a reader without one hears all.
 #[derive(Default)]
-pub struct Evidence {
+pub struct EvidenceStore {
     rings: BTreeMap<u32, VecDeque<Held>>,
     /// How many each ring holds, and how many there are in all.
     sizes: BTreeSet<(usize, u32)>,
     count: usize,
     swept: Moment,
-    known: Known,
+    known: KnownSequences,
     arrivals: u64,
 }
 
-impl Evidence {
+impl EvidenceStore {
     /// Takes what a member of a service tells; how much of it was new.
-    pub fn hear(&mut self, now: Moment, service: u32, writer: u32, incarnation: u64, seen: &[Seen]) -> usize {
+    pub fn record(
+        &mut self,
+        now: Moment,
+        service: u32,
+        writer: u32,
+        incarnation: u64,
+        seen: &[Observation],
+    ) -> usize {
         let before = self.arrivals;
         for seen in seen {
             let age = Span::from_millis(u64::from(seen.age_ms));
-            let odd = !seen.part.is_finite() || seen.part < 0.0 || age > KEPT;
-            if self.known.is_new(writer, incarnation, seen.sequence) && !odd {
+            let odd = !seen.budget_fraction.is_finite() || seen.budget_fraction < 0.0 || age > MAX_AGE;
+            if self.known.insert_if_new(writer, incarnation, seen.sequence) && !odd {
                 self.arrivals += 1;
                 let at = Moment::from_nanos(now.nanos().saturating_sub(age.nanos()));
                 let held = Held { arrival: self.arrivals, writer, incarnation, at, seen: *seen };
@@ -143,8 +150,8 @@
     }
 
     fn forget(&mut self, now: Moment, service: u32) {
-        let most = if service == 0 { MOST } else { OF_A_SERVICE_MOST };
-        let old = |ring: &VecDeque<Held>| ring.front().is_some_and(|held| now.since(held.at) > KEPT);
+        let most = if service == 0 { MAX_RECORDS } else { MAX_RECORDS_PER_SERVICE };
+        let old = |ring: &VecDeque<Held>| ring.front().is_some_and(|held| now.since(held.at) > MAX_AGE);
         self.change(service, |ring| {
             while ring.len() > most || old(ring) {
                 ring.pop_front();
@@ -163,7 +170,7 @@
             }
         }
         // Danger: by their order alone a busy service would push out what the others have learnt.
-        while self.count > MOST
+        while self.count > MAX_RECORDS
             && let Some((_, largest)) = self.sizes.last().copied()
         {
             self.change(largest, |ring| {
@@ -182,25 +189,25 @@
         rings.into_iter().filter(|ring| ring.back().is_some_and(|held| held.arrival > after)).collect()
     }
 
-    fn pass(now: Moment, held: &Held) -> Passed {
+    fn pass(now: Moment, held: &Held) -> RelayedObservation {
         let age_ms = (now.since(held.at).nanos() / 1_000_000) as u32;
-        let seen = Seen { age_ms, ..held.seen };
-        Passed { writer: held.writer, incarnation: held.incarnation, seen }
+        let seen = Observation { age_ms, ..held.seen };
+        RelayedObservation { writer: held.writer, incarnation: held.incarnation, observation: seen }
     }
 
     fn of_use(now: Moment, reader: u32) -> impl Fn(&&Held) -> bool {
-        move |held| held.writer != reader && now.since(held.at) <= KEPT
+        move |held| held.writer != reader && now.since(held.at) <= MAX_AGE
     }
 
     /// What a reader of a service has not heard yet, so much at the most; the rest waits for the next time.
-    pub fn tell(
+    pub fn read_new(
         &self,
         now: Moment,
         service: u32,
         reader: u32,
         cursor: &mut Cursor,
         most: usize,
-    ) -> Vec<Passed> {
+    ) -> Vec<RelayedObservation> {
         let rings = self.rings_for(service, cursor.0);
         let start = |ring: &VecDeque<Held>| ring.partition_point(|held| held.arrival <= cursor.0);
         let mut rings: Vec<_> = rings.iter().map(|ring| ring.range(start(ring)..).peekable()).collect();
@@ -229,7 +236,7 @@
         reader: u32,
         cursor: &mut Cursor,
         most: usize,
-    ) -> Vec<Passed> {
+    ) -> Vec<RelayedObservation> {
         *cursor = Cursor(self.arrivals);
         let mut rings: Vec<_> =
             self.rings_for(service, 0).into_iter().map(|ring| ring.iter().rev().peekable()).collect();
@@ -262,54 +269,57 @@
         Moment::from_nanos(ms * 1_000_000)
     }
 
-    fn seen(sequence: u64, endpoint: u32) -> Seen {
-        Seen { sequence, age_ms: 100, endpoint, method: 1, outcome: 1, part: 0.5 }
+    fn seen(sequence: u64, endpoint: u32) -> Observation {
+        Observation { sequence, age_ms: 100, endpoint, method: 1, outcome: 1, budget_fraction: 0.5 }
     }
 
     #[test]
     fn each_record_counts_once_by_writer_incarnation_and_sequence() {
-        let mut evidence = Evidence::default();
-        assert_eq!(evidence.hear(at(1000), 0, 7, 1, &[seen(1, 5), seen(2, 5)]), 2);
+        let mut evidence = EvidenceStore::default();
+        assert_eq!(evidence.record(at(1000), 0, 7, 1, &[seen(1, 5), seen(2, 5)]), 2);
         // Said again, as the answer was lost; and by an earlier incarnation, which has ended.
-        assert_eq!(evidence.hear(at(1100), 0, 7, 1, &[seen(1, 5), seen(2, 5), seen(3, 5)]), 1);
+        assert_eq!(evidence.record(at(1100), 0, 7, 1, &[seen(1, 5), seen(2, 5), seen(3, 5)]), 1);
         assert_eq!(
             (
-                evidence.hear(at(1200), 0, 7, 2, &[seen(1, 5)]),
-                evidence.hear(at(1300), 0, 7, 1, &[seen(9, 5)])
+                evidence.record(at(1200), 0, 7, 2, &[seen(1, 5)]),
+                evidence.record(at(1300), 0, 7, 1, &[seen(9, 5)])
             ),
             (1, 0)
         );
         let mut cursor = Cursor::default();
-        assert_eq!(evidence.tell(at(1300), 0, 8, &mut cursor, 3).len(), 3);
-        assert_eq!(evidence.tell(at(1300), 0, 8, &mut cursor, 3).len(), 1);
-        assert_eq!(evidence.tell(at(1300), 0, 8, &mut cursor, 3), []);
+        assert_eq!(evidence.read_new(at(1300), 0, 8, &mut cursor, 3).len(), 3);
+        assert_eq!(evidence.read_new(at(1300), 0, 8, &mut cursor, 3).len(), 1);
+        assert_eq!(evidence.read_new(at(1300), 0, 8, &mut cursor, 3), []);
         // Nobody hears its own, and nobody what is old.
-        assert_eq!(evidence.tell(at(1300), 0, 7, &mut Cursor::default(), 9), []);
-        assert_eq!(evidence.tell(at(9100), 0, 8, &mut Cursor::default(), 9).len(), 1);
+        assert_eq!(evidence.read_new(at(1300), 0, 7, &mut Cursor::default(), 9), []);
+        assert_eq!(evidence.read_new(at(9100), 0, 8, &mut Cursor::default(), 9).len(), 1);
         // Ages go on while they lie here.
-        let told = evidence.tell(at(1500), 0, 8, &mut Cursor::default(), 1);
-        assert_eq!(told[0].seen.age_ms, 600);
+        let told = evidence.read_new(at(1500), 0, 8, &mut Cursor::default(), 1);
+        assert_eq!(told[0].observation.age_ms, 600);
         let mut odd = seen(10, 5);
-        odd.part = f32::NAN;
-        assert_eq!(evidence.hear(at(1400), 0, 9, 1, &[odd, Seen { age_ms: 9000, ..seen(11, 5) }]), 0);
+        odd.budget_fraction = f32::NAN;
+        assert_eq!(
+            evidence.record(at(1400), 0, 9, 1, &[odd, Observation { age_ms: 9000, ..seen(11, 5) }]),
+            0
+        );
     }
 
     #[test]
     fn who_returns_hears_the_latest_of_each_endpoint_and_no_more_than_its_bound() {
-        let mut evidence = Evidence::default();
+        let mut evidence = EvidenceStore::default();
         for sequence in 1..=100 {
-            evidence.hear(at(1000), 0, 7, 1, &[seen(sequence, sequence as u32 % 5)]);
+            evidence.record(at(1000), 0, 7, 1, &[seen(sequence, sequence as u32 % 5)]);
         }
         let mut cursor = Cursor::default();
         let told = evidence.catch_up(at(1000), 0, 8, &mut cursor, 1000);
         assert_eq!(told.len(), 5 * OF_AN_ENDPOINT);
-        assert!(told.iter().all(|passed| passed.seen.sequence > 80));
-        assert!(told.is_sorted_by_key(|passed| passed.seen.sequence));
-        assert_eq!(evidence.tell(at(1000), 0, 8, &mut cursor, 1000), []);
+        assert!(told.iter().all(|passed| passed.observation.sequence > 80));
+        assert!(told.is_sorted_by_key(|passed| passed.observation.sequence));
+        assert_eq!(evidence.read_new(at(1000), 0, 8, &mut cursor, 1000), []);
         assert_eq!(evidence.catch_up(at(1000), 0, 8, &mut cursor, 7).len(), 7);
-        for sequence in 0..2 * MOST as u64 {
-            evidence.hear(at(2000), 0, 9, 1, &[seen(sequence + 1, 3)]);
+        for sequence in 0..2 * MAX_RECORDS as u64 {
+            evidence.record(at(2000), 0, 9, 1, &[seen(sequence + 1, 3)]);
         }
-        assert!(evidence.count() <= MOST);
+        assert!(evidence.count() <= MAX_RECORDS);
     }
 }
--- a/crates/fleet/src/evidence_coding.rs
+++ b/crates/fleet/src/evidence_coding.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::{Passed, Seen};
+use crate::evidence::{Observation, RelayedObservation};
 
 /// Entries of either dictionary: an index is one byte. They bound what an end keeps for a connection, to some 15 KB.
-pub const ENTRIES_MOST: usize = 256;
+pub const MAX_ENTRIES: usize = 256;
 /// Answers after which dictionaries that are full begin anew: those that have ended lie in them, and some 5 KB in so many
 /// answers are little.
 const ANEW_AFTER: u32 = 1024;
@@ -23,7 +23,7 @@
 
 /// A record by indices.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct CodedRecord {
     pub writer: u8,
     /// How far its sequence lies behind that of its writer's record before.
     pub step: u64,
@@ -31,18 +31,18 @@
     pub endpoint: u8,
     pub method: u8,
     pub outcome: u8,
-    pub part: f32,
+    pub budget_fraction: f32,
 }
 
 /// Records, and the entries that they need beside those that are known already.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Coded {
+pub struct CodedRecords {
     /// Entries of both dictionaries that the other end knows: nought begins them anew.
     pub known: u32,
     pub writers: Vec<Writer>,
     /// Of endpoints and methods.
     pub names: Vec<u32>,
-    pub records: Vec<Record>,
+    pub records: Vec<CodedRecord>,
 }
 
 /// The end that tells.
@@ -64,13 +64,14 @@
 
     /// Codes an answer's records, up to the first for which the dictionaries have no room; those from there on are left, and go
     /// as they are, behind these.
-    pub fn encode(&mut self, mut passed: Vec<Passed>) -> (Coded, Vec<Passed>) {
+    pub fn encode(&mut self, mut passed: Vec<RelayedObservation>) -> (CodedRecords, Vec<RelayedObservation>) {
         if self.full && self.answers >= ANEW_AFTER {
             self.reset();
         }
         self.answers = self.answers.saturating_add(1);
         let known = (self.entries + self.names.len()) as u32;
-        let mut coded = Coded { known, records: Vec::with_capacity(passed.len()), ..Coded::default() };
+        let mut coded =
+            CodedRecords { known, records: Vec::with_capacity(passed.len()), ..CodedRecords::default() };
         for passed in &passed {
             let Some(record) = self.record(passed, &mut coded) else {
                 self.full = true;
@@ -82,8 +83,8 @@
         (coded, rest)
     }
 
-    fn record(&mut self, passed: &Passed, coded: &mut Coded) -> Option<Record> {
-        let Passed { writer, incarnation, seen } = *passed;
+    fn record(&mut self, passed: &RelayedObservation, coded: &mut CodedRecords) -> Option<CodedRecord> {
+        let RelayedObservation { writer, incarnation, observation: seen } = *passed;
         let endpoint = self.name(seen.endpoint, coded)?;
         let method = self.name(seen.method, coded)?;
         let last = self.writers.get_mut(&writer).filter(|(_, last)| last.incarnation == incarnation);
@@ -102,11 +103,11 @@
                     (at, 0)
                 }
             };
-        let Seen { age_ms, outcome, part, .. } = seen;
-        Some(Record { writer: at, step, age_ms, endpoint, method, outcome, part })
+        let Observation { age_ms, outcome, budget_fraction: part, .. } = seen;
+        Some(CodedRecord { writer: at, step, age_ms, endpoint, method, outcome, budget_fraction: part })
     }
 
-    fn name(&mut self, mark: u32, coded: &mut Coded) -> Option<u8> {
+    fn name(&mut self, mark: u32, coded: &mut CodedRecords) -> Option<u8> {
         if let Some(at) = self.names.get(&mark) {
             return Some(*at);
         }
@@ -129,7 +130,7 @@
     ///
     /// # Errors
     /// What is wrong with it: none of it is taken, and nothing is known until dictionaries begin anew.
-    pub fn decode(&mut self, coded: &Coded) -> Result<Vec<Passed>, String> {
+    pub fn decode(&mut self, coded: &CodedRecords) -> Result<Vec<RelayedObservation>, String> {
         let decoded =
             self.extend(coded).and_then(|()| coded.records.iter().map(|r| self.record(r)).collect());
         if decoded.is_err() {
@@ -138,7 +139,7 @@
         decoded
     }
 
-    fn extend(&mut self, coded: &Coded) -> Result<(), String> {
+    fn extend(&mut self, coded: &CodedRecords) -> Result<(), String> {
         if coded.known == 0 {
             *self = Decoder::default();
         }
@@ -149,8 +150,8 @@
         let (writers, names) =
             (self.writers.len() + coded.writers.len(), self.names.len() + coded.names.len());
         for (of, entries) in [("writers", writers), ("names", names)] {
-            if entries > ENTRIES_MOST {
-                return Err(format!("evidence: {entries} {of}, more than {ENTRIES_MOST}"));
+            if entries > MAX_ENTRIES {
+                return Err(format!("evidence: {entries} {of}, more than {MAX_ENTRIES}"));
             }
         }
         self.writers.extend(&coded.writers);
@@ -158,8 +159,9 @@
         Ok(())
     }
 
-    fn record(&mut self, record: &Record) -> Result<Passed, String> {
-        let Record { writer: at, step, age_ms, endpoint, method, outcome, part } = *record;
+    fn record(&mut self, record: &CodedRecord) -> Result<RelayedObservation, String> {
+        let CodedRecord { writer: at, step, age_ms, endpoint, method, outcome, budget_fraction: part } =
+            *record;
         let beyond = |of, at, most| format!("evidence: {of} {at}, and there are {most}");
         let name = |of, at: u8| {
             let known = self.names.get(usize::from(at)).copied();
@@ -172,7 +174,7 @@
         let sequence =
             sequence.ok_or_else(|| format!("evidence: a step of {step} behind {}", last.sequence))?;
         last.sequence = sequence;
-        let seen = Seen { sequence, age_ms, endpoint, method, outcome, part };
-        Ok(Passed { writer: last.writer, incarnation: last.incarnation, seen })
+        let seen = Observation { sequence, age_ms, endpoint, method, outcome, budget_fraction: part };
+        Ok(RelayedObservation { writer: last.writer, incarnation: last.incarnation, observation: seen })
     }
 }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -10,32 +10,33 @@
 
 /// How reqs ended, since a process started or between two moments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct RequestCounts {
     pub served: u64,
-    pub nacked: u64,
+    #[serde(rename = "nacked")]
+    pub rejected: u64,
     pub failed: u64,
     /// Of the served, those that took longer than their latency budget.
     pub slow: u64,
 }
 
-impl Figures {
-    pub fn all(&self) -> u64 {
-        self.served + self.nacked + self.failed
+impl RequestCounts {
+    pub fn total(&self) -> u64 {
+        self.served + self.rejected + self.failed
     }
 
     /// What came between an earlier count of the same process and this one.
-    pub fn since(&self, earlier: &Figures) -> Figures {
-        Figures {
+    pub fn since(&self, earlier: &RequestCounts) -> RequestCounts {
+        RequestCounts {
             served: self.served.saturating_sub(earlier.served),
-            nacked: self.nacked.saturating_sub(earlier.nacked),
+            rejected: self.rejected.saturating_sub(earlier.rejected),
             failed: self.failed.saturating_sub(earlier.failed),
             slow: self.slow.saturating_sub(earlier.slow),
         }
     }
 
-    pub fn add(&mut self, other: &Figures) {
+    pub fn add(&mut self, other: &RequestCounts) {
         self.served += other.served;
-        self.nacked += other.nacked;
+        self.rejected += other.rejected;
         self.failed += other.failed;
         self.slow += other.slow;
     }
@@ -44,13 +45,15 @@
 /// What must hold of those that were moved: by how much their shares may be worse than others'.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
-pub struct Must {
+pub struct Criteria {
     /// Reqs that each side must have had to be judged.
-    pub least_reqs: u64,
+    #[serde(rename = "leastReqs")]
+    pub min_requests: u64,
     #[serde(default)]
     pub served_lower: Option<f64>,
     #[serde(default)]
-    pub nacked_higher: Option<f64>,
+    #[serde(rename = "nackedHigher")]
+    pub rejected_higher: Option<f64>,
     #[serde(default)]
     pub failed_higher: Option<f64>,
     /// Of the served.
@@ -58,14 +61,14 @@
     pub slow_higher: Option<f64>,
 }
 
-type Share = fn(&Figures) -> (u64, u64);
+type Share = fn(&RequestCounts) -> (u64, u64);
 
-impl Must {
+impl Criteria {
     fn rows(&self) -> [(&'static str, Option<f64>, Share); 4] {
         [
-            ("servedLower", self.served_lower, |f| (f.nacked + f.failed, f.all())),
-            ("nackedHigher", self.nacked_higher, |f| (f.nacked, f.all())),
-            ("failedHigher", self.failed_higher, |f| (f.failed, f.all())),
+            ("servedLower", self.served_lower, |f| (f.rejected + f.failed, f.total())),
+            ("nackedHigher", self.rejected_higher, |f| (f.rejected, f.total())),
+            ("failedHigher", self.failed_higher, |f| (f.failed, f.total())),
             ("slowHigher", self.slow_higher, |f| (f.slow, f.served)),
         ]
     }
@@ -73,7 +76,7 @@
     /// # Errors
     /// The key that is at fault.
     pub fn check(&self) -> Result<(), String> {
-        if self.least_reqs == 0 {
+        if self.min_requests == 0 {
             return Err("must.leastReqs: expected at least 1".to_string());
         }
         for (name, most, _) in self.rows() {
@@ -88,7 +91,7 @@
     }
 
     /// What is worse on one side than on the other, by more than may be and more than chance.
-    fn worse(&self, one: &Figures, other: &Figures) -> Option<String> {
+    fn worse(&self, one: &RequestCounts, other: &RequestCounts) -> Option<String> {
         self.rows().into_iter().find_map(|(name, most, share)| {
             let (bad, all) = share(one);
             let (other_bad, other_all) = share(other);
@@ -111,11 +114,11 @@
         })
     }
 
-    pub fn judge(&self, moved: &Figures, others: &Figures, before: &Figures) -> Verdict {
-        if moved.all() < self.least_reqs {
-            return Verdict::NotKnown;
+    pub fn judge(&self, moved: &RequestCounts, others: &RequestCounts, before: &RequestCounts) -> Verdict {
+        if moved.total() < self.min_requests {
+            return Verdict::Undecided;
         }
-        let known = |figures: &Figures| figures.all() >= self.least_reqs;
+        let known = |figures: &RequestCounts| figures.total() >= self.min_requests;
         if known(others) {
             if let Some(what) = self.worse(moved, others) {
                 return Verdict::Worse(format!("{what} of those not moved"));
@@ -125,7 +128,7 @@
             {
                 return Verdict::Outage(format!("those not moved do worse than before: {what} then"));
             }
-            return Verdict::Well;
+            return Verdict::Healthy;
         }
         match known(before) {
             // Nobody is left that was not moved: whether it is the candidate cannot be told.
@@ -133,9 +136,9 @@
                 Some(what) => {
                     Verdict::Outage(format!("{what} before the release, and nobody is left to compare"))
                 }
-                None => Verdict::Well,
+                None => Verdict::Healthy,
             },
-            false => Verdict::NotKnown,
+            false => Verdict::Undecided,
         }
     }
 }
@@ -148,9 +151,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    Well,
+    Healthy,
     /// Too few reqs, on a side that it takes.
-    NotKnown,
+    Undecided,
     /// What was moved does worse than what was not.
     Worse(String),
     /// All do worse than before, what was moved no more than the rest, as far as there is a rest.
@@ -162,31 +165,31 @@
     use super::*;
     use oorandom::Rand64;
 
-    fn must() -> Must {
-        Must {
-            least_reqs: 100,
+    fn must() -> Criteria {
+        Criteria {
+            min_requests: 100,
             served_lower: Some(0.02),
-            nacked_higher: None,
+            rejected_higher: None,
             failed_higher: None,
             slow_higher: Some(0.05),
         }
     }
 
-    fn figures(served: u64, failed: u64, slow: u64) -> Figures {
-        Figures { served, failed, slow, nacked: 0 }
+    fn figures(served: u64, failed: u64, slow: u64) -> RequestCounts {
+        RequestCounts { served, failed, slow, rejected: 0 }
     }
 
     #[test]
     fn too_few_reqs_are_not_known_and_an_outage_is_not_the_candidates() {
         let (well, bad) = (figures(990, 10, 5), figures(800, 200, 5));
-        assert_eq!(must().judge(&figures(99, 0, 0), &well, &well), Verdict::NotKnown);
-        assert_eq!(must().judge(&well, &well, &well), Verdict::Well);
-        assert_eq!(must().judge(&well, &figures(9, 0, 0), &figures(9, 0, 0)), Verdict::NotKnown);
+        assert_eq!(must().judge(&figures(99, 0, 0), &well, &well), Verdict::Undecided);
+        assert_eq!(must().judge(&well, &well, &well), Verdict::Healthy);
+        assert_eq!(must().judge(&well, &figures(9, 0, 0), &figures(9, 0, 0)), Verdict::Undecided);
         let Verdict::Worse(why) = must().judge(&bad, &well, &well) else { panic!() };
         assert_eq!(why, "20.0% of 1000 reqs not served, against 1.0% of 1000 of those not moved");
         assert!(matches!(must().judge(&bad, &bad, &well), Verdict::Outage(_)));
         // The last of all have only what was before to be held against.
-        assert!(matches!(must().judge(&bad, &Figures::default(), &well), Verdict::Outage(_)));
+        assert!(matches!(must().judge(&bad, &RequestCounts::default(), &well), Verdict::Outage(_)));
         let slow = figures(1000, 0, 300);
         let Verdict::Worse(why) = must().judge(&slow, &well, &well) else { panic!() };
         assert!(why.starts_with("30.0% of 1000 reqs over their budget"), "{why}");
@@ -202,7 +205,8 @@
         let (mut found, mut blamed) = (0, 0);
         for _ in 0..3000 {
             let before = draw(2000, 0.05);
-            blamed += u32::from(must().judge(&draw(200, 0.05), &draw(600, 0.05), &before) != Verdict::Well);
+            blamed +=
+                u32::from(must().judge(&draw(200, 0.05), &draw(600, 0.05), &before) != Verdict::Healthy);
             found += u32::from(matches!(
                 must().judge(&draw(200, 0.3), &draw(600, 0.05), &before),
                 Verdict::Worse(_)
--- a/crates/fleet/src/heard.rs
+++ b/crates/fleet/src/heard.rs
@@ -4,9 +4,9 @@
 
 use appledyke::units::{Moment, Span};
 
-use crate::budgets::Stamp;
-use crate::health::Figures;
-use crate::members::{GROUPS_MOST, Standing};
+use crate::budgets::LogPosition;
+use crate::health::RequestCounts;
+use crate::members::{MAX_GROUPS, MemberStatus};
 use crate::state::{Command, Fleet};
 use crate::talk::Report;
 use crate::version::Version;
@@ -16,7 +16,7 @@
 
 /// How long a member may be silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct LivenessTimeouts {
     /// From then on it counts as silent.
     pub lease: Span,
     /// From then on it counts as gone.
@@ -24,72 +24,79 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Last {
+pub struct LastReport {
     pub incarnation: u64,
     process: u64,
     at: Moment,
     /// When another process of the same name and incarnation was heard last.
     twin: Option<Moment>,
-    standing: Standing,
+    standing: MemberStatus,
     version: Version,
     groups: Vec<String>,
     settled: u64,
-    outs: Stamp,
+    outs: LogPosition,
     holds: Vec<String>,
     /// The version of the program, or what its file calls it; how its reqs have ended, in all and at endpoints that are watched.
-    pub runs: String,
-    pub figures: Figures,
-    pub at_endpoints: Vec<(String, Figures)>,
+    pub program_version: String,
+    pub request_counts: RequestCounts,
+    pub endpoint_counts: Vec<(String, RequestCounts)>,
     /// Clients and reqs that it has still.
     open: u64,
     /// Whether it is drained by a release's word.
-    pub sent: bool,
+    pub drained_by_release: bool,
     /// Endpoints that it was asked to look for, and that its list does not have as ready.
     lacks: Vec<String>,
 }
 
 /// What a member is to be told of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct ReportOutcome {
     /// Another process says that it is this one.
-    pub twin: bool,
+    pub duplicate_process: bool,
     /// A later incarnation has followed it.
     pub superseded: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Heard {
-    terms: Terms,
+pub struct MemberTracker {
+    terms: LivenessTimeouts,
     since: Moment,
-    last: BTreeMap<String, Last>,
+    last: BTreeMap<String, LastReport>,
     /// By member, and whether it is that it is back.
     proposed: BTreeMap<(String, bool), (Command, Moment)>,
 }
 
-impl Heard {
+impl MemberTracker {
     /// The memory of one that leads from now on: it has heard nobody yet.
-    pub fn new(now: Moment, terms: Terms) -> Heard {
-        Heard { terms, since: now, last: BTreeMap::new(), proposed: BTreeMap::new() }
+    pub fn new(now: Moment, terms: LivenessTimeouts) -> MemberTracker {
+        MemberTracker { terms, since: now, last: BTreeMap::new(), proposed: BTreeMap::new() }
     }
 
-    pub fn report(&mut self, now: Moment, report: &Report, fleet: &Fleet) -> Found {
+    pub fn record_report(&mut self, now: Moment, report: &Report, fleet: &Fleet) -> ReportOutcome {
         let known = fleet.members().get(&report.name).map_or(0, |member| member.incarnation);
         let heard = self.last.get(&report.name).map_or(0, |last| last.incarnation);
         if report.incarnation < known.max(heard) {
-            return Found { superseded: true, twin: false };
+            return ReportOutcome { superseded: true, duplicate_process: false };
         }
         let earlier = self.last.get(&report.name).filter(|last| last.incarnation == report.incarnation);
         let lease = self.terms.lease;
         let twin = match earlier {
-            Some(last) if last.process != report.process && now.since(last.at) <= lease => Some(now),
+            Some(last) if last.process != report.process_nonce && now.since(last.at) <= lease => Some(now),
             Some(last) => last.twin.filter(|at| now.since(*at) <= lease),
             None => None,
         };
-        let Report { incarnation, process, standing, version, settled, .. } = *report;
+        let Report {
+            incarnation,
+            process_nonce: process,
+            status: standing,
+            version,
+            settled_requests: settled,
+            ..
+        } = *report;
         // Danger: more than are kept would differ from what is agreed for ever.
-        let groups = report.groups.iter().take(GROUPS_MOST).cloned().collect();
-        let (holds, outs) = (report.holds.clone(), report.outs);
-        let last = Last {
+        let groups = report.groups.iter().take(MAX_GROUPS).cloned().collect();
+        let (holds, outs) = (report.endpoints_in_use.clone(), report.endpoints_known_at);
+        let last = LastReport {
             incarnation,
             process,
             at: now,
@@ -100,35 +107,36 @@
             settled,
             outs,
             holds,
-            runs: report.runs.clone(),
-            figures: report.figures,
-            at_endpoints: report.at.clone(),
-            open: report.open,
-            sent: report.sent,
-            lacks: report.lacks.clone(),
+            program_version: report.program_version.clone(),
+            request_counts: report.request_counts,
+            endpoint_counts: report.endpoint_counts.clone(),
+            open: report.open_requests,
+            drained_by_release: report.drained_by_release,
+            lacks: report.missing_endpoints.clone(),
         };
         self.last.insert(report.name.clone(), last);
-        Found { twin: twin.is_some(), superseded: false }
+        ReportOutcome { duplicate_process: twin.is_some(), superseded: false }
     }
 
     /// The version of the settings that each member which is heard has said to act on.
-    pub fn versions(&self, now: Moment) -> impl Iterator<Item = (&str, Version)> {
+    pub fn active_versions(&self, now: Moment) -> impl Iterator<Item = (&str, Version)> {
         let heard = self.last.iter().filter(move |(_, last)| now.since(last.at) <= self.terms.lease);
         heard.map(|(name, last)| (name.as_str(), last.version))
     }
 
     /// What a member that is heard says of itself, if it serves and is agreed on so.
-    pub fn serving(&self, now: Moment, fleet: &Fleet, name: &str) -> Option<&Last> {
-        let member = fleet.members().get(name).filter(|member| member.standing == Standing::Serving)?;
+    pub fn serving(&self, now: Moment, fleet: &Fleet, name: &str) -> Option<&LastReport> {
+        let member = fleet.members().get(name).filter(|member| member.status == MemberStatus::Serving)?;
         let last = self.last.get(name)?;
-        let serves = last.standing == Standing::Serving && last.incarnation == member.incarnation;
+        let serves = last.standing == MemberStatus::Serving && last.incarnation == member.incarnation;
         (serves && now.since(last.at) <= self.terms.lease).then_some(last)
     }
 
     /// Whether this process is drained and has no client and no req left.
-    pub fn is_empty(&self, now: Moment, name: &str, incarnation: u64) -> bool {
+    pub fn is_drained(&self, now: Moment, name: &str, incarnation: u64) -> bool {
         self.last.get(name).is_some_and(|last| {
-            let drained = matches!(last.standing, Standing::Drained | Standing::Leaving | Standing::Gone);
+            let drained =
+                matches!(last.standing, MemberStatus::Drained | MemberStatus::Leaving | MemberStatus::Gone);
             last.incarnation == incarnation
                 && drained
                 && last.open == 0
@@ -137,20 +145,20 @@
     }
 
     /// What each member has said last.
-    pub fn all(&self) -> impl Iterator<Item = (&String, &Last)> {
+    pub fn last_reports(&self) -> impl Iterator<Item = (&String, &LastReport)> {
         self.last.iter()
     }
 
     /// Which version each member that is heard says that it runs.
-    pub fn runs(&self, now: Moment) -> impl Iterator<Item = (&str, &str)> {
+    pub fn program_versions(&self, now: Moment) -> impl Iterator<Item = (&str, &str)> {
         let heard = self.last.iter().filter(move |(_, last)| now.since(last.at) <= self.terms.lease);
-        heard.map(|(name, last)| (name.as_str(), last.runs.as_str()))
+        heard.map(|(name, last)| (name.as_str(), last.program_version.as_str()))
     }
 
     /// Endpoints that more than half of the serving members look for and do not have as ready.
-    pub fn missing(&self) -> Vec<String> {
+    pub fn missing_endpoints(&self) -> Vec<String> {
         let mut counts: BTreeMap<&String, usize> = BTreeMap::new();
-        let serving = self.last.values().filter(|last| last.standing == Standing::Serving);
+        let serving = self.last.values().filter(|last| last.standing == MemberStatus::Serving);
         let all = serving.clone().count();
         serving.flat_map(|last| &last.lacks).for_each(|name| *counts.entry(name).or_default() += 1);
         counts.into_iter().filter(|(_, count)| *count * 2 > all).map(|(name, _)| name.clone()).collect()
@@ -158,16 +166,17 @@
 
     /// Who holds something at an endpoint that is out of service, or may: whoever has not said since that it holds nothing.
     /// One that is silent may hold until its lease is over and its longest deadline has passed, which `gone` is not under.
-    pub fn holders(&self, now: Moment, fleet: &Fleet, endpoint: &str) -> Vec<String> {
-        let (since, _) = fleet.endpoints_out();
-        let may_hold = |last: &Last| last.outs < since || last.holds.iter().any(|held| held == endpoint);
+    pub fn members_using(&self, now: Moment, fleet: &Fleet, endpoint: &str) -> Vec<String> {
+        let (since, _) = fleet.drained_endpoints();
+        let may_hold =
+            |last: &LastReport| last.outs < since || last.holds.iter().any(|held| held == endpoint);
         let may = fleet.members().iter().filter(|(name, member)| {
             let Some(last) = self.last.get(*name).filter(|last| last.incarnation == member.incarnation)
             else {
                 // Danger: a new leader has heard nobody, and takes nobody's word for given.
-                return member.standing != Standing::Gone || now.since(self.since) <= self.terms.gone;
+                return member.status != MemberStatus::Gone || now.since(self.since) <= self.terms.gone;
             };
-            let ended = member.standing == Standing::Gone && now.since(last.at) > self.terms.lease;
+            let ended = member.status == MemberStatus::Gone && now.since(last.at) > self.terms.lease;
             !ended && may_hold(last)
         });
         // Danger: who has just come is heard before it is agreed on.
@@ -192,9 +201,9 @@
             let silent = now.since(last.at);
             let standing = match last.standing {
                 // Danger: one that was told to leave and is silent since has ended, as it said that it would.
-                Standing::Leaving | Standing::Gone if silent > self.terms.lease => Standing::Gone,
-                _ if silent > self.terms.gone => Standing::Gone,
-                _ if silent > self.terms.lease => Standing::Silent,
+                MemberStatus::Leaving | MemberStatus::Gone if silent > self.terms.lease => MemberStatus::Gone,
+                _ if silent > self.terms.gone => MemberStatus::Gone,
+                _ if silent > self.terms.lease => MemberStatus::Silent,
                 standing => standing,
             };
             found.push((name.clone(), last.incarnation, standing, last.groups.clone()));
@@ -204,8 +213,8 @@
         for (name, member) in fleet.members() {
             let unheard = self.last.get(name).is_none_or(|last| last.incarnation < member.incarnation);
             if unheard && led > self.terms.lease {
-                let gone = led > self.terms.gone || member.standing == Standing::Leaving;
-                let standing = if gone { Standing::Gone } else { Standing::Silent };
+                let gone = led > self.terms.gone || member.status == MemberStatus::Leaving;
+                let standing = if gone { MemberStatus::Gone } else { MemberStatus::Silent };
                 found.push((name.clone(), member.incarnation, standing, member.groups.clone()));
             }
         }
@@ -213,31 +222,31 @@
         for (name, incarnation, standing, groups) in found {
             let agreed = fleet.members().get(&name);
             let same = agreed.is_some_and(|member| {
-                (member.incarnation, member.standing, &member.groups) == (incarnation, standing, &groups)
+                (member.incarnation, member.status, &member.groups) == (incarnation, standing, &groups)
             });
             // One that is gone stays so until it is heard.
-            let gone = agreed.is_some_and(|m| m.incarnation == incarnation && m.standing == Standing::Gone);
-            if same || gone && standing == Standing::Silent {
+            let gone = agreed.is_some_and(|m| m.incarnation == incarnation && m.status == MemberStatus::Gone);
+            if same || gone && standing == MemberStatus::Silent {
                 self.proposed.remove(&(name, false));
                 continue;
             }
-            let command = Command::Member { name: name.clone(), incarnation, standing, groups };
+            let command = Command::Member { name: name.clone(), incarnation, status: standing, groups };
             commands.extend(self.anew((name, false), command, now));
         }
         // Permission ends when its holder says so, and serves: never by time.
         let back = self.last.iter().filter_map(|(name, last)| {
             let member = fleet.members().get(name).filter(|member| member.incarnation == last.incarnation)?;
-            let serves = last.standing == Standing::Serving && now.since(last.at) <= self.terms.lease;
-            let ask = member.out.filter(|ask| serves && *ask <= last.settled)?;
-            Some(Command::Back { name: name.clone(), incarnation: last.incarnation, ask })
+            let serves = last.standing == MemberStatus::Serving && now.since(last.at) <= self.terms.lease;
+            let ask = member.drain_request.filter(|ask| serves && *ask <= last.settled)?;
+            Some(Command::ReturnMember { name: name.clone(), incarnation: last.incarnation, request: ask })
         });
         for command in back.collect::<Vec<_>>() {
-            let Command::Back { name, .. } = &command else { continue };
+            let Command::ReturnMember { name, .. } = &command else { continue };
             commands.extend(self.anew((name.clone(), true), command, now));
         }
         // What is agreed to be gone needs no memory.
         self.last.retain(|name, last| {
-            let gone = fleet.members().get(name).is_some_and(|m| m.standing == Standing::Gone);
+            let gone = fleet.members().get(name).is_some_and(|m| m.status == MemberStatus::Gone);
             !gone || now.since(last.at) <= self.terms.lease
         });
         commands
@@ -248,14 +257,21 @@
 mod tests {
     use super::*;
 
-    const TERMS: Terms = Terms { lease: Span::from_millis(1000), gone: Span::from_millis(5000) };
+    const TERMS: LivenessTimeouts =
+        LivenessTimeouts { lease: Span::from_millis(1000), gone: Span::from_millis(5000) };
 
     fn at(ms: u64) -> Moment {
         Moment::from_nanos(ms * 1_000_000)
     }
 
-    fn report(name: &str, incarnation: u64, process: u64, standing: Standing) -> Report {
-        Report { name: name.into(), incarnation, process, standing, ..Report::default() }
+    fn report(name: &str, incarnation: u64, process: u64, standing: MemberStatus) -> Report {
+        Report {
+            name: name.into(),
+            incarnation,
+            process_nonce: process,
+            status: standing,
+            ..Report::default()
+        }
     }
 
     fn apply(fleet: &mut Fleet, commands: &[Command]) {
@@ -266,8 +282,8 @@
 
     #[test]
     fn silence_is_told_after_a_lease_and_a_new_leader_waits_for_one_of_its_own() {
-        let (mut fleet, mut heard) = (Fleet::default(), Heard::new(at(0), TERMS));
-        heard.report(at(10), &report("a", 1, 1, Standing::Serving), &fleet);
+        let (mut fleet, mut heard) = (Fleet::default(), MemberTracker::new(at(0), TERMS));
+        heard.record_report(at(10), &report("a", 1, 1, MemberStatus::Serving), &fleet);
         let joins = heard.proposals(at(10), &fleet);
         assert_eq!(joins.len(), 1);
         // Proposed once while it is under way, and again when nothing came of it.
@@ -276,65 +292,74 @@
         assert_eq!(heard.proposals(at(1000), &fleet), []);
         let silent = heard.proposals(at(1020), &fleet);
         apply(&mut fleet, &silent);
-        assert_eq!(fleet.members()["a"].standing, Standing::Silent);
-        heard.report(at(1100), &report("a", 1, 1, Standing::Serving), &fleet);
+        assert_eq!(fleet.members()["a"].status, MemberStatus::Silent);
+        heard.record_report(at(1100), &report("a", 1, 1, MemberStatus::Serving), &fleet);
         let back = heard.proposals(at(1100), &fleet);
         apply(&mut fleet, &back);
-        assert_eq!(fleet.members()["a"].standing, Standing::Serving);
+        assert_eq!(fleet.members()["a"].status, MemberStatus::Serving);
         // Another leads, and has never heard it.
-        let mut heard = Heard::new(at(9000), TERMS);
+        let mut heard = MemberTracker::new(at(9000), TERMS);
         assert_eq!(heard.proposals(at(10_000), &fleet), []);
         let silent = heard.proposals(at(10_001), &fleet);
         apply(&mut fleet, &silent);
         let gone = heard.proposals(at(14_001), &fleet);
         apply(&mut fleet, &gone);
-        assert_eq!(fleet.members()["a"].standing, Standing::Gone);
+        assert_eq!(fleet.members()["a"].status, MemberStatus::Gone);
         assert_eq!(heard.proposals(at(20_000), &fleet), []);
     }
 
     #[test]
     fn who_is_heard_and_not_agreed_on_yet_may_hold_something() {
-        let (mut fleet, mut heard) = (Fleet::default(), Heard::new(at(0), TERMS));
-        fleet.apply(1, &Command::Endpoint { name: "e1".into(), out: true, anyway: None, missing: vec![] });
-        heard.report(at(10), &report("a", 1, 1, Standing::Joining), &fleet);
-        assert_eq!(heard.holders(at(20), &fleet, "e1"), ["a"]);
+        let (mut fleet, mut heard) = (Fleet::default(), MemberTracker::new(at(0), TERMS));
+        fleet.apply(1, &Command::Endpoint { name: "e1".into(), out: true, force: None, missing: vec![] });
+        heard.record_report(at(10), &report("a", 1, 1, MemberStatus::Joining), &fleet);
+        assert_eq!(heard.members_using(at(20), &fleet, "e1"), ["a"]);
     }
 
     #[test]
     fn a_member_of_more_groups_than_are_kept_is_proposed_once() {
-        let (mut fleet, mut heard) = (Fleet::default(), Heard::new(at(0), TERMS));
+        let (mut fleet, mut heard) = (Fleet::default(), MemberTracker::new(at(0), TERMS));
         let many = Report {
             groups: (0..20).map(|at| at.to_string()).collect(),
-            ..report("a", 1, 1, Standing::Serving)
+            ..report("a", 1, 1, MemberStatus::Serving)
         };
-        heard.report(at(10), &many, &fleet);
+        heard.record_report(at(10), &many, &fleet);
         let joins = heard.proposals(at(10), &fleet);
         apply(&mut fleet, &joins);
-        heard.report(at(5000), &many, &fleet);
+        heard.record_report(at(5000), &many, &fleet);
         assert_eq!((joins.len(), heard.proposals(at(5000), &fleet)), (1, vec![]));
     }
 
     #[test]
     fn one_that_said_it_leaves_is_gone_after_a_lease() {
-        let (mut fleet, mut heard) = (Fleet::default(), Heard::new(at(0), TERMS));
-        heard.report(at(0), &report("a", 1, 1, Standing::Leaving), &fleet);
+        let (mut fleet, mut heard) = (Fleet::default(), MemberTracker::new(at(0), TERMS));
+        heard.record_report(at(0), &report("a", 1, 1, MemberStatus::Leaving), &fleet);
         let leaves = heard.proposals(at(1), &fleet);
         apply(&mut fleet, &leaves);
         let gone = heard.proposals(at(1002), &fleet);
         assert_eq!(
             gone,
-            [Command::Member { name: "a".into(), incarnation: 1, standing: Standing::Gone, groups: vec![] }]
+            [Command::Member {
+                name: "a".into(),
+                incarnation: 1,
+                status: MemberStatus::Gone,
+                groups: vec![]
+            }]
         );
     }
 
     #[test]
     fn two_processes_of_one_name_are_told_apart_or_both_told() {
-        let (mut fleet, mut heard) = (Fleet::default(), Heard::new(at(0), TERMS));
+        let (mut fleet, mut heard) = (Fleet::default(), MemberTracker::new(at(0), TERMS));
         let mut say = |ms, incarnation, process| {
-            let found = heard.report(at(ms), &report("a", incarnation, process, Standing::Serving), &fleet);
+            let found = heard.record_report(
+                at(ms),
+                &report("a", incarnation, process, MemberStatus::Serving),
+                &fleet,
+            );
             let commands = heard.proposals(at(ms), &fleet);
             apply(&mut fleet, &commands);
-            (found.twin, found.superseded)
+            (found.duplicate_process, found.superseded)
         };
         assert_eq!(say(0, 5, 1), (false, false));
         assert_eq!(say(100, 5, 2), (true, false));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,6 +19,6 @@
 pub mod talk;
 pub mod version;
 
-pub use members::Standing;
-pub use state::{Answer, Command, Fleet, Refusal, What, Write, WriteId};
+pub use members::MemberStatus;
+pub use state::{Answer, Command, Fleet, Refusal, SettingsChange, Write, WriteId};
 pub use version::Version;
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -3,13 +3,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Bytes that a name, a person or a reason may have.
-pub const TEXT_MOST: usize = 256;
+pub const MAX_TEXT_BYTES: usize = 256;
 /// Groups that a member may belong to: its zone, tier and pool, and some.
-pub const GROUPS_MOST: usize = 8;
+pub const MAX_GROUPS: usize = 8;
 
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberStatus {
     Joining,
     Serving,
     /// It turns clients away by an operator's word, and may take them again.
@@ -21,15 +21,15 @@
     Gone,
 }
 
-impl Standing {
+impl MemberStatus {
     pub fn name(self) -> &'static str {
         match self {
-            Standing::Joining => "joining",
-            Standing::Serving => "serving",
-            Standing::Drained => "drained",
-            Standing::Leaving => "leaving",
-            Standing::Silent => "silent",
-            Standing::Gone => "gone",
+            MemberStatus::Joining => "joining",
+            MemberStatus::Serving => "serving",
+            MemberStatus::Drained => "drained",
+            MemberStatus::Leaving => "leaving",
+            MemberStatus::Silent => "silent",
+            MemberStatus::Gone => "gone",
         }
     }
 }
@@ -37,10 +37,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     pub incarnation: u64,
-    pub standing: Standing,
+    pub status: MemberStatus,
     pub groups: Vec<String>,
     /// The ask by which it may be out.
-    pub out: Option<u64>,
+    pub drain_request: Option<u64>,
     /// A release has sent it out.
-    pub sent: bool,
+    pub drained_by_release: bool,
 }
--- a/crates/fleet/src/scopes.rs
+++ b/crates/fleet/src/scopes.rs
@@ -9,16 +9,16 @@
 use serde_json::{Map, Value};
 use twox_hash::XxHash32;
 
-use crate::members::TEXT_MOST;
+use crate::members::MAX_TEXT_BYTES;
 use crate::version::Version;
 
 /// Versions of one scope that are kept for a look back and a way back.
-pub const SCOPE_HISTORY_MOST: usize = 16;
+pub const MAX_SCOPE_HISTORY: usize = 16;
 /// Scopes at the most: several times the services, zones and regions of the largest fleet, and some single members.
-pub const SCOPES_MOST: usize = 1024;
+pub const MAX_SCOPES: usize = 1024;
 /// Bytes of all that is put for scopes together, their histories too: a snapshot goes in one frame (`talk::FRAME_MOST`, 32 MiB), half
 /// of which may hold the versions of what is put for all.
-pub const SCOPED_BYTES_MOST: usize = 12 << 20;
+pub const MAX_SCOPED_BYTES: usize = 12 << 20;
 
 /// What a member belongs to, as its own file says.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -34,15 +34,15 @@
     /// Which of the names is none.
     pub fn check(&self) -> Result<(), String> {
         for (key, name) in [("service", &self.service), ("zone", &self.zone), ("region", &self.region)] {
-            if name.as_ref().is_some_and(|name| name.is_empty() || name.len() > TEXT_MOST) {
-                return Err(format!("{key}: expected a name of {TEXT_MOST} bytes at the most"));
+            if name.as_ref().is_some_and(|name| name.is_empty() || name.len() > MAX_TEXT_BYTES) {
+                return Err(format!("{key}: expected a name of {MAX_TEXT_BYTES} bytes at the most"));
             }
         }
         Ok(())
     }
 
     /// By which evidence is kept apart: nought for none.
-    pub fn service_mark(&self) -> u32 {
+    pub fn service_hash(&self) -> u32 {
         self.service.as_ref().map_or(0, |name| XxHash32::oneshot(0, name.as_bytes()).max(1))
     }
 }
@@ -59,7 +59,7 @@
 
 impl Scope {
     /// Whether a member of this name and locality belongs to it.
-    pub fn holds(&self, name: &str, locality: &Locality) -> bool {
+    pub fn contains(&self, name: &str, locality: &Locality) -> bool {
         let is = |own: &Option<String>, of: &String| own.as_ref() == Some(of);
         match self {
             Scope::All => true,
@@ -92,8 +92,8 @@
     /// # Errors
     /// What is wrong with its name.
     pub fn check(&self) -> Result<(), String> {
-        if *self != Scope::All && (self.name().is_empty() || self.name().len() > TEXT_MOST) {
-            return Err(format!("expected a name of {TEXT_MOST} bytes at the most in '{self}'"));
+        if *self != Scope::All && (self.name().is_empty() || self.name().len() > MAX_TEXT_BYTES) {
+            return Err(format!("expected a name of {MAX_TEXT_BYTES} bytes at the most in '{self}'"));
         }
         Ok(())
     }
@@ -131,37 +131,40 @@
 
 /// A version of what is put for one scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Scoped {
+pub struct ScopedSettings {
     pub version: Version,
     /// As JSON text; none where the scope has been taken away.
     pub settings: Option<String>,
-    pub by: String,
-    pub why: String,
+    #[serde(rename = "by")]
+    pub author: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// Of the operator's clock: to be shown, and for nothing else.
     pub at_ms: u64,
     /// The version that it goes back to.
-    pub back_to: Option<Version>,
+    #[serde(rename = "back_to")]
+    pub rollback_to: Option<Version>,
 }
 
-impl Scoped {
+impl ScopedSettings {
     fn bytes(&self) -> usize {
-        self.settings.as_ref().map_or(0, String::len) + self.by.len() + self.why.len()
+        self.settings.as_ref().map_or(0, String::len) + self.author.len() + self.reason.len()
     }
 }
 
 /// Why nothing is put for a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Full {
+pub enum ScopeLimit {
     Scopes,
     Bytes,
 }
 
-impl fmt::Display for Full {
+impl fmt::Display for ScopeLimit {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Full::Scopes => write!(f, "there are {SCOPES_MOST} scopes with settings: remove one first"),
-            Full::Bytes => {
-                write!(f, "the settings of all scopes would have more than {SCOPED_BYTES_MOST} bytes")
+            ScopeLimit::Scopes => write!(f, "there are {MAX_SCOPES} scopes with settings: remove one first"),
+            ScopeLimit::Bytes => {
+                write!(f, "the settings of all scopes would have more than {MAX_SCOPED_BYTES} bytes")
             }
         }
     }
@@ -170,7 +173,7 @@
 /// What is put for scopes other than `All`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Scopes {
-    of: BTreeMap<Scope, VecDeque<Scoped>>,
+    of: BTreeMap<Scope, VecDeque<ScopedSettings>>,
     /// As of which version all are told anew, whatever concerns them: a state that was put back, or a scope of which nothing
     /// is kept any more.
     floor: Version,
@@ -183,22 +186,22 @@
     }
 
     /// Of a scope, what was put last.
-    pub fn last(&self, scope: &Scope) -> Option<&Scoped> {
+    pub fn latest(&self, scope: &Scope) -> Option<&ScopedSettings> {
         self.of.get(scope)?.back()
     }
 
     /// The versions of a scope that are kept, the oldest first.
-    pub fn history(&self, scope: &Scope) -> impl Iterator<Item = &Scoped> {
+    pub fn history(&self, scope: &Scope) -> impl Iterator<Item = &ScopedSettings> {
         self.of.get(scope).into_iter().flatten()
     }
 
     /// All scopes for which something was put, and what was put last.
-    pub fn iter(&self) -> impl Iterator<Item = (&Scope, &Scoped)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Scope, &ScopedSettings)> {
         self.of.iter().filter_map(|(scope, history)| Some((scope, history.back()?)))
     }
 
     fn bytes(&self) -> usize {
-        self.of.values().flatten().map(Scoped::bytes).sum()
+        self.of.values().flatten().map(ScopedSettings::bytes).sum()
     }
 
     /// Takes what is put for a scope. Where there is no room for all, scopes that were removed and the oldest versions of all
@@ -206,27 +209,27 @@
     ///
     /// # Errors
     /// What there is no room for; nothing has changed then.
-    pub fn put(&mut self, scope: &Scope, scoped: Scoped) -> Result<(), Full> {
+    pub fn put(&mut self, scope: &Scope, scoped: ScopedSettings) -> Result<(), ScopeLimit> {
         // Danger: were versions that hold no more counted here, removing a scope would make no room.
         let others = self.iter().filter(|(other, _)| *other != scope);
-        if others.map(|(_, last)| last.bytes()).sum::<usize>() + scoped.bytes() > SCOPED_BYTES_MOST {
-            return Err(Full::Bytes);
+        if others.map(|(_, last)| last.bytes()).sum::<usize>() + scoped.bytes() > MAX_SCOPED_BYTES {
+            return Err(ScopeLimit::Bytes);
         }
-        if !self.of.contains_key(scope) && self.of.len() >= SCOPES_MOST {
+        if !self.of.contains_key(scope) && self.of.len() >= MAX_SCOPES {
             let removed = self.iter().filter(|(_, last)| last.settings.is_none());
             let oldest = removed.min_by_key(|(_, last)| last.version);
             let (gone, version) =
-                oldest.map(|(scope, last)| (scope.clone(), last.version)).ok_or(Full::Scopes)?;
+                oldest.map(|(scope, last)| (scope.clone(), last.version)).ok_or(ScopeLimit::Scopes)?;
             // Danger: who was away when that scope was removed would never hear of it.
             self.of.remove(&gone);
             self.floor = self.floor.max(version);
         }
         let history = self.of.entry(scope.clone()).or_default();
         history.push_back(scoped);
-        if history.len() > SCOPE_HISTORY_MOST {
+        if history.len() > MAX_SCOPE_HISTORY {
             history.pop_front();
         }
-        let mut over = self.bytes().saturating_sub(SCOPED_BYTES_MOST);
+        let mut over = self.bytes().saturating_sub(MAX_SCOPED_BYTES);
         while over > 0 {
             let histories = self.of.values_mut().filter(|history| history.len() > 1);
             let oldest = histories.min_by_key(|history| history.front().map(|scoped| scoped.version));
@@ -237,13 +240,13 @@
     }
 
     /// Everybody is told anew as of this version.
-    pub fn tell_anew(&mut self, version: Version) {
+    pub fn raise_floor(&mut self, version: Version) {
         self.floor = self.floor.max(version);
     }
 
     /// The version of what holds for a member, as `merged` has it, without its text.
     pub fn version_for(&self, all: Option<Version>, name: &str, locality: &Locality) -> Option<Version> {
-        let own = Scope::of(name, locality).filter_map(|scope| Some(self.last(&scope)?.version));
+        let own = Scope::of(name, locality).filter_map(|scope| Some(self.latest(&scope)?.version));
         // Danger: what concerned a member may be gone from here, and nothing else be put that does.
         let floor = (self.floor != Version::default()).then_some(self.floor);
         own.chain(all).chain(floor).max()
@@ -257,8 +260,8 @@
         name: &str,
         locality: &Locality,
     ) -> Option<(Version, String)> {
-        let own = Scope::of(name, locality).filter_map(|scope| self.last(&scope));
-        let own: Vec<&Scoped> = own.collect();
+        let own = Scope::of(name, locality).filter_map(|scope| self.latest(&scope));
+        let own: Vec<&ScopedSettings> = own.collect();
         let texts = own.iter().filter_map(|scoped| scoped.settings.as_deref());
         let texts: Vec<&str> = all.iter().map(|(_, text)| *text).chain(texts).collect();
         let version = self.version_for(all.map(|(version, _)| version), name, locality)?;
@@ -272,7 +275,7 @@
         members: impl Iterator<Item = (&'a str, &'a Locality)>,
     ) -> BTreeMap<Vec<Scope>, (&'a str, &'a Locality)> {
         let ways = members.map(|(name, locality)| {
-            let there = |scope: &Scope| self.last(scope).is_some_and(|last| last.settings.is_some());
+            let there = |scope: &Scope| self.latest(scope).is_some_and(|last| last.settings.is_some());
             (Scope::of(name, locality).filter(there).collect(), (name, locality))
         });
         ways.collect()
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -7,11 +7,11 @@
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-use crate::budgets::{Budget, Budgets, Change, Stamp};
-use crate::members::{GROUPS_MOST, Member, Standing, TEXT_MOST};
-use crate::outs::{self, Group, NotNow};
-use crate::releases::{Around, Declined, Order, Releases};
-use crate::scopes::{Full, Locality, Scope, Scoped, Scopes};
+use crate::budgets::{Budget, Budgets, LogPosition, ShareChange};
+use crate::members::{MAX_GROUPS, MAX_TEXT_BYTES, Member, MemberStatus};
+use crate::outs::{self, Group, OutLimitReached};
+use crate::releases::{FleetContext, ReleaseError, ReleaseUpdate, Releases};
+use crate::scopes::{Locality, Scope, ScopeLimit, ScopedSettings, Scopes};
 use crate::version::Version;
 
 /// Versions of the settings that are kept for a look back and a way back: some weeks of a busy fleet.
@@ -19,7 +19,7 @@
 /// Writes whose answers are kept for one that is said again: what operators may have under way at once, many times over.
 const DONE_MOST: usize = 256;
 /// Bytes that settings may have: a frame and an entry must hold them.
-pub const SETTINGS_MOST: usize = 512 * 1024;
+pub const MAX_SETTINGS_BYTES: usize = 512 * 1024;
 /// Endpoints that may be out of service at once: each is told to each member.
 const ENDPOINTS_MOST: usize = 1000;
 /// Members that are kept at the most, the gone among them: several times the largest fleet.
@@ -30,11 +30,11 @@
 pub struct WriteId(pub u64, pub u64);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum SettingsChange {
     /// These settings, as JSON text, with these budgets and groups.
     Put(String, Vec<Budget>, Vec<Group>),
     /// The settings of an earlier version, as a new one.
-    Back(Version),
+    Rollback(Version),
     /// What was put for a scope holds no more.
     Remove,
 }
@@ -44,12 +44,12 @@
 pub struct Write {
     pub id: WriteId,
     /// Only if this is the version that holds.
-    pub expects: Option<Version>,
-    pub by: String,
-    pub why: String,
+    pub expected_version: Option<Version>,
+    pub author: String,
+    pub reason: String,
     /// Of the operator's clock: to be shown, and for nothing else.
     pub at_ms: u64,
-    pub what: What,
+    pub change: SettingsChange,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -59,24 +59,24 @@
     Member {
         name: String,
         incarnation: u64,
-        standing: Standing,
+        status: MemberStatus,
         /// The groups that it belongs to, as its own file says.
         groups: Vec<String>,
     },
     /// Parts of budgets.
-    Divide(Change),
+    SetShares(ShareChange),
     /// May this member go out? A reason is one for going whatever is out already.
-    Out {
+    DrainMember {
         name: String,
         incarnation: u64,
-        ask: u64,
-        anyway: Option<String>,
+        request: u64,
+        force: Option<String>,
     },
     /// It is back, or never went, from all that it asked up to here.
-    Back {
+    ReturnMember {
         name: String,
         incarnation: u64,
-        ask: u64,
+        request: u64,
     },
     /// This member never comes back: its groups are smaller from here on.
     Forget(String),
@@ -85,49 +85,51 @@
     Endpoint {
         name: String,
         out: bool,
-        anyway: Option<String>,
+        force: Option<String>,
         missing: Vec<String>,
     },
-    Release(Order),
+    Release(ReleaseUpdate),
     /// Settings for a part of the fleet. Danger: a replica of version 2 passes it over, so none is proposed while one votes.
-    Scoped(Scope, Write),
+    WriteScoped(Scope, Write),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
     /// Another version holds than was expected.
-    Holds(Version),
+    VersionMismatch(Version),
     /// This version is not known, or not kept any more.
-    Unknown(Version),
+    UnknownVersion(Version),
     /// A text is too long, or there are too many members.
-    TooMuch,
+    LimitExceeded,
     /// A later incarnation is known.
     Superseded(u64),
     /// No such member, or it serves still.
     NotGone,
-    NotNow(NotNow),
-    Release(Declined),
-    Full(Full),
+    OutLimitReached(OutLimitReached),
+    Release(ReleaseError),
+    ScopeLimit(ScopeLimit),
     /// Budgets and groups are stated for all; and what is for all is put anew, not removed.
-    OnlyForAll,
-    NeverForAll,
+    GlobalOnly,
+    GlobalNotRemovable,
     /// Nothing is put for this scope that could be removed.
-    NothingPut,
+    NothingToRemove,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refusal::Holds(version) => write!(f, "version {version} holds, another was expected"),
-            Refusal::Unknown(version) => write!(f, "version {version} is not known, or not kept any more"),
-            Refusal::TooMuch => write!(f, "a text is too long, or there are too many members"),
+            Refusal::VersionMismatch(version) => write!(f, "version {version} holds, another was expected"),
+            Refusal::UnknownVersion(version) => {
+                write!(f, "version {version} is not known, or not kept any more")
+            }
+            Refusal::LimitExceeded => write!(f, "a text is too long, or there are too many members"),
             Refusal::NotGone => write!(f, "no such member, or it is there still"),
-            Refusal::NotNow(why) => write!(f, "{why}"),
+            Refusal::OutLimitReached(why) => write!(f, "{why}"),
             Refusal::Release(why) => write!(f, "{why}"),
-            Refusal::Full(why) => write!(f, "{why}"),
-            Refusal::OnlyForAll => write!(f, "budgets and groups are put for all, not for a scope"),
-            Refusal::NeverForAll => write!(f, "what is put for all is put anew, not removed"),
-            Refusal::NothingPut => write!(f, "nothing is put for this scope"),
+            Refusal::ScopeLimit(why) => write!(f, "{why}"),
+            Refusal::GlobalOnly => write!(f, "budgets and groups are put for all, not for a scope"),
+            Refusal::GlobalNotRemovable => write!(f, "what is put for all is put anew, not removed"),
+            Refusal::NothingToRemove => write!(f, "nothing is put for this scope"),
             Refusal::Superseded(incarnation) => write!(f, "incarnation {incarnation} has followed this one"),
         }
     }
@@ -143,23 +145,26 @@
 
 /// A version of the settings, and how it came.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Written {
+pub struct SettingsVersion {
     pub version: Version,
     pub settings: String,
     pub budgets: Vec<Budget>,
     pub groups: Vec<Group>,
-    pub by: String,
-    pub why: String,
+    #[serde(rename = "by")]
+    pub author: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     pub at_ms: u64,
     /// The version that it goes back to.
-    pub back_to: Option<Version>,
+    #[serde(rename = "back_to")]
+    pub rollback_to: Option<Version>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
     applied: Index,
     version: Version,
-    history: VecDeque<Written>,
+    history: VecDeque<SettingsVersion>,
     done: VecDeque<(WriteId, Answer)>,
     members: BTreeMap<String, Member>,
     budgets: Budgets,
@@ -183,12 +188,12 @@
     }
 
     /// The settings that hold, if any were ever put.
-    pub fn settings(&self) -> Option<&Written> {
+    pub fn settings(&self) -> Option<&SettingsVersion> {
         self.history.back()
     }
 
     /// The versions that are kept, the oldest first.
-    pub fn history(&self) -> impl Iterator<Item = &Written> {
+    pub fn history(&self) -> impl Iterator<Item = &SettingsVersion> {
         self.history.iter()
     }
 
@@ -197,8 +202,8 @@
     }
 
     /// Endpoints that are out of service, as of when.
-    pub fn endpoints_out(&self) -> (Stamp, &BTreeSet<String>) {
-        (Stamp { generation: self.version.generation, index: self.endpoints_at }, &self.endpoints)
+    pub fn drained_endpoints(&self) -> (LogPosition, &BTreeSet<String>) {
+        (LogPosition { generation: self.version.generation, index: self.endpoints_at }, &self.endpoints)
     }
 
     /// The groups that the settings name.
@@ -207,14 +212,14 @@
     }
 
     /// The endpoints that groups name.
-    pub fn looked_for(&self) -> impl Iterator<Item = &String> {
+    pub fn watched_endpoints(&self) -> impl Iterator<Item = &String> {
         self.groups().iter().flat_map(|group| &group.endpoints)
     }
 
     /// The endpoints that members are to look for, each once, and the mark by which a list of them is known: 0 for
     /// none.
-    pub fn looks(&self) -> (u64, Vec<String>) {
-        let names: BTreeSet<&String> = self.looked_for().collect();
+    pub fn watch_list(&self) -> (u64, Vec<String>) {
+        let names: BTreeSet<&String> = self.watched_endpoints().collect();
         let bytes = postcard::to_stdvec(&names).expect("names have no form that cannot be written");
         let mark = if names.is_empty() { 0 } else { XxHash64::oneshot(0, &bytes) };
         (mark, names.into_iter().cloned().collect())
@@ -229,16 +234,16 @@
     }
 
     /// The version of what is put for a scope.
-    pub fn version_of(&self, scope: &Scope) -> Version {
+    pub fn scope_version(&self, scope: &Scope) -> Version {
         let last = match scope {
             Scope::All => self.history.back().map(|written| written.version),
-            _ => self.scopes.last(scope).map(|scoped| scoped.version),
+            _ => self.scopes.latest(scope).map(|scoped| scoped.version),
         };
         last.unwrap_or(Version { generation: self.version.generation, number: 0 })
     }
 
     /// The settings that hold for a member, and their version, if any were ever put that concern it.
-    pub fn settings_of(&self, name: &str, locality: &Locality) -> Option<(Version, String)> {
+    pub fn settings_for(&self, name: &str, locality: &Locality) -> Option<(Version, String)> {
         let all = self.settings().map(|written| (written.version, written.settings.as_str()));
         self.scopes.merged(all, name, locality)
     }
@@ -253,12 +258,12 @@
     }
 
     /// What became of a write that was said before, if that is known still.
-    pub fn done(&self, id: WriteId) -> Option<&Answer> {
+    pub fn write_answer(&self, id: WriteId) -> Option<&Answer> {
         self.done.iter().find(|(done, _)| *done == id).map(|(_, answer)| answer)
     }
 
     /// Passes over an entry that holds no command.
-    pub fn pass(&mut self, index: Index) {
+    pub fn skip_entry(&mut self, index: Index) {
         self.applied = index;
     }
 
@@ -267,26 +272,26 @@
         self.applied = index;
         match command {
             Command::Write(write) => self.once(write, |fleet| fleet.write(write)),
-            Command::Scoped(scope, write) => self.once(write, |fleet| fleet.scoped(scope, write)),
-            Command::Member { name, incarnation, standing, groups } => {
+            Command::WriteScoped(scope, write) => self.once(write, |fleet| fleet.scoped(scope, write)),
+            Command::Member { name, incarnation, status: standing, groups } => {
                 self.stands(name, *incarnation, *standing, groups)
             }
-            Command::Out { name, incarnation, ask, anyway } => {
+            Command::DrainMember { name, incarnation, request: ask, force: anyway } => {
                 self.out(name, *incarnation, *ask, anyway.is_some())
             }
-            Command::Back { name, incarnation, ask } => {
+            Command::ReturnMember { name, incarnation, request: ask } => {
                 if let Some(member) =
                     self.members.get_mut(name).filter(|member| member.incarnation == *incarnation)
                 {
-                    member.out = member.out.filter(|out| out > ask);
+                    member.drain_request = member.drain_request.filter(|out| out > ask);
                 }
                 Answer::Done
             }
-            Command::Endpoint { name, out, anyway, missing } => {
-                let may = outs::endpoint_may_go(self.groups(), &self.endpoints, missing, name);
+            Command::Endpoint { name, out, force: anyway, missing } => {
+                let may = outs::check_endpoint_out(self.groups(), &self.endpoints, missing, name);
                 match may {
                     Err(why) if *out && anyway.is_none() && !self.endpoints.contains(name) => {
-                        Answer::Refused(Refusal::NotNow(why))
+                        Answer::Refused(Refusal::OutLimitReached(why))
                     }
                     _ => self.endpoint(index, name, *out),
                 }
@@ -294,7 +299,8 @@
             Command::Release(order) => {
                 let Fleet { history, members, endpoints, endpoints_at, releases, .. } = self;
                 let groups = history.back().map_or(&[][..], |written| &written.groups);
-                let mut around = Around { groups, members, endpoints, endpoints_at };
+                let mut around =
+                    FleetContext { groups, members, endpoints, endpoints_changed_at: endpoints_at };
                 match releases.apply(index, order, &mut around) {
                     Ok(()) => Answer::Done,
                     Err(why) => Answer::Refused(Refusal::Release(why)),
@@ -304,14 +310,14 @@
                 let there = self
                     .members
                     .get(name)
-                    .is_some_and(|m| matches!(m.standing, Standing::Silent | Standing::Gone));
+                    .is_some_and(|m| matches!(m.status, MemberStatus::Silent | MemberStatus::Gone));
                 if !there {
                     return Answer::Refused(Refusal::NotGone);
                 }
                 self.members.remove(name);
                 Answer::Done
             }
-            Command::Divide(change) => {
+            Command::SetShares(change) => {
                 self.budgets.apply(index, change);
                 Answer::Done
             }
@@ -320,7 +326,7 @@
 
     /// A write that is said again has the first one's answer, and no other effect.
     fn once(&mut self, write: &Write, apply: impl FnOnce(&mut Fleet) -> Answer) -> Answer {
-        if let Some(answer) = self.done(write.id) {
+        if let Some(answer) = self.write_answer(write.id) {
             return answer.clone();
         }
         let answer = apply(self);
@@ -337,69 +343,85 @@
         if *scope == Scope::All {
             return self.write(write);
         }
-        let holds = self.version_of(scope);
-        if write.expects.is_some_and(|expected| expected != holds) {
-            return Answer::Refused(Refusal::Holds(holds));
+        let holds = self.scope_version(scope);
+        if write.expected_version.is_some_and(|expected| expected != holds) {
+            return Answer::Refused(Refusal::VersionMismatch(holds));
         }
-        let (settings, back_to) = match &write.what {
-            What::Put(_, budgets, groups) if !(budgets.is_empty() && groups.is_empty()) => {
-                return Answer::Refused(Refusal::OnlyForAll);
+        let (settings, back_to) = match &write.change {
+            SettingsChange::Put(_, budgets, groups) if !(budgets.is_empty() && groups.is_empty()) => {
+                return Answer::Refused(Refusal::GlobalOnly);
             }
-            What::Put(settings, ..) => (Some(settings.clone()), None),
-            What::Back(version) => {
+            SettingsChange::Put(settings, ..) => (Some(settings.clone()), None),
+            SettingsChange::Rollback(version) => {
                 match self.scopes.history(scope).find(|scoped| scoped.version == *version) {
                     Some(scoped) => (scoped.settings.clone(), Some(*version)),
-                    None => return Answer::Refused(Refusal::Unknown(*version)),
+                    None => return Answer::Refused(Refusal::UnknownVersion(*version)),
                 }
             }
-            What::Remove if self.scopes.last(scope).is_none_or(|last| last.settings.is_none()) => {
-                return Answer::Refused(Refusal::NothingPut);
+            SettingsChange::Remove
+                if self.scopes.latest(scope).is_none_or(|last| last.settings.is_none()) =>
+            {
+                return Answer::Refused(Refusal::NothingToRemove);
             }
-            What::Remove => (None, None),
+            SettingsChange::Remove => (None, None),
         };
-        let long = settings.as_ref().is_some_and(|settings| settings.len() > SETTINGS_MOST);
-        if long || scope.check().is_err() || write.by.len() > TEXT_MOST || write.why.len() > TEXT_MOST {
-            return Answer::Refused(Refusal::TooMuch);
+        let long = settings.as_ref().is_some_and(|settings| settings.len() > MAX_SETTINGS_BYTES);
+        if long
+            || scope.check().is_err()
+            || write.author.len() > MAX_TEXT_BYTES
+            || write.reason.len() > MAX_TEXT_BYTES
+        {
+            return Answer::Refused(Refusal::LimitExceeded);
         }
         let version = Version { number: self.version.number + 1, ..self.version };
-        let (by, why, at_ms) = (write.by.clone(), write.why.clone(), write.at_ms);
-        match self.scopes.put(scope, Scoped { version, settings, by, why, at_ms, back_to }) {
+        let (by, why, at_ms) = (write.author.clone(), write.reason.clone(), write.at_ms);
+        match self.scopes.put(
+            scope,
+            ScopedSettings { version, settings, author: by, reason: why, at_ms, rollback_to: back_to },
+        ) {
             Ok(()) => {
                 self.version = version;
                 Answer::Committed(version)
             }
-            Err(full) => Answer::Refused(Refusal::Full(full)),
+            Err(full) => Answer::Refused(Refusal::ScopeLimit(full)),
         }
     }
 
     fn write(&mut self, write: &Write) -> Answer {
-        let holds = self.version_of(&Scope::All);
-        if write.expects.is_some_and(|expected| expected != holds) {
-            return Answer::Refused(Refusal::Holds(holds));
+        let holds = self.scope_version(&Scope::All);
+        if write.expected_version.is_some_and(|expected| expected != holds) {
+            return Answer::Refused(Refusal::VersionMismatch(holds));
         }
-        let (settings, budgets, groups, back_to) = match &write.what {
-            What::Put(settings, budgets, groups) => (settings.clone(), budgets.clone(), groups.clone(), None),
-            What::Back(version) => match self.history.iter().find(|written| written.version == *version) {
-                Some(w) => (w.settings.clone(), w.budgets.clone(), w.groups.clone(), Some(*version)),
-                None => return Answer::Refused(Refusal::Unknown(*version)),
-            },
-            What::Remove => return Answer::Refused(Refusal::NeverForAll),
+        let (settings, budgets, groups, back_to) = match &write.change {
+            SettingsChange::Put(settings, budgets, groups) => {
+                (settings.clone(), budgets.clone(), groups.clone(), None)
+            }
+            SettingsChange::Rollback(version) => {
+                match self.history.iter().find(|written| written.version == *version) {
+                    Some(w) => (w.settings.clone(), w.budgets.clone(), w.groups.clone(), Some(*version)),
+                    None => return Answer::Refused(Refusal::UnknownVersion(*version)),
+                }
+            }
+            SettingsChange::Remove => return Answer::Refused(Refusal::GlobalNotRemovable),
         };
-        if settings.len() > SETTINGS_MOST || write.by.len() > TEXT_MOST || write.why.len() > TEXT_MOST {
-            return Answer::Refused(Refusal::TooMuch);
+        if settings.len() > MAX_SETTINGS_BYTES
+            || write.author.len() > MAX_TEXT_BYTES
+            || write.reason.len() > MAX_TEXT_BYTES
+        {
+            return Answer::Refused(Refusal::LimitExceeded);
         }
         self.version.number += 1;
-        let (version, by, why) = (self.version, write.by.clone(), write.why.clone());
-        self.budgets.state(&budgets);
-        self.history.push_back(Written {
+        let (version, by, why) = (self.version, write.author.clone(), write.reason.clone());
+        self.budgets.configure(&budgets);
+        self.history.push_back(SettingsVersion {
             version,
             settings,
             budgets,
             groups,
-            by,
-            why,
+            author: by,
+            reason: why,
             at_ms: write.at_ms,
-            back_to,
+            rollback_to: back_to,
         });
         if self.history.len() > HISTORY_MOST {
             self.history.pop_front();
@@ -408,8 +430,8 @@
     }
 
     fn endpoint(&mut self, index: Index, name: &str, out: bool) -> Answer {
-        if name.is_empty() || name.len() > TEXT_MOST || out && self.endpoints.len() >= ENDPOINTS_MOST {
-            return Answer::Refused(Refusal::TooMuch);
+        if name.is_empty() || name.len() > MAX_TEXT_BYTES || out && self.endpoints.len() >= ENDPOINTS_MOST {
+            return Answer::Refused(Refusal::LimitExceeded);
         }
         let changed = if out { self.endpoints.insert(name.to_string()) } else { self.endpoints.remove(name) };
         if changed {
@@ -422,7 +444,7 @@
     /// asked for.
     fn out(&mut self, name: &str, incarnation: u64, ask: u64, anyway: bool) -> Answer {
         let groups = self.history.back().map_or(&[][..], |written| &written.groups);
-        let may = outs::may_go(groups, &self.members, name);
+        let may = outs::check_member_out(groups, &self.members, name);
         let Some(member) = self.members.get_mut(name).filter(|member| member.incarnation == incarnation)
         else {
             return Answer::Refused(Refusal::NotGone);
@@ -430,50 +452,56 @@
         match may {
             // Danger: a permission that its holder gave up, as no answer came, must not send it out when it asks anew; who is
             // out by one does not ask.
-            Err(why) if !anyway && member.out != Some(ask) => Answer::Refused(Refusal::NotNow(why)),
+            Err(why) if !anyway && member.drain_request != Some(ask) => {
+                Answer::Refused(Refusal::OutLimitReached(why))
+            }
             _ => {
-                member.out = member.out.max(Some(ask));
+                member.drain_request = member.drain_request.max(Some(ask));
                 Answer::Done
             }
         }
     }
 
-    fn stands(&mut self, name: &str, incarnation: u64, standing: Standing, groups: &[String]) -> Answer {
+    fn stands(&mut self, name: &str, incarnation: u64, standing: MemberStatus, groups: &[String]) -> Answer {
         if let Some(member) = self.members.get(name)
             && member.incarnation > incarnation
         {
             return Answer::Refused(Refusal::Superseded(member.incarnation));
         }
-        if name.is_empty() || name.len() > TEXT_MOST {
-            return Answer::Refused(Refusal::TooMuch);
+        if name.is_empty() || name.len() > MAX_TEXT_BYTES {
+            return Answer::Refused(Refusal::LimitExceeded);
         }
         if self.members.len() >= MEMBERS_MOST && !self.members.contains_key(name) {
             // Those that are gone make room, the earliest incarnation first.
-            let gone = self.members.iter().filter(|(_, member)| member.standing == Standing::Gone);
+            let gone = self.members.iter().filter(|(_, member)| member.status == MemberStatus::Gone);
             let Some(oldest) =
                 gone.min_by_key(|(_, member)| member.incarnation).map(|(name, _)| name.clone())
             else {
-                return Answer::Refused(Refusal::TooMuch);
+                return Answer::Refused(Refusal::LimitExceeded);
             };
             self.members.remove(&oldest);
         }
         // A later incarnation takes the place of the earlier one, and is out until it serves.
-        let out = self.members.get(name).filter(|m| m.incarnation == incarnation).and_then(|m| m.out);
+        let out =
+            self.members.get(name).filter(|m| m.incarnation == incarnation).and_then(|m| m.drain_request);
         // Danger: one that a release has sent out is so until the release has it back, whatever process it is by then.
-        let sent = self.members.get(name).is_some_and(|m| m.sent);
-        let groups = groups.iter().take(GROUPS_MOST).cloned().collect();
-        self.members.insert(name.to_string(), Member { incarnation, standing, groups, out, sent });
+        let sent = self.members.get(name).is_some_and(|m| m.drained_by_release);
+        let groups = groups.iter().take(MAX_GROUPS).cloned().collect();
+        self.members.insert(
+            name.to_string(),
+            Member { incarnation, status: standing, groups, drain_request: out, drained_by_release: sent },
+        );
         Answer::Done
     }
 
     /// By which copies of the state are compared: of the whole of it, so that an entry that was applied otherwise shows.
     pub fn digest(&self) -> u64 {
-        XxHash64::oneshot(0, &self.bytes())
+        XxHash64::oneshot(0, &self.to_bytes())
     }
 
     /// What was put for scopes stands behind all else, and only if there is any: without, these are the bytes that version 2
     /// has written and reads.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let bytes = postcard::to_stdvec(self).expect("this state has no form that cannot be written");
         if self.scopes.is_empty() {
             return bytes;
@@ -483,7 +511,7 @@
 
     /// # Errors
     /// What is wrong with the bytes.
-    pub fn of(bytes: &[u8]) -> Result<Fleet, String> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Fleet, String> {
         let told = |e: postcard::Error| format!("state: {e}");
         let (fleet, rest): (Fleet, &[u8]) = postcard::take_from_bytes(bytes).map_err(told)?;
         let scopes =
@@ -496,32 +524,32 @@
     pub fn restored(mut self, generation: u64) -> Fleet {
         // What is out of service stays so, and is told to all anew.
         (self.applied, self.endpoints_at) = (0, 1);
-        self.budgets.forget_parts();
+        self.budgets.forget_shares();
         self.version.generation = generation.max(self.version.generation + 1);
         if let Some(mut last) = self.history.back().cloned() {
             self.version.number += 1;
-            (last.back_to, last.version) = (Some(last.version), self.version);
-            last.why = "restored from a backup".to_string();
+            (last.rollback_to, last.version) = (Some(last.version), self.version);
+            last.reason = "restored from a backup".to_string();
             self.history.push_back(last);
         }
         if !self.scopes.is_empty() {
             self.version.number += 1;
-            self.scopes.tell_anew(self.version);
+            self.scopes.raise_floor(self.version);
         }
-        self.members.values_mut().for_each(|member| member.standing = Standing::Silent);
+        self.members.values_mut().for_each(|member| member.status = MemberStatus::Silent);
         self.releases.halt_all("restored from a backup: what was done since is not known");
         self
     }
 }
 
 impl Command {
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a command has no form that cannot be written")
     }
 
     /// # Errors
     /// What is wrong with the bytes.
-    pub fn of(bytes: &[u8]) -> Result<Command, String> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Command, String> {
         postcard::from_bytes(bytes).map_err(|e| format!("command: {e}"))
     }
 }
@@ -530,13 +558,20 @@
 mod tests {
     use super::*;
 
-    fn write(id: u64, expects: Option<Version>, what: What) -> Command {
+    fn write(id: u64, expects: Option<Version>, what: SettingsChange) -> Command {
         let (by, why) = ("eva".to_string(), "test".to_string());
-        Command::Write(Write { id: WriteId(1, id), expects, by, why, at_ms: 0, what })
+        Command::Write(Write {
+            id: WriteId(1, id),
+            expected_version: expects,
+            author: by,
+            reason: why,
+            at_ms: 0,
+            change: what,
+        })
     }
 
     fn put(id: u64, expects: Option<Version>, text: &str) -> Command {
-        write(id, expects, What::Put(text.to_string(), Vec::new(), Vec::new()))
+        write(id, expects, SettingsChange::Put(text.to_string(), Vec::new(), Vec::new()))
     }
 
     fn number(number: u64) -> Version {
@@ -547,25 +582,34 @@
     fn settings_are_put_by_version_once_each_and_go_back_forwards() {
         let mut fleet = Fleet::default();
         assert_eq!(fleet.apply(1, &put(1, Some(number(0)), "a")), Answer::Committed(number(1)));
-        assert_eq!(fleet.apply(2, &put(2, Some(number(0)), "b")), Answer::Refused(Refusal::Holds(number(1))));
+        assert_eq!(
+            fleet.apply(2, &put(2, Some(number(0)), "b")),
+            Answer::Refused(Refusal::VersionMismatch(number(1)))
+        );
         assert_eq!(fleet.apply(3, &put(3, None, "c")), Answer::Committed(number(2)));
         // Said again, also after others: it has taken effect once, and the answer is the first one.
         assert_eq!(fleet.apply(4, &put(1, Some(number(0)), "a")), Answer::Committed(number(1)));
-        assert_eq!(fleet.apply(5, &put(2, Some(number(0)), "b")), Answer::Refused(Refusal::Holds(number(1))));
+        assert_eq!(
+            fleet.apply(5, &put(2, Some(number(0)), "b")),
+            Answer::Refused(Refusal::VersionMismatch(number(1)))
+        );
         assert_eq!((fleet.version(), fleet.settings().unwrap().settings.as_str()), (number(2), "c"));
         // Back is a new version: members go forwards only.
-        let back = write(4, Some(number(2)), What::Back(number(1)));
+        let back = write(4, Some(number(2)), SettingsChange::Rollback(number(1)));
         assert_eq!(fleet.apply(6, &back), Answer::Committed(number(3)));
         let last = fleet.settings().unwrap();
-        assert_eq!((last.settings.as_str(), last.back_to), ("a", Some(number(1))));
-        let unknown = write(5, None, What::Back(number(9)));
-        assert_eq!(fleet.apply(7, &unknown), Answer::Refused(Refusal::Unknown(number(9))));
-        let long = "x".repeat(SETTINGS_MOST + 1);
-        assert_eq!(fleet.apply(8, &put(6, None, &long)), Answer::Refused(Refusal::TooMuch));
+        assert_eq!((last.settings.as_str(), last.rollback_to), ("a", Some(number(1))));
+        let unknown = write(5, None, SettingsChange::Rollback(number(9)));
+        assert_eq!(fleet.apply(7, &unknown), Answer::Refused(Refusal::UnknownVersion(number(9))));
+        let long = "x".repeat(MAX_SETTINGS_BYTES + 1);
+        assert_eq!(fleet.apply(8, &put(6, None, &long)), Answer::Refused(Refusal::LimitExceeded));
         for id in 10..200 {
             fleet.apply(id, &put(id, None, "d"));
         }
-        assert_eq!((fleet.history().count(), fleet.done(WriteId(1, 1)).is_some()), (HISTORY_MOST, true));
+        assert_eq!(
+            (fleet.history().count(), fleet.write_answer(WriteId(1, 1)).is_some()),
+            (HISTORY_MOST, true)
+        );
     }
 
     #[test]
@@ -574,16 +618,22 @@
         let stands = |incarnation, standing| Command::Member {
             name: "s1".into(),
             incarnation,
-            standing,
+            status: standing,
             groups: vec![],
         };
-        assert_eq!(fleet.apply(1, &stands(5, Standing::Serving)), Answer::Done);
-        assert_eq!(fleet.apply(2, &stands(7, Standing::Joining)), Answer::Done);
+        assert_eq!(fleet.apply(1, &stands(5, MemberStatus::Serving)), Answer::Done);
+        assert_eq!(fleet.apply(2, &stands(7, MemberStatus::Joining)), Answer::Done);
         // The verdict on the earlier one comes late.
-        assert_eq!(fleet.apply(3, &stands(5, Standing::Gone)), Answer::Refused(Refusal::Superseded(7)));
+        assert_eq!(fleet.apply(3, &stands(5, MemberStatus::Gone)), Answer::Refused(Refusal::Superseded(7)));
         assert_eq!(
             fleet.members()["s1"],
-            Member { incarnation: 7, standing: Standing::Joining, groups: vec![], out: None, sent: false }
+            Member {
+                incarnation: 7,
+                status: MemberStatus::Joining,
+                groups: vec![],
+                drain_request: None,
+                drained_by_release: false
+            }
         );
     }
 
@@ -591,19 +641,19 @@
     fn a_permission_that_was_given_up_is_none_for_another_ask() {
         let mut fleet = Fleet::default();
         let most_out = Some(outs::Amount::Number(1));
-        let group = Group { name: "a".into(), most_out, least_serving: None, endpoints: vec![] };
-        fleet.apply(1, &write(1, None, What::Put("{}".into(), vec![], vec![group])));
+        let group = Group { name: "a".into(), max_out: most_out, min_serving: None, endpoints: vec![] };
+        fleet.apply(1, &write(1, None, SettingsChange::Put("{}".into(), vec![], vec![group])));
         let stands = |name: &str, standing| {
             let (name, groups) = (name.to_string(), vec!["a".to_string()]);
-            Command::Member { name, incarnation: 1, standing, groups }
+            Command::Member { name, incarnation: 1, status: standing, groups }
         };
-        fleet.apply(2, &stands("s0", Standing::Serving));
-        fleet.apply(3, &stands("s1", Standing::Serving));
-        let out = |ask| Command::Out { name: "s1".into(), incarnation: 1, ask, anyway: None };
+        fleet.apply(2, &stands("s0", MemberStatus::Serving));
+        fleet.apply(3, &stands("s1", MemberStatus::Serving));
+        let out = |ask| Command::DrainMember { name: "s1".into(), incarnation: 1, request: ask, force: None };
         assert_eq!((fleet.apply(4, &out(1)), fleet.apply(5, &out(1))), (Answer::Done, Answer::Done));
         // Its answer was lost, and another went out by an operator's second word.
-        fleet.apply(6, &stands("s0", Standing::Drained));
-        assert!(matches!(fleet.apply(7, &out(2)), Answer::Refused(Refusal::NotNow(_))));
+        fleet.apply(6, &stands("s0", MemberStatus::Drained));
+        assert!(matches!(fleet.apply(7, &out(2)), Answer::Refused(Refusal::OutLimitReached(_))));
         assert_eq!(fleet.apply(8, &out(1)), Answer::Done);
     }
 
@@ -612,17 +662,17 @@
         let (mut one, mut other) = (Fleet::default(), Fleet::default());
         for index in 1..50 {
             let command = put(index, None, &index.to_string());
-            let again = Command::of(&command.bytes()).unwrap();
+            let again = Command::from_bytes(&command.to_bytes()).unwrap();
             assert_eq!(
                 (one.apply(index, &command), one.digest()),
                 (other.apply(index, &again), other.digest())
             );
         }
-        assert_eq!(Fleet::of(&one.bytes()).unwrap(), other);
+        assert_eq!(Fleet::from_bytes(&one.to_bytes()).unwrap(), other);
         other.apply(50, &put(50, None, "x"));
         one.apply(50, &put(50, None, "y"));
         assert_ne!(one.digest(), other.digest());
-        assert!(Fleet::of(&one.bytes()[..9]).is_err() && Command::of(&[9, 9]).is_err());
+        assert!(Fleet::from_bytes(&one.to_bytes()[..9]).is_err() && Command::from_bytes(&[9, 9]).is_err());
     }
 
     #[test]
--- a/crates/fleet/src/talk.rs
+++ b/crates/fleet/src/talk.rs
@@ -4,34 +4,34 @@
 use appledyke_consensus::{Id, Index, Message};
 use serde::{Deserialize, Serialize};
 
-use crate::budgets::{Budget, Stamp, Thing};
-use crate::evidence::{Passed, Seen};
-use crate::evidence_coding::Coded;
-use crate::health::Figures;
-use crate::limits::{Grant, Use};
-use crate::members::Standing;
-use crate::releases::{Order, Release, Work};
-use crate::scopes::{Locality, Scope, Scoped};
-use crate::state::{Write, Written};
+use crate::budgets::{Budget, LogPosition, Resource};
+use crate::evidence::{Observation, RelayedObservation};
+use crate::evidence_coding::CodedRecords;
+use crate::health::RequestCounts;
+use crate::limits::{Grant, Usage};
+use crate::members::MemberStatus;
+use crate::releases::{AgentTask, Release, ReleaseUpdate};
+use crate::scopes::{Locality, Scope, ScopedSettings};
+use crate::state::{SettingsVersion, Write};
 use crate::version::Version;
 
 /// The version of all frames, and the oldest that is spoken with: over a connection goes what the lower of its two sides knows.
 /// Frames, asks, replies and commands are written by their place in their enums and have no names: what is new goes last there,
 /// and what is there stays as it is.
 pub const VERSION: u16 = 3;
-pub const OLDEST: u16 = 2;
+pub const MIN_VERSION: u16 = 2;
 /// Ends without a word right after a greeting that are taken for a side that does not know its version: one may be a process
 /// that ended just then.
 const CUT_MOST: u8 = 2;
 /// Bytes of a frame: a snapshot of the largest fleet. Before the greeting, those of a greeting.
-pub const FRAME_MOST: usize = 32 << 20;
-pub const GREETING_MOST: usize = 1024;
+pub const MAX_FRAME_BYTES: usize = 32 << 20;
+pub const MAX_HELLO_BYTES: usize = 1024;
 /// Bytes that tell a frame's length, little-endian.
 const HEAD: usize = 4;
 
 /// Who opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Who {
+pub enum Initiator {
     Replica(Id),
     Member { name: String },
     Operator,
@@ -44,39 +44,39 @@
     /// Grows with each start.
     pub incarnation: u64,
     /// Drawn at the start: two processes of one name and incarnation differ by it.
-    pub process: u64,
-    pub standing: Standing,
+    pub process_nonce: u64,
+    pub status: MemberStatus,
     /// The version of the settings that it acts on.
     pub version: Version,
     /// The latest version that it was told, also where it found that faulty: it needs no older one.
-    pub knows: Version,
-    pub seen: Vec<Seen>,
+    pub latest_known: Version,
+    pub observations: Vec<Observation>,
     /// It has just started or come back, and wants what others have learnt.
-    pub catches_up: bool,
+    pub wants_catch_up: bool,
     /// Counts its reports: a grant's lease begins where the one that it answers was made.
     pub number: u64,
-    pub uses: Vec<(Thing, Use)>,
+    pub usage: Vec<(Resource, Usage)>,
     /// The groups that it belongs to.
     pub groups: Vec<String>,
     /// Asks to go out up to this one hold nothing any more.
-    pub settled: u64,
+    pub settled_requests: u64,
     /// As of when it knows which endpoints are out of service, and where it holds something still, by name.
-    pub outs: Stamp,
-    pub holds: Vec<String>,
+    pub endpoints_known_at: LogPosition,
+    pub endpoints_in_use: Vec<String>,
     /// No other process serves its address, as a lock says that each holds: an earlier one of this name has ended.
-    pub alone: bool,
+    pub sole_at_address: bool,
     /// The version of its program, or what its file calls it.
-    pub runs: String,
+    pub program_version: String,
     /// How its reqs have ended since it started; and its write-outs to the endpoints that it was asked to look for, by name.
-    pub figures: Figures,
-    pub at: Vec<(String, Figures)>,
+    pub request_counts: RequestCounts,
+    pub endpoint_counts: Vec<(String, RequestCounts)>,
     /// Clients that wait, and reqs that are open.
-    pub open: u64,
+    pub open_requests: u64,
     /// It is drained by a release's word.
-    pub sent: bool,
+    pub drained_by_release: bool,
     /// By which it knows what it is asked to look for; and of these, what its list does not have as ready.
-    pub looks: u64,
-    pub lacks: Vec<String>,
+    pub watch_list_hash: u64,
+    pub missing_endpoints: Vec<String>,
 }
 
 impl Default for Report {
@@ -84,58 +84,58 @@
         Report {
             name: String::new(),
             incarnation: 0,
-            process: 0,
-            standing: Standing::Joining,
+            process_nonce: 0,
+            status: MemberStatus::Joining,
             version: Version::default(),
-            knows: Version::default(),
-            seen: Vec::new(),
-            catches_up: false,
+            latest_known: Version::default(),
+            observations: Vec::new(),
+            wants_catch_up: false,
             number: 0,
-            uses: Vec::new(),
+            usage: Vec::new(),
             groups: Vec::new(),
-            settled: 0,
-            outs: Stamp::default(),
-            holds: Vec::new(),
-            alone: false,
-            runs: String::new(),
-            figures: Figures::default(),
-            at: Vec::new(),
-            open: 0,
-            sent: false,
-            looks: 0,
-            lacks: Vec::new(),
+            settled_requests: 0,
+            endpoints_known_at: LogPosition::default(),
+            endpoints_in_use: Vec::new(),
+            sole_at_address: false,
+            program_version: String::new(),
+            request_counts: RequestCounts::default(),
+            endpoint_counts: Vec::new(),
+            open_requests: 0,
+            drained_by_release: false,
+            watch_list_hash: 0,
+            missing_endpoints: Vec::new(),
         }
     }
 }
 
 /// A daemon's answer to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct ReportAnswer {
     /// The place of the leader, as far as it knows one, and whether that is itself.
     pub leader: Option<u16>,
-    pub leads: bool,
+    pub is_leader: bool,
     /// It has been taken out, or knows that its copy differs: it is not to be asked.
-    pub apart: bool,
+    pub excluded: bool,
     /// Committed settings that are later than what the member acts on.
     pub settings: Option<(Version, String)>,
     /// Of `ToldCoded` those that were left, behind the coded ones.
-    pub passed: Vec<Passed>,
-    pub twin: bool,
+    pub observations: Vec<RelayedObservation>,
+    pub duplicate_process: bool,
     pub superseded: bool,
     /// The report that this answers, and what its sender is granted: none where this daemon may not grant.
     pub number: u64,
     pub grants: Option<Vec<Grant>>,
     /// The endpoints that are out of service, where the report did not know of these.
-    pub outs: Option<(Stamp, Vec<String>)>,
+    pub drained_endpoints: Option<(LogPosition, Vec<String>)>,
     /// Whether a release sends it out: none where this daemon cannot say for sure.
-    pub sent: Option<bool>,
+    pub drain_for_release: Option<bool>,
     /// The endpoints that it is to look for and count at, where it does not know of these.
-    pub looks: Option<(u64, Vec<String>)>,
+    pub watch_list: Option<(u64, Vec<String>)>,
 }
 
 /// What operators ask.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum OperatorRequest {
     Status,
     Members,
     /// The settings that hold, or those of a version.
@@ -145,7 +145,7 @@
     Backup,
     Budgets,
     /// This process of a member has ended, as an operator knows: what it held is free.
-    Ended {
+    MarkEnded {
         name: String,
         incarnation: u64,
     },
@@ -155,35 +155,35 @@
     Endpoint {
         name: String,
         out: bool,
-        anyway: Option<String>,
+        force: Option<String>,
     },
-    Outs,
-    Release(Order),
+    DrainedEndpoints,
+    Release(ReleaseUpdate),
     Releases,
     /// What an agent beside this one is to do.
-    Work(String),
+    AgentTask(String),
     /// Hand leadership to this place.
-    HandOver(u16),
+    TransferLeadership(u16),
     /// This place votes no more; `anyway` also where few are left, or few of them are heard.
-    TakeOut {
-        place: u16,
-        anyway: bool,
+    RemoveReplica {
+        replica: u16,
+        force: bool,
     },
     /// What is put for parts of the fleet.
     Scopes,
     /// A write for a part of the fleet.
-    WriteFor {
+    WriteScoped {
         scope: Scope,
         write: Write,
     },
     /// What is put for a scope, or was as of a version.
-    GetFor {
+    GetScoped {
         scope: Scope,
         version: Option<Version>,
     },
-    HistoryFor(Scope),
+    ScopeHistory(Scope),
     /// What holds for this member.
-    SettingsOf(String),
+    MemberSettings(String),
     /// What each member that is heard says it belongs to.
     Localities,
 }
@@ -203,7 +203,8 @@
     /// As a leader: each other replica, up to where it holds the log, and whether it is heard.
     pub peers: Vec<(Id, Index, bool)>,
     /// Why it does not serve, if it does not.
-    pub apart: Option<String>,
+    #[serde(rename = "apart")]
+    pub excluded: Option<String>,
     pub evidence: u64,
 }
 
@@ -211,7 +212,8 @@
 pub struct MemberRow {
     pub name: String,
     pub incarnation: u64,
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: MemberStatus,
     /// The version that it said it acts on, where it is heard.
     pub version: Option<Version>,
     pub groups: Vec<String>,
@@ -224,10 +226,12 @@
     pub budget: Budget,
     /// Granted, and counted with: what holders may be using still.
     pub granted: u64,
-    pub counted: u64,
+    #[serde(rename = "counted")]
+    pub reserved: u64,
     pub holders: u64,
     /// How far above what is to be divided now holders may stand still.
-    pub over: u64,
+    #[serde(rename = "over")]
+    pub excess: u64,
 }
 
 /// A part of the fleet, and how it stands.
@@ -244,31 +248,31 @@
 
 /// What holds for a member, and of which scopes it is made, in the order of precedence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Merged {
+pub struct MergedSettings {
     pub version: Version,
     pub settings: String,
     pub locality: Option<Locality>,
-    pub of: Vec<(Scope, Version)>,
+    pub sources: Vec<(Scope, Version)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum OperatorReply {
     Status(Status),
     Members(Vec<MemberRow>),
-    Settings(Option<Written>),
-    History(Vec<Written>),
+    Settings(Option<SettingsVersion>),
+    History(Vec<SettingsVersion>),
     Budgets(Vec<BudgetRow>),
     /// Endpoints out of service, and the members that hold something there or may: none, and it is empty.
-    Outs(Vec<(String, Vec<String>)>),
+    DrainedEndpoints(Vec<(String, Vec<String>)>),
     /// Releases, and which version each member that is heard says that it runs.
     Releases(Vec<Release>, Vec<(String, String)>),
-    Work(Option<Work>),
+    AgentTask(Option<AgentTask>),
     /// A write has this effect, for good.
     Committed(Version),
     /// It has none, and never will.
     Refused(String),
     /// It was not proposed here, as this is wrong with it.
-    Faulty(String),
+    Invalid(String),
     /// Nobody here can tell whether it will have one.
     Unknown(String),
     /// Ask the leader, at this place if one is known.
@@ -277,9 +281,9 @@
     Backup(Vec<u8>),
     Done,
     Scopes(Vec<ScopeRow>),
-    Scoped(Option<Scoped>),
-    HistoryFor(Vec<Scoped>),
-    Merged(Option<Merged>),
+    Scoped(Option<ScopedSettings>),
+    ScopeHistory(Vec<ScopedSettings>),
+    Merged(Option<MergedSettings>),
     Localities(Vec<(String, Locality)>),
 }
 
@@ -289,48 +293,48 @@
     Hello {
         version: u16,
         fleet: String,
-        who: Who,
+        who: Initiator,
     },
     /// Why the greeting is not taken; the connection ends.
-    NotTaken(String),
-    Agree(Message),
+    Rejected(String),
+    Consensus(Message),
     /// The digest of a replica's state after this entry.
     Digest {
         index: Index,
         digest: u64,
     },
     Report(Report),
-    Told(Told),
+    ReportAnswer(ReportAnswer),
     /// A member asks whether it may go out, and is told; a refusal says why.
-    AskOut {
+    DrainRequest {
         ask: u64,
         anyway: Option<String>,
     },
-    OutTold {
+    DrainAnswer {
         ask: u64,
         refused: Option<String>,
     },
-    Ask {
+    Request {
         number: u64,
-        ask: Ask,
+        ask: OperatorRequest,
     },
     Reply {
         number: u64,
-        reply: Reply,
+        reply: OperatorReply,
     },
     /// What a member belongs to: right behind the greeting, where both sides speak version 3.
-    Belongs(Locality),
+    Locality(Locality),
     /// An answer whose records are coded: to a member that has said which service it belongs to, where both sides speak version 3.
-    ToldCoded(Told, Coded),
+    CodedReportAnswer(ReportAnswer, CodedRecords),
 }
 
 impl Frame {
-    pub fn hello(fleet: &str, who: Who) -> Frame {
+    pub fn hello(fleet: &str, who: Initiator) -> Frame {
         Frame::hello_as(VERSION, fleet, who)
     }
 
     /// A greeting of this version: of the one that `Greeting` says, or that `greeted` gave for an answer.
-    pub fn hello_as(version: u16, fleet: &str, who: Who) -> Frame {
+    pub fn hello_as(version: u16, fleet: &str, who: Initiator) -> Frame {
         Frame::Hello { version, fleet: fleet.to_string(), who }
     }
 
@@ -340,7 +344,7 @@
         out.extend([0; HEAD]);
         let body = postcard::to_stdvec(self).expect("a frame has no form that cannot be written");
         out.extend(&body);
-        if body.len() > FRAME_MOST {
+        if body.len() > MAX_FRAME_BYTES {
             out.truncate(start);
             return false;
         }
@@ -351,13 +355,13 @@
 
 /// Bytes that come in, until they are frames.
 #[derive(Default)]
-pub struct Frames {
+pub struct FrameReader {
     bytes: Vec<u8>,
     from: usize,
     greeted: bool,
 }
 
-impl Frames {
+impl FrameReader {
     pub fn push(&mut self, bytes: &[u8]) {
         if self.from > 0 {
             self.bytes.drain(..std::mem::take(&mut self.from));
@@ -373,7 +377,7 @@
         let bytes = &self.bytes[self.from..];
         let Some(head) = bytes.first_chunk::<HEAD>() else { return Ok(None) };
         let length = u32::from_le_bytes(*head) as usize;
-        let most = if self.greeted { FRAME_MOST } else { GREETING_MOST };
+        let most = if self.greeted { MAX_FRAME_BYTES } else { MAX_HELLO_BYTES };
         // Danger: a length that is believed before the greeting lets anyone fill the memory.
         if length > most {
             return Err(format!("a frame of {length} bytes, more than {most}"));
@@ -384,7 +388,7 @@
         self.from += HEAD + length;
         if !self.greeted {
             match frame {
-                Frame::Hello { .. } | Frame::NotTaken(_) => self.greeted = true,
+                Frame::Hello { .. } | Frame::Rejected(_) => self.greeted = true,
                 _ => return Err("no greeting came first".to_string()),
             }
         }
@@ -397,10 +401,10 @@
 ///
 /// # Errors
 /// Why the greeting is not taken, for its sender.
-pub fn greeted(frame: &Frame, fleet: &str, own: u16) -> Result<(Who, u16), String> {
+pub fn check_hello(frame: &Frame, fleet: &str, own: u16) -> Result<(Initiator, u16), String> {
     match frame {
-        Frame::Hello { version, .. } if !(OLDEST..=VERSION).contains(version) => {
-            Err(format!("frames here are of versions {OLDEST} to {VERSION}, not {version}"))
+        Frame::Hello { version, .. } if !(MIN_VERSION..=VERSION).contains(version) => {
+            Err(format!("frames here are of versions {MIN_VERSION} to {VERSION}, not {version}"))
         }
         Frame::Hello { version, fleet: named, who } if named == fleet => Ok((who.clone(), own.min(*version))),
         Frame::Hello { fleet: named, .. } => Err(format!("this is fleet {fleet}, not {named}")),
@@ -411,41 +415,41 @@
 /// With which version a side that dials greets: one for each place. A side of version 2 takes no other, and says so or ends the
 /// connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Greeting {
+pub struct VersionNegotiation {
     version: u16,
     cut: u8,
 }
 
-impl Default for Greeting {
-    fn default() -> Greeting {
-        Greeting { version: VERSION, cut: 0 }
+impl Default for VersionNegotiation {
+    fn default() -> VersionNegotiation {
+        VersionNegotiation { version: VERSION, cut: 0 }
     }
 }
 
-impl Greeting {
+impl VersionNegotiation {
     /// The version of the next greeting.
     pub fn version(self) -> u16 {
         self.version
     }
 
     /// The greeting was refused: the other version is next.
-    pub fn refused(&mut self) {
-        let version = if self.version == VERSION { OLDEST } else { VERSION };
-        *self = Greeting { version, cut: 0 };
+    pub fn on_rejected(&mut self) {
+        let version = if self.version == VERSION { MIN_VERSION } else { VERSION };
+        *self = VersionNegotiation { version, cut: 0 };
     }
 
     /// The connection was up, and has ended before the greeting was answered. Danger: a daemon that ended by itself is no older
     /// one, and a member that greets it as one is told nothing of its scopes.
-    pub fn cut(&mut self) {
+    pub fn on_closed(&mut self) {
         self.cut += 1;
         if self.cut >= CUT_MOST || self.version != VERSION {
-            self.refused();
+            self.on_rejected();
         }
     }
 
     /// The greeting was answered: the next connection begins anew.
-    pub fn taken(&mut self) {
-        *self = Greeting::default();
+    pub fn on_accepted(&mut self) {
+        *self = VersionNegotiation::default();
     }
 }
 
@@ -455,10 +459,13 @@
 
     fn frames() -> Vec<Frame> {
         vec![
-            Frame::hello("zilina", Who::Member { name: "s1".into() }),
+            Frame::hello("zilina", Initiator::Member { name: "s1".into() }),
             Frame::Report(Report { name: "s1".into(), ..Report::default() }),
-            Frame::Told(Told { settings: Some((Version::default(), "{}".into())), ..Told::default() }),
-            Frame::Ask { number: 3, ask: Ask::Get(None) },
+            Frame::ReportAnswer(ReportAnswer {
+                settings: Some((Version::default(), "{}".into())),
+                ..ReportAnswer::default()
+            }),
+            Frame::Request { number: 3, ask: OperatorRequest::Get(None) },
         ]
     }
 
@@ -467,7 +474,7 @@
         let mut bytes = Vec::new();
         frames().iter().for_each(|frame| assert!(frame.write(&mut bytes)));
         for size in 1..bytes.len() {
-            let (mut incoming, mut heard) = (Frames::default(), Vec::new());
+            let (mut incoming, mut heard) = (FrameReader::default(), Vec::new());
             for piece in bytes.chunks(size) {
                 incoming.push(piece);
                 while let Some(frame) = incoming.pop().unwrap() {
@@ -481,28 +488,28 @@
     #[test]
     fn what_is_foreign_oversized_or_no_frame_is_told() {
         let read = |bytes: &[u8]| {
-            let mut incoming = Frames::default();
+            let mut incoming = FrameReader::default();
             incoming.push(bytes);
             incoming.pop()
         };
         assert!(read(b"GET / HTTP/1.1\r\n\r\n").unwrap_err().contains("bytes, more than"));
         assert!(read(&[4, 0, 0, 0, 99, 99, 99, 99]).unwrap_err().contains("cannot be read"));
         let mut bytes = Vec::new();
-        Frame::Ask { number: 1, ask: Ask::Status }.write(&mut bytes);
+        Frame::Request { number: 1, ask: OperatorRequest::Status }.write(&mut bytes);
         assert_eq!(read(&bytes).unwrap_err(), "no greeting came first");
-        let other = Frame::hello("brno", Who::Operator);
-        assert_eq!(greeted(&other, "zilina", VERSION).unwrap_err(), "this is fleet zilina, not brno");
-        let newer = Frame::Hello { version: 9, fleet: "zilina".into(), who: Who::Operator };
+        let other = Frame::hello("brno", Initiator::Operator);
+        assert_eq!(check_hello(&other, "zilina", VERSION).unwrap_err(), "this is fleet zilina, not brno");
+        let newer = Frame::Hello { version: 9, fleet: "zilina".into(), who: Initiator::Operator };
         let said = "frames here are of versions 2 to 3, not 9";
-        assert_eq!(greeted(&newer, "zilina", VERSION).unwrap_err(), said);
+        assert_eq!(check_hello(&newer, "zilina", VERSION).unwrap_err(), said);
         // After the greeting a frame may be long, but has its bound too.
-        let mut incoming = Frames::default();
+        let mut incoming = FrameReader::default();
         let mut bytes = Vec::new();
         frames()[0].write(&mut bytes);
-        bytes.extend((FRAME_MOST as u32 + 1).to_le_bytes());
+        bytes.extend((MAX_FRAME_BYTES as u32 + 1).to_le_bytes());
         incoming.push(&bytes);
         assert!(incoming.pop().unwrap().is_some() && incoming.pop().is_err());
-        let backup = Frame::Reply { number: 1, reply: Reply::Backup(vec![0; FRAME_MOST + 1]) };
+        let backup = Frame::Reply { number: 1, reply: OperatorReply::Backup(vec![0; MAX_FRAME_BYTES + 1]) };
         assert!(!backup.write(&mut bytes));
     }
 
@@ -517,7 +524,7 @@
                 let at = chance.rand_range(0..bytes.len() as u64) as usize;
                 bytes[at] = chance.rand_u64() as u8;
             }
-            let mut incoming = Frames::default();
+            let mut incoming = FrameReader::default();
             incoming.push(&bytes);
             while let Ok(Some(_)) = incoming.pop() {}
         }
--- a/crates/fleet/tests/evidence_scopes.rs
+++ b/crates/fleet/tests/evidence_scopes.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use appledyke::units::Moment;
-use appledyke_fleet::evidence::{Cursor, Evidence, KEPT, MOST, OF_A_SERVICE_MOST, Seen};
+use appledyke_fleet::evidence::{
+    Cursor, EvidenceStore, MAX_AGE, MAX_RECORDS, MAX_RECORDS_PER_SERVICE, Observation,
+};
 use oorandom::Rand64;
 
 const MENU: u32 = 11;
@@ -14,33 +16,39 @@
     Moment::from_nanos(ms * 1_000_000)
 }
 
-fn seen(sequence: u64, endpoint: u32) -> Seen {
-    Seen { sequence, age_ms: 0, endpoint, method: 1, outcome: 1, part: 0.5 }
+fn seen(sequence: u64, endpoint: u32) -> Observation {
+    Observation { sequence, age_ms: 0, endpoint, method: 1, outcome: 1, budget_fraction: 0.5 }
 }
 
-fn run(from: u64, to: u64) -> Vec<Seen> {
+fn run(from: u64, to: u64) -> Vec<Observation> {
     (from..=to).map(|sequence| seen(sequence, sequence as u32)).collect()
 }
 
 /// All that a reader hears, by writer and sequence, so many at a time.
-fn heard(evidence: &Evidence, now: u64, service: u32, cursor: &mut Cursor, most: usize) -> Vec<(u32, u64)> {
+fn heard(
+    evidence: &EvidenceStore,
+    now: u64,
+    service: u32,
+    cursor: &mut Cursor,
+    most: usize,
+) -> Vec<(u32, u64)> {
     let mut all = Vec::new();
     loop {
-        let told = evidence.tell(at(now), service, READER, cursor, most);
+        let told = evidence.read_new(at(now), service, READER, cursor, most);
         assert!(told.len() <= most);
         if told.is_empty() {
             return all;
         }
-        all.extend(told.iter().map(|passed| (passed.writer, passed.seen.sequence)));
+        all.extend(told.iter().map(|passed| (passed.writer, passed.observation.sequence)));
     }
 }
 
 /// Danger: names of another service's endpoints say nothing, and crowd out those that do.
 #[test]
 fn who_has_a_service_hears_its_own_and_of_no_service_and_who_has_none_hears_all() {
-    let mut evidence = Evidence::default();
+    let mut evidence = EvidenceStore::default();
     for (writer, service) in [(1, MENU), (2, CART), (3, 0), (4, MENU)] {
-        assert_eq!(evidence.hear(at(1000), service, writer, 1, &run(1, 2)), 2);
+        assert_eq!(evidence.record(at(1000), service, writer, 1, &run(1, 2)), 2);
     }
     let of = |service, most| heard(&evidence, 1000, service, &mut Cursor::default(), most);
     for most in [1, 3, 100] {
@@ -51,7 +59,7 @@
         assert_eq!(of(0, most), all);
     }
     // Nobody hears its own.
-    assert_eq!(evidence.tell(at(1000), MENU, 1, &mut Cursor::default(), 100).len(), 4);
+    assert_eq!(evidence.read_new(at(1000), MENU, 1, &mut Cursor::default(), 100).len(), 4);
     let caught = |service, most| evidence.catch_up(at(1000), service, READER, &mut Cursor::default(), most);
     let writers = |service, most| caught(service, most).iter().map(|p| p.writer).collect::<Vec<_>>();
     assert_eq!(writers(CART, 100), [2, 2, 3, 3]);
@@ -63,43 +71,46 @@
 /// Danger: a service with many records a second would leave nothing of the others' for who returns.
 #[test]
 fn a_busy_service_pushes_out_only_its_own() {
-    let mut evidence = Evidence::default();
+    let mut evidence = EvidenceStore::default();
     for service in 1..=200 {
-        evidence.hear(at(1000), service, service, 1, &run(1, 16));
+        evidence.record(at(1000), service, service, 1, &run(1, 16));
     }
     for beat in 0..40 {
-        evidence.hear(at(1000 + beat), 777, 777, 1, &run(beat * 1000 + 1, beat * 1000 + 1000));
-        assert!(evidence.count() <= MOST);
+        evidence.record(at(1000 + beat), 777, 777, 1, &run(beat * 1000 + 1, beat * 1000 + 1000));
+        assert!(evidence.count() <= MAX_RECORDS);
     }
     for service in 1..=200 {
         assert_eq!(heard(&evidence, 1040, service, &mut Cursor::default(), 100).len(), 16, "{service}");
     }
     let busy = heard(&evidence, 1040, 777, &mut Cursor::default(), 100);
-    assert_eq!((busy.len(), busy.last()), (OF_A_SERVICE_MOST, Some(&(777, 40_000))));
+    assert_eq!((busy.len(), busy.last()), (MAX_RECORDS_PER_SERVICE, Some(&(777, 40_000))));
     // Two that are busy share what is there, and a third that begins finds room.
-    let mut evidence = Evidence::default();
+    let mut evidence = EvidenceStore::default();
     for service in [MENU, CART, 0] {
-        evidence.hear(at(1000), service, service + 1, 1, &run(1, 30_000));
-        assert!(evidence.count() <= MOST);
+        evidence.record(at(1000), service, service + 1, 1, &run(1, 30_000));
+        assert!(evidence.count() <= MAX_RECORDS);
     }
     let of = |service| heard(&evidence, 1000, service, &mut Cursor::default(), 1000).len();
     let counts = (of(MENU), of(CART), of(0));
-    assert!(evidence.count() == MOST && counts.0.min(counts.1) > OF_A_SERVICE_MOST / 2, "{counts:?}");
+    assert!(
+        evidence.count() == MAX_RECORDS && counts.0.min(counts.1) > MAX_RECORDS_PER_SERVICE / 2,
+        "{counts:?}"
+    );
     // As in a fleet without services: those without one may fill all.
-    let mut evidence = Evidence::default();
-    evidence.hear(at(1000), 0, 1, 1, &run(1, 30_000));
-    assert_eq!(evidence.count(), MOST);
+    let mut evidence = EvidenceStore::default();
+    evidence.record(at(1000), 0, 1, 1, &run(1, 30_000));
+    assert_eq!(evidence.count(), MAX_RECORDS);
 }
 
 #[test]
 fn what_is_old_goes_from_all_services_also_where_nobody_tells_any_more() {
-    let mut evidence = Evidence::default();
+    let mut evidence = EvidenceStore::default();
     for service in 0..100 {
-        evidence.hear(at(1000), service, service + 1, 1, &run(1, 10));
+        evidence.record(at(1000), service, service + 1, 1, &run(1, 10));
     }
     assert_eq!(evidence.count(), 1000);
-    let late = 1000 + KEPT.nanos() / 1_000_000 + 1;
-    evidence.hear(at(late), 5, 500, 1, &run(1, 1));
+    let late = 1000 + MAX_AGE.nanos() / 1_000_000 + 1;
+    evidence.record(at(late), 5, 500, 1, &run(1, 1));
     assert_eq!(evidence.count(), 1);
 }
 
@@ -108,7 +119,7 @@
 fn over_random_histories_each_record_is_told_once_in_its_order_and_none_is_lost() {
     for seed in 0..200 {
         let mut chance = Rand64::new(seed);
-        let mut evidence = Evidence::default();
+        let mut evidence = EvidenceStore::default();
         let readers = [0, MENU, CART, 33];
         let mut cursors = readers.map(|_| Cursor::default());
         let mut got = readers.map(|_| Vec::new());
@@ -121,15 +132,15 @@
                 let writer = service * 10 + chance.rand_range(1..4) as u32;
                 let sequence = sequences.entry(writer).or_default();
                 let to = *sequence + chance.rand_range(0..5);
-                evidence.hear(at(now), service, writer, 1, &run(*sequence + 1, to));
+                evidence.record(at(now), service, writer, 1, &run(*sequence + 1, to));
                 told.extend((*sequence + 1..=to).map(|sequence| (service, writer, sequence)));
                 *sequence = to;
             } else {
                 let reader = chance.rand_range(0..readers.len() as u64) as usize;
                 let most = chance.rand_range(0..6) as usize;
-                let passed = evidence.tell(at(now), readers[reader], READER, &mut cursors[reader], most);
+                let passed = evidence.read_new(at(now), readers[reader], READER, &mut cursors[reader], most);
                 assert!(passed.len() <= most);
-                got[reader].extend(passed.iter().map(|passed| (passed.writer, passed.seen.sequence)));
+                got[reader].extend(passed.iter().map(|passed| (passed.writer, passed.observation.sequence)));
             }
         }
         for ((service, cursor), mut got) in readers.iter().zip(&mut cursors).zip(got) {
@@ -144,13 +155,13 @@
 
 #[test]
 fn who_catches_up_goes_on_from_there() {
-    let mut evidence = Evidence::default();
-    evidence.hear(at(1000), MENU, 1, 1, &run(1, 10));
-    evidence.hear(at(1000), CART, 2, 1, &run(1, 10));
+    let mut evidence = EvidenceStore::default();
+    evidence.record(at(1000), MENU, 1, 1, &run(1, 10));
+    evidence.record(at(1000), CART, 2, 1, &run(1, 10));
     let mut cursor = Cursor::default();
     assert_eq!(evidence.catch_up(at(1000), MENU, READER, &mut cursor, 5).len(), 5);
-    assert_eq!(evidence.tell(at(1000), MENU, READER, &mut cursor, 100), []);
-    evidence.hear(at(1001), CART, 2, 1, &run(11, 20));
-    evidence.hear(at(1001), MENU, 1, 1, &run(11, 12));
+    assert_eq!(evidence.read_new(at(1000), MENU, READER, &mut cursor, 100), []);
+    evidence.record(at(1001), CART, 2, 1, &run(11, 20));
+    evidence.record(at(1001), MENU, 1, 1, &run(11, 12));
     assert_eq!(heard(&evidence, 1001, MENU, &mut cursor, 1), [(1, 11), (1, 12)]);
 }
--- a/crates/fleet/tests/lost_leader.rs
+++ b/crates/fleet/tests/lost_leader.rs
@@ -3,8 +3,8 @@
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
 use appledyke_fleet::limits::Limits;
-use appledyke_fleet::member::{Do, Member, Setup};
-use appledyke_fleet::talk::{Told, VERSION};
+use appledyke_fleet::member::{HostAction, Member, MemberConfig};
+use appledyke_fleet::talk::{ReportAnswer, VERSION};
 
 const BEAT: u64 = 500;
 
@@ -13,17 +13,17 @@
 }
 
 fn member() -> Member {
-    let setup = Setup {
+    let setup = MemberConfig {
         name: "s1".into(),
         daemons: vec![1, 2, 3],
-        beat: Span::from_millis(BEAT),
+        heartbeat: Span::from_millis(BEAT),
         incarnation: 5,
-        process: 1,
+        process_nonce: 1,
         version: Version::default(),
         limits: Limits::default(),
         groups: Vec::new(),
         locality: None,
-        runs: String::new(),
+        program_version: String::new(),
     };
     Member::new(at(0), setup, 4)
 }
@@ -37,29 +37,29 @@
 }
 
 impl World {
-    fn carry_out(&mut self, done: Vec<Do>, killed: Option<u16>, leader: u16) {
+    fn carry_out(&mut self, done: Vec<HostAction>, killed: Option<u16>, leader: u16) {
         for what in done {
             match what {
-                Do::Dial(place) => {
+                HostAction::Dial(place) => {
                     self.dials.push((self.now, place));
                     if Some(place) == killed {
-                        self.member.broken(at(self.now));
+                        self.member.on_disconnected(at(self.now));
                         continue;
                     }
                     self.connected = Some(place);
-                    let done = self.member.up(at(self.now), VERSION);
+                    let done = self.member.on_connected(at(self.now), VERSION);
                     self.carry_out(done, killed, leader);
                 }
-                Do::Close => self.connected = None,
-                Do::Send(report) => {
+                HostAction::Close => self.connected = None,
+                HostAction::SendReport(report) => {
                     let Some(place) = self.connected else { continue };
-                    let told = Told {
+                    let told = ReportAnswer {
                         number: report.number,
-                        leads: place == leader,
+                        is_leader: place == leader,
                         leader: Some(leader),
-                        ..Told::default()
+                        ..ReportAnswer::default()
                     };
-                    let done = self.member.told(at(self.now), told);
+                    let done = self.member.on_answer(at(self.now), told);
                     self.carry_out(done, killed, leader);
                 }
                 _ => {}
@@ -70,7 +70,7 @@
     fn run(&mut self, until: u64, killed: Option<u16>, leader: u16) {
         while self.now < until {
             self.now += 5;
-            let done = self.member.due(at(self.now));
+            let done = self.member.on_timer(at(self.now));
             self.carry_out(done, killed, leader);
         }
     }
@@ -91,7 +91,7 @@
     for leader in 1..=3 {
         let mut world = begun(leader);
         world.connected = None;
-        world.member.broken(at(world.now));
+        world.member.on_disconnected(at(world.now));
         let from = world.now;
         world.run(from + 6 * BEAT, Some(leader), leader);
         let times: Vec<u64> =
@@ -100,7 +100,7 @@
         assert!(times.iter().all(|at| at - from >= 2 * BEAT), "leader {leader}: {:?}", world.dials);
         assert!(world.dials.len() <= 7, "leader {leader}: {:?}", world.dials);
         // It is answered meanwhile: settings come from any of them.
-        assert!(world.member.is_heard(at(world.now)));
+        assert!(world.member.has_recent_answer(at(world.now)));
     }
 }
 
@@ -108,7 +108,7 @@
 fn whoever_leads_next_is_gone_to_with_the_first_word_of_it() {
     let mut world = begun(1);
     world.connected = None;
-    world.member.broken(at(world.now));
+    world.member.on_disconnected(at(world.now));
     let killed = world.now;
     world.run(killed + BEAT, Some(1), 1);
     assert!(world.connected.is_some_and(|place| place != 1));
@@ -122,7 +122,7 @@
 fn a_leader_that_comes_back_is_gone_to_within_three_beats() {
     let mut world = begun(2);
     world.connected = None;
-    world.member.broken(at(world.now));
+    world.member.on_disconnected(at(world.now));
     let killed = world.now;
     world.run(killed + BEAT / 2, Some(2), 2);
     world.run(killed + 7 * BEAT / 2, None, 2);
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -7,9 +7,9 @@
 
 use appledyke::units::Moment;
 use appledyke_consensus::Index;
-use appledyke_fleet::budgets::{Budget, Budgets, Change, Holder, Thing};
-use appledyke_fleet::divide::Divider;
-use appledyke_fleet::limits::{CLOCK_DOUBT, Grant, Limits};
+use appledyke_fleet::budgets::{Budget, Budgets, Holder, Resource, ShareChange};
+use appledyke_fleet::divide::Allocator;
+use appledyke_fleet::limits::{Grant, Limits, MAX_CLOCK_DRIFT};
 
 /// Not a part of a second, a window or a lease, so that ends of these fall between.
 const TICK_MS: u64 = 700;
@@ -48,12 +48,12 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    of: Thing,
+    of: Resource,
     now: u64,
     budgets: Budgets,
-    divider: Divider,
+    divider: Allocator,
     /// The leader that was, with what it knew.
-    old: Option<(Divider, Budgets, Index)>,
+    old: Option<(Allocator, Budgets, Index)>,
     index: Index,
     limits: [Limits; 2],
     /// An answer to the first holder, and when that asked by its own clock.
@@ -73,16 +73,23 @@
 }
 
 impl World {
-    fn new(of: Thing) -> World {
-        let window_ms = if of.is_stock() { 0 } else { 1000 };
-        let budget = Budget { of, whole: WHOLE, window_ms, least: 1, alone: 1, members: 2 };
+    fn new(of: Resource) -> World {
+        let window_ms = if of.is_concurrency_limit() { 0 } else { 1000 };
+        let budget = Budget {
+            resource: of,
+            quota: WHOLE,
+            window_ms,
+            min_share: 1,
+            standalone_share: 1,
+            max_members: 2,
+        };
         let mut budgets = Budgets::default();
-        budgets.state(&[budget]);
+        budgets.configure(&[budget]);
         let mut world = World {
             of,
             now: 10_000,
             budgets,
-            divider: Divider::new(moment(10_000), 0),
+            divider: Allocator::new(moment(10_000), 0),
             old: None,
             index: 0,
             limits: Default::default(),
@@ -103,7 +110,7 @@
 
     /// The first holder's clock is slow by the doubt, the second's is fast.
     fn clock(&self, at: usize) -> Moment {
-        let rate = if at == 0 { 1.0 - CLOCK_DOUBT / 2.0 } else { 1.0 + CLOCK_DOUBT / 2.0 };
+        let rate = if at == 0 { 1.0 - MAX_CLOCK_DRIFT / 2.0 } else { 1.0 + MAX_CLOCK_DRIFT / 2.0 };
         Moment::from_nanos((self.now as f64 * 1e6 * rate) as u64)
     }
 
@@ -111,18 +118,21 @@
     fn take(&mut self) {
         for at in 0..2 {
             let clock = self.clock(at);
-            if self.of.is_stock() {
+            if self.of.is_concurrency_limit() {
                 // What it holds it gives back only where it may have less, and hears so: it is idle then.
                 let most = self.limits[at].allowed(clock, self.of).unwrap_or(0);
                 self.held[at] =
                     if at == 0 && self.stopped() { self.held[at] } else { self.held[at].min(most) };
-                while self.held[at] < self.wants[at] && self.limits[at].hold(clock, self.of, self.held[at]) {
+                while self.held[at] < self.wants[at]
+                    && self.limits[at].try_hold(clock, self.of, self.held[at])
+                {
                     self.held[at] += 1;
                 }
-                self.limits[at].holds(self.of, self.held[at]);
+                self.limits[at].set_held(self.of, self.held[at]);
             } else {
                 let wants = self.wants[at];
-                let spent = (0..wants).filter(|_| self.limits[at].spend(clock, self.of, true)).count() as u64;
+                let spent =
+                    (0..wants).filter(|_| self.limits[at].try_spend(clock, self.of, true)).count() as u64;
                 self.spent[at].push((self.now, spent));
                 let now = self.now;
                 self.spent[at].retain(|(when, _)| now - when < 2000);
@@ -136,7 +146,7 @@
     }
 
     fn may(&self, step: Step, fault: Fault) -> bool {
-        let stopped = self.of.is_stock() && self.stopped();
+        let stopped = self.of.is_concurrency_limit() && self.stopped();
         match step {
             Step::Tick | Step::Talk => true,
             Step::Ask => self.answered.is_none() && !stopped,
@@ -150,14 +160,14 @@
 
     fn ask(&mut self, at: usize, of_old: bool) -> (Moment, Vec<Grant>) {
         let asked = self.clock(at);
-        let uses = self.limits[at].uses(asked);
+        let uses = self.limits[at].usage(asked);
         let now = moment(self.now);
         let (divider, budgets, index) = match &mut self.old {
             Some((divider, budgets, index)) if of_old => (divider, &*budgets, *index),
             _ => (&mut self.divider, &self.budgets, self.index),
         };
-        divider.report(now, &holder(at), &uses, false);
-        (asked, divider.grants(&holder(at), budgets, index))
+        divider.record_report(now, &holder(at), &uses, false);
+        (asked, divider.grants_for(&holder(at), budgets, index))
     }
 
     fn step(&mut self, step: Step, fault: Fault) {
@@ -171,15 +181,15 @@
             Step::Deliver => {
                 let Some((asked, grants)) = self.answered.take() else { return };
                 let from = if fault == Fault::LeaseFromArrival { self.clock(0) } else { asked };
-                self.limits[0].granted(from, &grants);
+                self.limits[0].apply_grants(from, &grants);
             }
             Step::Lose => self.answered = None,
             Step::Talk => {
                 let (asked, grants) = self.ask(1, false);
-                self.limits[1].granted(asked, &grants);
+                self.limits[1].apply_grants(asked, &grants);
             }
             Step::NewLeader => {
-                let divider = std::mem::replace(&mut self.divider, Divider::new(moment(self.now), 0));
+                let divider = std::mem::replace(&mut self.divider, Allocator::new(moment(self.now), 0));
                 self.old = Some((divider, self.budgets.clone(), self.index));
             }
         }
@@ -192,16 +202,16 @@
         }
         let by_time = fault == Fault::StockFreedByTime && self.now > BEGIN_MS + 4 * TICK_MS;
         if fault == Fault::ReleasedAtOnce || by_time {
-            let parts = self.budgets.parts(self.of).filter(|(_, part)| part.counted > part.granted);
+            let parts = self.budgets.shares(self.of).filter(|(_, part)| part.reserved > part.granted);
             let lowered = parts.map(|(holder, part)| (holder.clone(), part.since)).collect();
             self.index += 1;
-            self.budgets.apply(self.index, &Change::Release(self.of, lowered));
+            self.budgets.apply(self.index, &ShareChange::Release(self.of, lowered));
         }
     }
 
     /// What all use, or have used within a window.
     fn used(&self) -> u64 {
-        if self.of.is_stock() {
+        if self.of.is_concurrency_limit() {
             return self.held.iter().sum();
         }
         let within = |(when, _): &&(u64, u64)| self.now - when < 1000;
@@ -216,7 +226,7 @@
 }
 
 /// The first way to stand above the whole, and how many states were looked at.
-fn search(of: Thing, fault: Fault, depth: usize) -> (Option<Vec<Step>>, usize) {
+fn search(of: Resource, fault: Fault, depth: usize) -> (Option<Vec<Step>>, usize) {
     let steps = [Step::Tick, Step::Ask, Step::AskOld, Step::Deliver, Step::Lose, Step::Talk, Step::NewLeader];
     let mut start = World::new(of);
     if fault == Fault::GrantsUnconfirmed {
@@ -249,39 +259,39 @@
 
 #[test]
 fn no_interleaving_of_a_flow_stands_above_the_whole() {
-    let (path, states) = search(Thing::WriteOuts, Fault::None, DEPTH);
+    let (path, states) = search(Resource::Attempts, Fault::None, DEPTH);
     assert_eq!(path, None);
     assert!(states > 100_000, "{states}");
 }
 
 #[test]
 fn no_interleaving_of_a_stock_stands_above_the_whole() {
-    let (path, states) = search(Thing::Connections, Fault::None, DEPTH);
+    let (path, states) = search(Resource::Connections, Fault::None, DEPTH);
     assert_eq!(path, None);
     assert!(states > 10_000, "{states}");
 }
 
-fn is_found(of: Thing, fault: Fault) {
+fn is_found(of: Resource, fault: Fault) {
     let (path, states) = search(of, fault, DEPTH);
     assert!(path.is_some(), "{fault:?} is not found in {states} states");
 }
 
 #[test]
 fn what_is_lowered_and_free_at_once_is_found() {
-    is_found(Thing::WriteOuts, Fault::ReleasedAtOnce);
+    is_found(Resource::Attempts, Fault::ReleasedAtOnce);
 }
 
 #[test]
 fn a_stock_that_time_frees_is_found() {
-    is_found(Thing::Connections, Fault::StockFreedByTime);
+    is_found(Resource::Connections, Fault::StockFreedByTime);
 }
 
 #[test]
 fn a_lease_that_is_counted_from_the_answer_is_found() {
-    is_found(Thing::WriteOuts, Fault::LeaseFromArrival);
+    is_found(Resource::Attempts, Fault::LeaseFromArrival);
 }
 
 #[test]
 fn a_leader_that_was_and_grants_on_is_found() {
-    is_found(Thing::WriteOuts, Fault::GrantsUnconfirmed);
+    is_found(Resource::Attempts, Fault::GrantsUnconfirmed);
 }
--- a/crates/fleet/tests/permissions.rs
+++ b/crates/fleet/tests/permissions.rs
@@ -5,10 +5,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use appledyke::units::{Moment, Span};
-use appledyke_fleet::heard::{Heard, Terms};
-use appledyke_fleet::members::Standing;
-use appledyke_fleet::outs::{Amount, Asker, Group, is_out};
-use appledyke_fleet::state::{Answer, Command, Fleet, What, Write, WriteId};
+use appledyke_fleet::heard::{LivenessTimeouts, MemberTracker};
+use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::outs::{Amount, DrainRequests, Group, is_out};
+use appledyke_fleet::state::{Answer, Command, Fleet, SettingsChange, Write, WriteId};
 use appledyke_fleet::talk::Report;
 use oorandom::Rand64;
 
@@ -17,19 +17,26 @@
 fn with_most(most: u32) -> Fleet {
     let groups = vec![Group {
         name: "a".into(),
-        most_out: Some(Amount::Number(most)),
-        least_serving: None,
+        max_out: Some(Amount::Number(most)),
+        min_serving: None,
         endpoints: vec![],
     }];
-    let what = What::Put("{}".into(), Vec::new(), groups);
-    let write = Write { id: WriteId(1, 1), expects: None, by: "t".into(), why: "t".into(), at_ms: 0, what };
+    let what = SettingsChange::Put("{}".into(), Vec::new(), groups);
+    let write = Write {
+        id: WriteId(1, 1),
+        expected_version: None,
+        author: "t".into(),
+        reason: "t".into(),
+        at_ms: 0,
+        change: what,
+    };
     let mut fleet = Fleet::default();
     fleet.apply(1, &Command::Write(write));
     fleet
 }
 
-fn member(at: usize, standing: Standing) -> Command {
-    Command::Member { name: format!("s{at}"), incarnation: 1, standing, groups: vec!["a".into()] }
+fn member(at: usize, standing: MemberStatus) -> Command {
+    Command::Member { name: format!("s{at}"), incarnation: 1, status: standing, groups: vec!["a".into()] }
 }
 
 #[test]
@@ -40,20 +47,20 @@
         let mut draw = |to: u64| chance.rand_range(0..to);
         let most = 1 + draw(3) as u32;
         let mut fleet = with_most(most);
-        (0..6).for_each(|at| drop(fleet.apply(2, &member(at, Standing::Serving))));
+        (0..6).for_each(|at| drop(fleet.apply(2, &member(at, MemberStatus::Serving))));
         for index in 3..400 {
             let at = draw(6) as usize;
             let (name, incarnation, ask) = (format!("s{at}"), 1, draw(5));
-            let before = fleet.members().get(&name).is_some_and(|member| member.out.is_some());
+            let before = fleet.members().get(&name).is_some_and(|member| member.drain_request.is_some());
             let command = match draw(10) {
-                0..=4 => Command::Out { name, incarnation, ask, anyway: None },
-                5..=6 => Command::Back { name, incarnation, ask },
-                7 => member(at, Standing::Silent),
+                0..=4 => Command::DrainMember { name, incarnation, request: ask, force: None },
+                5..=6 => Command::ReturnMember { name, incarnation, request: ask },
+                7 => member(at, MemberStatus::Silent),
                 8 => Command::Forget(name),
-                _ => member(at, Standing::Serving),
+                _ => member(at, MemberStatus::Serving),
             };
             let answer = fleet.apply(index, &command);
-            if matches!(command, Command::Out { .. }) && answer == Answer::Done && !before {
+            if matches!(command, Command::DrainMember { .. }) && answer == Answer::Done && !before {
                 granted += 1;
                 let out = fleet.members().values().filter(|member| is_out(member)).count();
                 assert!(out <= most as usize, "seed {seed}, entry {index}: {out} of {most}");
@@ -89,23 +96,24 @@
 
 #[derive(Clone, Debug, Default)]
 struct Side {
-    asker: Asker,
+    asker: DrainRequests,
     drains: bool,
     asked: Option<u64>,
     answer: Option<(u64, bool)>,
-    said: Option<(Standing, u64)>,
+    said: Option<(MemberStatus, u64)>,
 }
 
 #[derive(Clone, Debug)]
 struct World {
     fleet: Fleet,
-    heard: Heard,
+    heard: MemberTracker,
     sides: [Side; 2],
     now: u64,
     led: bool,
 }
 
-const TERMS: Terms = Terms { lease: Span::from_millis(1_000_000), gone: Span::from_millis(2_000_000) };
+const TERMS: LivenessTimeouts =
+    LivenessTimeouts { lease: Span::from_millis(1_000_000), gone: Span::from_millis(2_000_000) };
 
 fn moment(ms: u64) -> Moment {
     Moment::from_nanos(ms * 1_000_000)
@@ -114,8 +122,14 @@
 impl World {
     fn new() -> World {
         let mut fleet = with_most(1);
-        (0..2).for_each(|at| drop(fleet.apply(2, &member(at, Standing::Serving))));
-        World { fleet, heard: Heard::new(moment(0), TERMS), sides: Default::default(), now: 0, led: false }
+        (0..2).for_each(|at| drop(fleet.apply(2, &member(at, MemberStatus::Serving))));
+        World {
+            fleet,
+            heard: MemberTracker::new(moment(0), TERMS),
+            sides: Default::default(),
+            now: 0,
+            led: false,
+        }
     }
 
     fn apply(&mut self, command: &Command) -> Answer {
@@ -132,18 +146,23 @@
                 if side.drains || side.asked.is_some() {
                     return false;
                 }
-                side.asked = Some(side.asker.ask(now));
+                side.asked = Some(side.asker.request(now));
             }
             Step::Commit(at) => {
                 let Some(ask) = self.sides[at].asked else { return false };
-                let command = Command::Out { name: format!("s{at}"), incarnation: 1, ask, anyway: None };
+                let command = Command::DrainMember {
+                    name: format!("s{at}"),
+                    incarnation: 1,
+                    request: ask,
+                    force: None,
+                };
                 let answer = self.apply(&command);
                 self.sides[at].answer = Some((ask, answer == Answer::Done));
             }
             Step::Answer(at) => {
                 let side = &mut self.sides[at];
                 let Some((ask, granted)) = side.answer.take() else { return false };
-                let ours = side.asker.answered(ask, granted);
+                let ours = side.asker.on_answer(ask, granted);
                 if ours {
                     side.asked = None;
                 }
@@ -151,7 +170,7 @@
             }
             Step::GiveUp(at) => {
                 let side = &mut self.sides[at];
-                if side.asker.until().is_none() {
+                if side.asker.deadline().is_none() {
                     return false;
                 }
                 // What it sent may still arrive: `asked` stays.
@@ -164,15 +183,15 @@
                 }
                 side.drains = false;
                 side.asked = None;
-                side.asker.is_back();
+                side.asker.on_return();
             }
             Step::Say(at) => {
                 let side = &mut self.sides[at];
                 if !side.drains {
-                    side.asker.is_back();
+                    side.asker.on_return();
                 }
                 side.said = Some((
-                    if side.drains { Standing::Drained } else { Standing::Serving },
+                    if side.drains { MemberStatus::Drained } else { MemberStatus::Serving },
                     side.asker.settled(),
                 ));
             }
@@ -181,13 +200,13 @@
                 let report = Report {
                     name: format!("s{at}"),
                     incarnation: 1,
-                    process: 1,
-                    standing,
+                    process_nonce: 1,
+                    status: standing,
                     groups: vec!["a".into()],
-                    settled,
+                    settled_requests: settled,
                     ..Report::default()
                 };
-                self.heard.report(now, &report, &self.fleet);
+                self.heard.record_report(now, &report, &self.fleet);
                 for command in self.heard.proposals(now, &self.fleet) {
                     self.apply(&command);
                 }
@@ -196,7 +215,11 @@
                 self.now += 5000;
                 if fault == Fault::FreedByTime {
                     for at in 0..2 {
-                        self.apply(&Command::Back { name: format!("s{at}"), incarnation: 1, ask: u64::MAX });
+                        self.apply(&Command::ReturnMember {
+                            name: format!("s{at}"),
+                            incarnation: 1,
+                            request: u64::MAX,
+                        });
                     }
                 }
             }
@@ -205,7 +228,7 @@
                     return false;
                 }
                 self.led = true;
-                self.heard = Heard::new(now, TERMS);
+                self.heard = MemberTracker::new(now, TERMS);
             }
         }
         true
