--- a/crates/fleet/tests/releases.rs
+++ b/crates/fleet/tests/releases.rs
@@ -5,46 +5,49 @@
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::Stamp;
-use appledyke_fleet::health::{Figures, Must};
-use appledyke_fleet::heard::{Heard, Terms};
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::budgets::LogPosition;
+use appledyke_fleet::health::{Criteria, RequestCounts};
+use appledyke_fleet::heard::{LivenessTimeouts, MemberTracker};
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::outs::{Amount, Group};
-use appledyke_fleet::releases::{Course, FORMAT, GoesBack, Moves, Order, Plan, Side, Stage};
-use appledyke_fleet::runner::{FRESH, Runner};
-use appledyke_fleet::state::{Answer, Command, Fleet, What, Write, WriteId};
+use appledyke_fleet::releases::{
+    FORMAT, Plan, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
+};
+use appledyke_fleet::runner::{DRAIN_ORDER_MAX_AGE, ReleaseRunner};
+use appledyke_fleet::state::{Answer, Command, Fleet, SettingsChange, Write, WriteId};
 use appledyke_fleet::talk::Report;
 use oorandom::Rand64;
 
 const MEMBERS: usize = 6;
 const MOST: u32 = 2;
 const STEP_MS: u64 = 100;
-const TERMS: Terms = Terms { lease: Span::from_millis(1000), gone: Span::from_millis(600_000) };
+const TERMS: LivenessTimeouts =
+    LivenessTimeouts { lease: Span::from_millis(1000), gone: Span::from_millis(600_000) };
 
-fn plan(goes_back: GoesBack) -> Plan {
+fn plan(goes_back: RollbackPolicy) -> Plan {
     Plan {
         format: FORMAT,
         name: "r".into(),
-        moves: Moves::Sidecars,
+        target_kind: TargetKind::Sidecars,
         group: "a".into(),
         order: Vec::new(),
-        most_out: MOST,
+        max_out: MOST,
         from: "1".into(),
         to: "2".into(),
         action: None,
-        empty_in_ms: 20_000,
-        back_in_ms: 20_000,
+        drain_timeout_ms: 20_000,
+        return_timeout_ms: 20_000,
         settle_ms: 500,
         watch_ms: 1000,
-        watch_most_ms: 20_000,
-        must: Must {
-            least_reqs: 40,
+        max_watch_ms: 20_000,
+        criteria: Criteria {
+            min_requests: 40,
             served_lower: Some(0.05),
-            nacked_higher: None,
+            rejected_higher: None,
             failed_higher: None,
             slow_higher: None,
         },
-        goes_back,
+        rollback: goes_back,
     }
 }
 
@@ -54,7 +57,7 @@
     version: &'static str,
     sent: bool,
     drained_for: u64,
-    figures: Figures,
+    figures: RequestCounts,
     /// Until when it is silent: its clients are served, and it hears nothing.
     silent: u64,
     /// It has been taken down at this time by whoever moves it, and comes back.
@@ -73,8 +76,8 @@
     chance: Rand64,
     now: u64,
     fleet: Fleet,
-    heard: Heard,
-    runner: Runner,
+    heard: MemberTracker,
+    runner: ReleaseRunner,
     members: Vec<Process>,
     /// Answers on their way: when they come, to whom, to which process, asked when, and what they say.
     answers: Vec<(u64, usize, u64, u64, bool)>,
@@ -97,27 +100,27 @@
     fn new(seed: u64, plan: &Plan, bad: Option<&'static str>, faults: bool, flaw: Flaw) -> World {
         let mut fleet = Fleet::default();
         let most_out = Some(Amount::Number(MOST));
-        let group = Group { name: "a".into(), most_out, least_serving: None, endpoints: vec![] };
+        let group = Group { name: "a".into(), max_out: most_out, min_serving: None, endpoints: vec![] };
         let write = Write {
             id: WriteId(1, 1),
-            expects: None,
-            by: String::new(),
-            why: String::new(),
+            expected_version: None,
+            author: String::new(),
+            reason: String::new(),
             at_ms: 0,
-            what: What::Put("{}".into(), vec![], vec![group]),
+            change: SettingsChange::Put("{}".into(), vec![], vec![group]),
         };
         fleet.apply(1, &Command::Write(write));
         for at in 0..MEMBERS {
             let groups = vec!["a".to_string()];
-            let standing = Standing::Serving;
-            fleet.apply(2, &Command::Member { name: name(at), incarnation: 1, standing, groups });
+            let standing = MemberStatus::Serving;
+            fleet.apply(2, &Command::Member { name: name(at), incarnation: 1, status: standing, groups });
         }
         let process = Process {
             incarnation: 1,
             version: "1",
             sent: false,
             drained_for: 0,
-            figures: Figures::default(),
+            figures: RequestCounts::default(),
             silent: 0,
             down: None,
         };
@@ -125,8 +128,8 @@
             chance: Rand64::new(u128::from(seed)),
             now: 0,
             fleet,
-            heard: Heard::new(Moment::default(), TERMS),
-            runner: Runner::new(),
+            heard: MemberTracker::new(Moment::default(), TERMS),
+            runner: ReleaseRunner::new(),
             members: vec![process; MEMBERS],
             answers: Vec::new(),
             entries: Vec::new(),
@@ -138,8 +141,8 @@
             most_drained: 0,
         };
         (0..40).for_each(|_| world.step());
-        let before = world.runner.before(world.at(), &world.fleet, "a", Moves::Sidecars);
-        let start = Command::Release(Order::Start(Box::new(plan.clone()), before));
+        let before = world.runner.baseline(world.at(), &world.fleet, "a", TargetKind::Sidecars);
+        let start = Command::Release(ReleaseUpdate::Start(Box::new(plan.clone()), before));
         world.index += 1;
         assert_eq!(world.fleet.apply(world.index, &start), Answer::Done);
         world
@@ -153,15 +156,17 @@
         self.chance.rand_range(0..to)
     }
 
-    fn course(&self) -> Course {
-        self.fleet.releases().get("r").map_or(Course::Forward, |release| release.course.clone())
+    fn course(&self) -> ReleaseState {
+        self.fleet.releases().get("r").map_or(ReleaseState::RollingOut, |release| release.state.clone())
     }
 
     fn apply(&mut self, command: &Command) {
-        let sends = matches!(command, Command::Release(Order::Send { .. }));
+        let sends = matches!(command, Command::Release(ReleaseUpdate::BeginTransition { .. }));
         // Counted anew, by the members' own state in the log.
         let out = |fleet: &Fleet| {
-            let out = |m: &&appledyke_fleet::members::Member| m.standing != Standing::Serving || m.sent;
+            let out = |m: &&appledyke_fleet::members::Member| {
+                m.status != MemberStatus::Serving || m.drained_by_release
+            };
             fleet.members().values().filter(out).count()
         };
         let before = out(&self.fleet);
@@ -199,18 +204,18 @@
             if process.silent > self.now || !(self.now / STEP_MS + who as u64).is_multiple_of(2) {
                 continue;
             }
-            let standing = if process.sent { Standing::Drained } else { Standing::Serving };
+            let standing = if process.sent { MemberStatus::Drained } else { MemberStatus::Serving };
             let report = Report {
                 name: name(who),
                 incarnation: process.incarnation,
-                process: process.incarnation,
-                standing,
+                process_nonce: process.incarnation,
+                status: standing,
                 groups: vec!["a".into()],
-                runs: process.version.to_string(),
-                figures: process.figures,
-                open: u64::from(process.sent && process.drained_for < 500),
-                sent: process.sent,
-                outs: Stamp::default(),
+                program_version: process.version.to_string(),
+                request_counts: process.figures,
+                open_requests: u64::from(process.sent && process.drained_for < 500),
+                drained_by_release: process.sent,
+                endpoints_known_at: LogPosition::default(),
                 version: Version::default(),
                 ..Report::default()
             };
@@ -218,8 +223,8 @@
             if self.faults && self.draw(20) == 0 {
                 continue;
             }
-            self.heard.report(now, &report, &self.fleet);
-            let sent = self.fleet.releases().sends(&report.name, incarnation);
+            self.heard.record_report(now, &report, &self.fleet);
+            let sent = self.fleet.releases().is_to_drain(&report.name, incarnation);
             // Most answers come at once, some late, some never.
             let late = match self.draw(30) {
                 0 if self.faults => 200 + self.draw(6000),
@@ -230,7 +235,7 @@
         let due: Vec<_> = self.answers.extract_if(.., |answer| answer.0 <= self.now).collect();
         for (_, who, incarnation, asked, sent) in due {
             let process = &mut self.members[who];
-            let fresh = self.now - asked <= FRESH.nanos() / 1_000_000;
+            let fresh = self.now - asked <= DRAIN_ORDER_MAX_AGE.nanos() / 1_000_000;
             if process.incarnation == incarnation
                 && process.down.is_none()
                 && process.silent <= self.now
@@ -264,12 +269,13 @@
     /// Those that are empty are taken down, and come back with the version that the release names.
     fn operators(&mut self) {
         let Some(release) = self.fleet.releases().get("r") else { return };
-        if release.course == Course::Halted {
+        if release.state == ReleaseState::Halted {
             return;
         }
         let due: Vec<(usize, &'static str)> = (0..MEMBERS)
             .filter_map(|who| {
-                let going = release.steps.get(&name(who))?.going.filter(|g| g.stage == Stage::Empty)?;
+                let going =
+                    release.steps.get(&name(who))?.transition.filter(|g| g.stage == Stage::Drained)?;
                 let same = self.members[who].incarnation == going.incarnation || self.flaw == Flaw::ActsAgain;
                 let version = if going.to == Side::New { "2" } else { "1" };
                 (same && self.members[who].down.is_none()).then_some((who, version))
@@ -285,7 +291,7 @@
         let process = &mut self.members[who];
         process.incarnation += 1;
         (process.version, process.sent, process.drained_for) = (version, false, 0);
-        process.figures = Figures::default();
+        process.figures = RequestCounts::default();
         process.down = Some(self.now + away);
     }
 
@@ -293,8 +299,8 @@
         match self.draw(400) {
             0 => {
                 // Another leads from here on, and knows the log only.
-                self.heard = Heard::new(self.at(), TERMS);
-                self.runner = Runner::new();
+                self.heard = MemberTracker::new(self.at(), TERMS);
+                self.runner = ReleaseRunner::new();
                 self.entries.clear();
             }
             1 => {
@@ -308,10 +314,10 @@
             }
             4 | 5 => {
                 let (release, why) = ("r".to_string(), "a trial".to_string());
-                self.apply(&Command::Release(Order::Halt { release, why, worse: false }));
+                self.apply(&Command::Release(ReleaseUpdate::Halt { release, why, worse: false }));
             }
-            3 if self.course() == Course::Halted => {
-                self.apply(&Command::Release(Order::Resume("r".into())));
+            3 if self.course() == ReleaseState::Halted => {
+                self.apply(&Command::Release(ReleaseUpdate::Resume("r".into())));
             }
             _ => {}
         }
@@ -327,12 +333,12 @@
     let mut world = World::new(seed, plan, bad, faults, flaw);
     for _ in 0..6000 {
         world.step();
-        if matches!(world.course(), Course::Ended(_)) {
+        if matches!(world.course(), ReleaseState::Ended(_)) {
             break;
         }
         // An operator looks after a while, and lets it go on.
-        if world.faults && world.course() == Course::Halted && world.now.is_multiple_of(20_000) {
-            world.apply(&Command::Release(Order::Resume("r".into())));
+        if world.faults && world.course() == ReleaseState::Halted && world.now.is_multiple_of(20_000) {
+            world.apply(&Command::Release(ReleaseUpdate::Resume("r".into())));
         }
     }
     world
@@ -347,13 +353,13 @@
 #[test]
 fn a_sound_candidate_is_moved_to_all_and_a_flawed_one_goes_back_from_all() {
     for seed in 0..20 {
-        let world = play(seed, &plan(GoesBack::WhenWorse), None, false, Flaw::None);
+        let world = play(seed, &plan(RollbackPolicy::WhenWorse), None, false, Flaw::None);
         kept(&world, seed);
-        assert_eq!(world.course(), Course::Ended("all are moved".into()), "seed {seed}");
+        assert_eq!(world.course(), ReleaseState::Ended("all are moved".into()), "seed {seed}");
         assert_eq!(world.versions(), ["2"; MEMBERS], "seed {seed}");
-        let world = play(seed, &plan(GoesBack::WhenWorse), Some("2"), false, Flaw::None);
+        let world = play(seed, &plan(RollbackPolicy::WhenWorse), Some("2"), false, Flaw::None);
         kept(&world, seed);
-        assert_eq!(world.course(), Course::Ended("all are back".into()), "seed {seed}");
+        assert_eq!(world.course(), ReleaseState::Ended("all are back".into()), "seed {seed}");
         assert_eq!(world.versions(), ["1"; MEMBERS], "seed {seed}");
         let most = world.restarts.keys().filter(|(_, version)| *version == "2").count();
         assert!(most <= MOST as usize, "seed {seed}: {most} moved before it halted");
@@ -364,10 +370,10 @@
 fn whatever_is_struck_no_more_are_out_by_permission_than_may_be_and_none_is_moved_twice() {
     for seed in 0..150 {
         let bad = (seed % 3 == 0).then_some("2");
-        let world = play(seed, &plan(GoesBack::WhenWorse), bad, true, Flaw::None);
+        let world = play(seed, &plan(RollbackPolicy::WhenWorse), bad, true, Flaw::None);
         kept(&world, seed);
-        let Course::Ended(how) = world.course() else {
-            panic!("seed {seed}: {:?}", world.fleet.releases().get("r").map(|release| release.line()))
+        let ReleaseState::Ended(how) = world.course() else {
+            panic!("seed {seed}: {:?}", world.fleet.releases().get("r").map(|release| release.summary()))
         };
         let wanted = if how == "all are moved" { "2" } else { "1" };
         assert_eq!(world.versions(), [wanted; MEMBERS], "seed {seed}: {how}");
@@ -379,7 +385,7 @@
     let found = (0..150).any(|seed| {
         let played = std::panic::catch_unwind(|| {
             let bad = (seed % 3 == 0).then_some("2");
-            kept(&play(seed, &plan(GoesBack::WhenWorse), bad, true, Flaw::ActsAgain), seed);
+            kept(&play(seed, &plan(RollbackPolicy::WhenWorse), bad, true, Flaw::ActsAgain), seed);
         });
         played.is_err()
     });
@@ -388,22 +394,22 @@
 
 #[test]
 fn faulty_plans_are_refused_by_key_and_a_running_one_is_not_replaced() {
-    let good = plan(GoesBack::Never);
+    let good = plan(RollbackPolicy::Never);
     type Breaks = fn(&mut Plan);
     let cases: [(&str, Breaks); 12] = [
         ("format: expected 1, not 2", |p| p.format = 2),
         ("to: expected another version than 1", |p| p.to = "1".into()),
-        ("mostOut: expected at least 1", |p| p.most_out = 0),
+        ("mostOut: expected at least 1", |p| p.max_out = 0),
         ("watchMs: expected 1 to", |p| p.watch_ms = 0),
-        ("watchMostMs: expected at least watchMs", |p| p.watch_most_ms = 999),
+        ("watchMostMs: expected at least watchMs", |p| p.max_watch_ms = 999),
         ("order: s1 stands there twice", |p| p.order = vec!["s1".into(), "s1".into()]),
-        ("must.leastReqs: ", |p| p.must.least_reqs = 0),
-        ("must.servedLower: ", |p| p.must.served_lower = Some(1.5)),
-        ("must: expected", |p| p.must.served_lower = None),
-        ("action: expected one", |p| p.moves = Moves::Endpoints),
+        ("must.leastReqs: ", |p| p.criteria.min_requests = 0),
+        ("must.servedLower: ", |p| p.criteria.served_lower = Some(1.5)),
+        ("must: expected", |p| p.criteria.served_lower = None),
+        ("action: expected one", |p| p.target_kind = TargetKind::Endpoints),
         ("name: expected 1 to", |p| p.name = String::new()),
         ("action.command: expected the whole path", |p| {
-            p.action = Some(appledyke_fleet::releases::Action { command: vec!["sh".into()], within_ms: 5 });
+            p.action = Some(appledyke_fleet::releases::Action { command: vec!["sh".into()], timeout_ms: 5 });
         }),
     ];
     for (said, breaks) in cases {
@@ -415,7 +421,7 @@
     let mut world = World::new(1, &good, None, false, Flaw::None);
     let mut say = |plan: &Plan| {
         world.index += 1;
-        let start = Command::Release(Order::Start(Box::new(plan.clone()), Figures::default()));
+        let start = Command::Release(ReleaseUpdate::Start(Box::new(plan.clone()), RequestCounts::default()));
         match world.fleet.apply(world.index, &start) {
             Answer::Refused(why) => why.to_string(),
             other => format!("{other:?}"),
@@ -428,36 +434,36 @@
     assert_eq!(say(&other), "group: release r moves a already");
     assert_eq!(say(&Plan { group: "b".into(), ..other.clone() }), "group: the settings have no group b");
     world.index += 1;
-    let end = Command::Release(Order::End("r".into(), "so".into()));
+    let end = Command::Release(ReleaseUpdate::End("r".into(), "so".into()));
     assert_eq!(world.fleet.apply(world.index, &end), Answer::Done);
     let mut say = |plan: &Plan| {
         world.index += 1;
-        let start = Command::Release(Order::Start(Box::new(plan.clone()), Figures::default()));
+        let start = Command::Release(ReleaseUpdate::Start(Box::new(plan.clone()), RequestCounts::default()));
         match world.fleet.apply(world.index, &start) {
             Answer::Refused(why) => why.to_string(),
             other => format!("{other:?}"),
         }
     };
     assert_eq!(say(&Plan { order: vec!["x".into()], ..other.clone() }), "order: x is not in a");
-    assert_eq!(say(&Plan { most_out: 6, ..other.clone() }), "mostOut: 6 of 6 would be all; 5 would do");
+    assert_eq!(say(&Plan { max_out: 6, ..other.clone() }), "mostOut: 6 of 6 would be all; 5 would do");
     assert_eq!(say(&other), "Done");
 }
 
 #[test]
 fn one_that_is_restored_halts_and_lets_all_come_back() {
-    let good = plan(GoesBack::Never);
+    let good = plan(RollbackPolicy::Never);
     let mut world = World::new(3, &good, None, false, Flaw::None);
-    while world.fleet.releases().get("r").unwrap().going().next().is_none() {
+    while world.fleet.releases().get("r").unwrap().transitions().next().is_none() {
         world.step();
     }
     let restored = world.fleet.clone().restored(9);
-    assert_eq!(restored.releases().get("r").unwrap().course, Course::Halted);
+    assert_eq!(restored.releases().get("r").unwrap().state, ReleaseState::Halted);
     world.fleet = restored;
-    world.heard = Heard::new(world.at(), TERMS);
-    world.runner = Runner::new();
+    world.heard = MemberTracker::new(world.at(), TERMS);
+    world.runner = ReleaseRunner::new();
     (0..100).for_each(|_| world.step());
     let release = world.fleet.releases().get("r").unwrap();
-    assert_eq!(release.going().count(), 0, "{}", release.line());
+    assert_eq!(release.transitions().count(), 0, "{}", release.summary());
     assert!(world.members.iter().all(|member| !member.sent));
-    assert!(release.line().contains("halted: restored from a backup"), "{}", release.line());
+    assert!(release.summary().contains("halted: restored from a backup"), "{}", release.summary());
 }
--- a/crates/fleet/tests/scopes.rs
+++ b/crates/fleet/tests/scopes.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, HashSet};
 
 use appledyke_fleet::scopes::{
-    Full, Locality, SCOPE_HISTORY_MOST, SCOPED_BYTES_MOST, SCOPES_MOST, Scope, Scopes,
+    Locality, MAX_SCOPE_HISTORY, MAX_SCOPED_BYTES, MAX_SCOPES, Scope, ScopeLimit, Scopes,
 };
-use appledyke_fleet::state::SETTINGS_MOST;
-use appledyke_fleet::talk::{Frame, Reply};
-use appledyke_fleet::{Answer, Command, Fleet, Refusal, Version, What, Write, WriteId};
+use appledyke_fleet::state::MAX_SETTINGS_BYTES;
+use appledyke_fleet::talk::{Frame, OperatorReply};
+use appledyke_fleet::{Answer, Command, Fleet, Refusal, SettingsChange, Version, Write, WriteId};
 use oorandom::Rand64;
 use serde_json::{Map, Value, json};
 
@@ -27,17 +27,17 @@
     text.parse().unwrap()
 }
 
-fn write(id: u64, expects: Option<Version>, what: What) -> Write {
+fn write(id: u64, expects: Option<Version>, what: SettingsChange) -> Write {
     let (by, why) = ("eva".to_string(), "test".to_string());
-    Write { id: WriteId(1, id), expects, by, why, at_ms: id, what }
+    Write { id: WriteId(1, id), expected_version: expects, author: by, reason: why, at_ms: id, change: what }
 }
 
-fn text(settings: &str) -> What {
-    What::Put(settings.to_string(), vec![], vec![])
+fn text(settings: &str) -> SettingsChange {
+    SettingsChange::Put(settings.to_string(), vec![], vec![])
 }
 
 fn put(id: u64, scope: &str, settings: &str) -> Command {
-    Command::Scoped(scope.parse().unwrap(), write(id, None, text(settings)))
+    Command::WriteScoped(scope.parse().unwrap(), write(id, None, text(settings)))
 }
 
 fn version(number: u64) -> Version {
@@ -64,22 +64,26 @@
 
     fn apply(&mut self, scope: &Scope, write: &Write) -> Answer {
         let holds = self.holds(scope);
-        if write.expects.is_some_and(|expected| expected != holds) {
-            return Answer::Refused(Refusal::Holds(holds));
+        if write.expected_version.is_some_and(|expected| expected != holds) {
+            return Answer::Refused(Refusal::VersionMismatch(holds));
         }
-        let kept = if *scope == Scope::All { 64 } else { SCOPE_HISTORY_MOST };
+        let kept = if *scope == Scope::All { 64 } else { MAX_SCOPE_HISTORY };
         let versions: Vec<_> = self.of.get(scope).cloned().unwrap_or_default();
-        let settings = match &write.what {
-            What::Put(settings, ..) => Some(settings.clone()),
-            What::Back(to) => match versions.iter().rev().take(kept).find(|(version, _)| version == to) {
-                Some((_, settings)) => settings.clone(),
-                None => return Answer::Refused(Refusal::Unknown(*to)),
-            },
-            What::Remove if *scope == Scope::All => return Answer::Refused(Refusal::NeverForAll),
-            What::Remove if versions.last().is_none_or(|(_, settings)| settings.is_none()) => {
-                return Answer::Refused(Refusal::NothingPut);
+        let settings = match &write.change {
+            SettingsChange::Put(settings, ..) => Some(settings.clone()),
+            SettingsChange::Rollback(to) => {
+                match versions.iter().rev().take(kept).find(|(version, _)| version == to) {
+                    Some((_, settings)) => settings.clone(),
+                    None => return Answer::Refused(Refusal::UnknownVersion(*to)),
+                }
+            }
+            SettingsChange::Remove if *scope == Scope::All => {
+                return Answer::Refused(Refusal::GlobalNotRemovable);
             }
-            What::Remove => None,
+            SettingsChange::Remove if versions.last().is_none_or(|(_, settings)| settings.is_none()) => {
+                return Answer::Refused(Refusal::NothingToRemove);
+            }
+            SettingsChange::Remove => None,
         };
         self.latest.number += 1;
         self.of.entry(scope.clone()).or_default().push((self.latest, settings));
@@ -129,7 +133,7 @@
 }
 
 fn settings_of(fleet: &Fleet, name: &str, locality: &Locality) -> Option<(Version, Value)> {
-    let (version, settings) = fleet.settings_of(name, locality)?;
+    let (version, settings) = fleet.settings_for(name, locality)?;
     Some((version, serde_json::from_str(&settings).unwrap()))
 }
 
@@ -178,17 +182,17 @@
             if chance.rand_range(0..40) == 0 {
                 let generation = model.latest.generation + 1;
                 model.restored(generation);
-                fleet = Fleet::of(&fleet.bytes()).unwrap().restored(generation);
+                fleet = Fleet::from_bytes(&fleet.to_bytes()).unwrap().restored(generation);
                 twin = twin.restored(generation);
                 *seen.entry("restored").or_insert(0) += 1;
             } else if let Some((command, answer)) =
                 said.last().filter(|_| chance.rand_range(0..20) == 0).cloned()
             {
                 // Said again, whatever came between: it has its first answer, and no other effect.
-                let before = fleet.settings_of("s1", &members()[0].1);
+                let before = fleet.settings_for("s1", &members()[0].1);
                 assert_eq!(fleet.apply(step, &command), answer, "{context}");
                 twin.apply(step, &command);
-                assert_eq!(fleet.settings_of("s1", &members()[0].1), before);
+                assert_eq!(fleet.settings_for("s1", &members()[0].1), before);
             } else {
                 let scope = pick(&mut chance, &scopes).clone();
                 let expects = match chance.rand_range(0..4) {
@@ -197,12 +201,16 @@
                     _ => None,
                 };
                 let what = match chance.rand_range(0..8) {
-                    0 => What::Remove,
+                    0 => SettingsChange::Remove,
                     1 | 2 => {
                         let from = model.of.get(pick(&mut chance, &scopes)).into_iter().flatten();
                         let versions: Vec<Version> = from.map(|(version, _)| *version).collect();
                         let some = |chance: &mut Rand64| *pick(chance, &versions);
-                        What::Back(if versions.is_empty() { version(999) } else { some(&mut chance) })
+                        SettingsChange::Rollback(if versions.is_empty() {
+                            version(999)
+                        } else {
+                            some(&mut chance)
+                        })
                     }
                     _ => {
                         let keys = ["x", "y", "z"];
@@ -217,16 +225,16 @@
                 let expected = model.apply(&scope, &write);
                 let command = match &scope {
                     Scope::All if chance.rand_range(0..2) == 0 => Command::Write(write),
-                    _ => Command::Scoped(scope, write),
+                    _ => Command::WriteScoped(scope, write),
                 };
                 assert_eq!(fleet.apply(step, &command), expected, "{context}: {command:?}");
-                let again = Command::of(&command.bytes()).unwrap();
+                let again = Command::from_bytes(&command.to_bytes()).unwrap();
                 assert_eq!(twin.apply(step, &again), expected);
                 let kind = match &expected {
-                    Answer::Refused(Refusal::Holds(_)) => "held",
-                    Answer::Refused(Refusal::Unknown(_)) => "unknown",
-                    Answer::Refused(Refusal::NothingPut) => "nothing put",
-                    Answer::Refused(Refusal::NeverForAll) => "never for all",
+                    Answer::Refused(Refusal::VersionMismatch(_)) => "held",
+                    Answer::Refused(Refusal::UnknownVersion(_)) => "unknown",
+                    Answer::Refused(Refusal::NothingToRemove) => "nothing put",
+                    Answer::Refused(Refusal::GlobalNotRemovable) => "never for all",
                     Answer::Committed(_) => "committed",
                     other => panic!("{context}: {other:?}"),
                 };
@@ -242,9 +250,9 @@
                 assert!(before <= version, "{context}, {name}: {before} and then {version}");
             }
             for scope in &scopes {
-                assert_eq!(fleet.version_of(scope), model.holds(scope), "{context}, {scope}");
+                assert_eq!(fleet.scope_version(scope), model.holds(scope), "{context}, {scope}");
             }
-            let read = Fleet::of(&fleet.bytes()).unwrap();
+            let read = Fleet::from_bytes(&fleet.to_bytes()).unwrap();
             assert_eq!((read.digest(), &read), (fleet.digest(), &fleet), "{context}");
         }
     }
@@ -269,8 +277,8 @@
             .unwrap_err()
             .starts_with("zone")
     );
-    assert_eq!(Locality::default().service_mark(), 0);
-    assert_ne!(belongs("menu", "", "").service_mark(), belongs("cart", "", "").service_mark());
+    assert_eq!(Locality::default().service_hash(), 0);
+    assert_ne!(belongs("menu", "", "").service_hash(), belongs("cart", "", "").service_hash());
 }
 
 #[test]
@@ -278,35 +286,35 @@
     let mut fleet = Fleet::default();
     let refused = |fleet: &mut Fleet, id, scope: Scope, what| {
         let before = fleet.version();
-        let said = fleet.apply(id, &Command::Scoped(scope, write(id, None, what)));
+        let said = fleet.apply(id, &Command::WriteScoped(scope, write(id, None, what)));
         assert_eq!((fleet.version(), fleet.scopes().is_empty()), (before, true));
         said
     };
     let zone = || scope("zone=a1");
-    let long = "x".repeat(SETTINGS_MOST + 1);
+    let long = "x".repeat(MAX_SETTINGS_BYTES + 1);
     let budget = appledyke_fleet::budgets::Budget {
-        of: appledyke_fleet::budgets::Thing::Repeats,
-        whole: 9,
+        resource: appledyke_fleet::budgets::Resource::Retries,
+        quota: 9,
         window_ms: 10,
-        least: 1,
-        alone: 1,
-        members: 2,
+        min_share: 1,
+        standalone_share: 1,
+        max_members: 2,
     };
     let group = appledyke_fleet::outs::Group {
         name: "g".to_string(),
-        most_out: None,
-        least_serving: None,
+        max_out: None,
+        min_serving: None,
         endpoints: vec![],
     };
     for (scope, what, why) in [
-        (zone(), text(&long), Refusal::TooMuch),
-        (Scope::Zone(String::new()), text("{}"), Refusal::TooMuch),
-        (Scope::Service("x".repeat(257)), text("{}"), Refusal::TooMuch),
-        (zone(), What::Put("{}".into(), vec![budget], vec![]), Refusal::OnlyForAll),
-        (zone(), What::Put("{}".into(), vec![], vec![group]), Refusal::OnlyForAll),
-        (zone(), What::Back(version(1)), Refusal::Unknown(version(1))),
-        (zone(), What::Remove, Refusal::NothingPut),
-        (Scope::All, What::Remove, Refusal::NeverForAll),
+        (zone(), text(&long), Refusal::LimitExceeded),
+        (Scope::Zone(String::new()), text("{}"), Refusal::LimitExceeded),
+        (Scope::Service("x".repeat(257)), text("{}"), Refusal::LimitExceeded),
+        (zone(), SettingsChange::Put("{}".into(), vec![budget], vec![]), Refusal::GlobalOnly),
+        (zone(), SettingsChange::Put("{}".into(), vec![], vec![group]), Refusal::GlobalOnly),
+        (zone(), SettingsChange::Rollback(version(1)), Refusal::UnknownVersion(version(1))),
+        (zone(), SettingsChange::Remove, Refusal::NothingToRemove),
+        (Scope::All, SettingsChange::Remove, Refusal::GlobalNotRemovable),
     ] {
         let id = fleet.applied() + 1;
         assert!(!why.to_string().is_empty());
@@ -318,33 +326,38 @@
 #[test]
 fn texts_of_all_scopes_have_a_bound_and_what_holds_goes_before_what_held() {
     let mut fleet = Fleet::default();
-    let long = |letter: &str| format!("{{\"x\": \"{}\"}}", letter.repeat(SETTINGS_MOST - 100));
+    let long = |letter: &str| format!("{{\"x\": \"{}\"}}", letter.repeat(MAX_SETTINGS_BYTES - 100));
     let mut id = 0;
-    let mut say = |fleet: &mut Fleet, at: usize, what: What| {
+    let mut say = |fleet: &mut Fleet, at: usize, what: SettingsChange| {
         id += 1;
-        fleet.apply(id, &Command::Scoped(Scope::Service(at.to_string()), write(id, None, what)))
+        fleet.apply(id, &Command::WriteScoped(Scope::Service(at.to_string()), write(id, None, what)))
     };
     // The history of one fills a good part of the room.
-    for _ in 0..SCOPE_HISTORY_MOST + 4 {
+    for _ in 0..MAX_SCOPE_HISTORY + 4 {
         assert!(matches!(say(&mut fleet, 0, text(&long("h"))), Answer::Committed(_)));
     }
-    assert_eq!(fleet.scopes().history(&scope("service=0")).count(), SCOPE_HISTORY_MOST);
-    let fit = SCOPED_BYTES_MOST / SETTINGS_MOST;
+    assert_eq!(fleet.scopes().history(&scope("service=0")).count(), MAX_SCOPE_HISTORY);
+    let fit = MAX_SCOPED_BYTES / MAX_SETTINGS_BYTES;
     for at in 1..fit {
         assert!(matches!(say(&mut fleet, at, text(&long("a"))), Answer::Committed(_)), "{at}");
     }
     assert_eq!(fleet.scopes().history(&scope("service=0")).count(), 1);
-    let before = fleet.bytes();
-    assert_eq!(say(&mut fleet, fit, text(&long("b"))), Answer::Refused(Refusal::Full(Full::Bytes)));
-    assert!(Full::Bytes.to_string().contains(&SCOPED_BYTES_MOST.to_string()));
+    let before = fleet.to_bytes();
+    assert_eq!(
+        say(&mut fleet, fit, text(&long("b"))),
+        Answer::Refused(Refusal::ScopeLimit(ScopeLimit::Bytes))
+    );
+    assert!(ScopeLimit::Bytes.to_string().contains(&MAX_SCOPED_BYTES.to_string()));
     assert_eq!(fleet.scopes().iter().count(), fit);
     // What is longer than what it follows by more than there is room for is refused too; removing makes room.
-    assert!(matches!(say(&mut fleet, 3, What::Remove), Answer::Committed(_)));
+    assert!(matches!(say(&mut fleet, 3, SettingsChange::Remove), Answer::Committed(_)));
     assert!(matches!(say(&mut fleet, fit, text(&long("b"))), Answer::Committed(_)));
-    let last = fleet.version_of(&scope(&format!("service={fit}")));
+    let last = fleet.scope_version(&scope(&format!("service={fit}")));
     assert_eq!(last, fleet.version());
-    assert!(before.len() <= SCOPED_BYTES_MOST + (1 << 20));
-    assert!(Frame::Reply { number: 1, reply: Reply::Backup(fleet.bytes()) }.write(&mut Vec::new()));
+    assert!(before.len() <= MAX_SCOPED_BYTES + (1 << 20));
+    assert!(
+        Frame::Reply { number: 1, reply: OperatorReply::Backup(fleet.to_bytes()) }.write(&mut Vec::new())
+    );
 }
 
 /// Danger: a scope that is not kept any more, and a member that was away when it was removed.
@@ -352,27 +365,31 @@
 fn scopes_have_a_bound_and_who_was_away_hears_of_one_that_gave_way() {
     let mut fleet = Fleet::default();
     let mut id = 0;
-    let mut say = |fleet: &mut Fleet, at: usize, what: What| {
+    let mut say = |fleet: &mut Fleet, at: usize, what: SettingsChange| {
         id += 1;
-        fleet.apply(id, &Command::Scoped(Scope::Service(at.to_string()), write(id, None, what)))
+        fleet.apply(id, &Command::WriteScoped(Scope::Service(at.to_string()), write(id, None, what)))
     };
-    for at in 0..SCOPES_MOST {
+    for at in 0..MAX_SCOPES {
         assert!(matches!(say(&mut fleet, at, text("{\"x\": 1}")), Answer::Committed(_)));
     }
-    assert_eq!(say(&mut fleet, SCOPES_MOST, text("{}")), Answer::Refused(Refusal::Full(Full::Scopes)));
+    assert_eq!(
+        say(&mut fleet, MAX_SCOPES, text("{}")),
+        Answer::Refused(Refusal::ScopeLimit(ScopeLimit::Scopes))
+    );
     let away = belongs("7", "", "");
     let (had, _) = settings_of(&fleet, "s1", &away).unwrap();
-    say(&mut fleet, 7, What::Remove);
-    assert!(matches!(say(&mut fleet, SCOPES_MOST, text("{}")), Answer::Committed(_)));
-    assert_eq!(fleet.scopes().last(&scope("service=7")), None);
+    say(&mut fleet, 7, SettingsChange::Remove);
+    assert!(matches!(say(&mut fleet, MAX_SCOPES, text("{}")), Answer::Committed(_)));
+    assert_eq!(fleet.scopes().latest(&scope("service=7")), None);
     let (now, settings) = settings_of(&fleet, "s1", &away).unwrap();
     assert!(now > had && settings == json!({}), "{now}: {settings}");
     // One that is refused takes nothing with it.
-    say(&mut fleet, 8, What::Remove);
+    say(&mut fleet, 8, SettingsChange::Remove);
     let mut scopes: Scopes = fleet.scopes().clone();
-    let huge = fleet.scopes().last(&scope("service=9")).unwrap().clone();
-    let huge = appledyke_fleet::scopes::Scoped { settings: Some("x".repeat(SCOPED_BYTES_MOST)), ..huge };
-    assert_eq!(scopes.put(&scope("service=new"), huge), Err(Full::Bytes));
+    let huge = fleet.scopes().latest(&scope("service=9")).unwrap().clone();
+    let huge =
+        appledyke_fleet::scopes::ScopedSettings { settings: Some("x".repeat(MAX_SCOPED_BYTES)), ..huge };
+    assert_eq!(scopes.put(&scope("service=new"), huge), Err(ScopeLimit::Bytes));
     assert_eq!(scopes, *fleet.scopes());
 }
 
@@ -382,13 +399,13 @@
     let mut fleet = Fleet::default();
     fleet.apply(1, &put(1, "all", "{\"x\": 0, \"y\": 0}"));
     let (menu, cart) = (belongs("menu", "a1", "a"), belongs("cart", "a1", "a"));
-    let before = fleet.settings_of("s2", &cart);
+    let before = fleet.settings_for("s2", &cart);
     for id in 2..=101 {
         fleet.apply(id, &put(id, "service=menu", &format!("{{\"x\": {id}}}")));
     }
     let (now, settings) = settings_of(&fleet, "s1", &menu).unwrap();
     assert_eq!((now, settings), (version(101), json!({"x": 101, "y": 0})));
-    assert_eq!(fleet.settings_of("s2", &cart), before);
+    assert_eq!(fleet.settings_for("s2", &cart), before);
     // As it was put, to the byte, where nothing else concerns it.
     assert_eq!(before.unwrap(), (version(1), "{\"x\": 0, \"y\": 0}".to_string()));
     // Who changes its service is another process: it has what holds there.
@@ -401,7 +418,7 @@
     for (id, of) in [(1, "service=menu"), (2, "zone=a1"), (3, "region=a"), (4, "member=s9")] {
         fleet.apply(id, &put(id, of, "{}"));
     }
-    fleet.apply(5, &Command::Scoped(scope("region=a"), write(5, None, What::Remove)));
+    fleet.apply(5, &Command::WriteScoped(scope("region=a"), write(5, None, SettingsChange::Remove)));
     let members = members();
     let ways = fleet.scopes().combinations(members.iter().map(|(name, locality)| (*name, locality)));
     let ways: Vec<Vec<String>> =
@@ -493,12 +510,13 @@
         world
     }
 
-    fn say(&mut self, scope: &Scope, expects: Option<Version>, what: What) -> Result<(), String> {
+    fn say(&mut self, scope: &Scope, expects: Option<Version>, what: SettingsChange) -> Result<(), String> {
         self.id += 1;
         let write = write(self.id, expects, what);
         let expected = self.model.apply(scope, &write);
-        let forced = if self.fault == Fault::Unexpected { Write { expects: None, ..write } } else { write };
-        let said = self.fleet.apply(self.id, &Command::Scoped(scope.clone(), forced));
+        let forced =
+            if self.fault == Fault::Unexpected { Write { expected_version: None, ..write } } else { write };
+        let said = self.fleet.apply(self.id, &Command::WriteScoped(scope.clone(), forced));
         if said != expected {
             return Err(format!("{said:?}, where {expected:?} was due"));
         }
@@ -510,7 +528,7 @@
     fn told(&self, fleet: &Fleet) -> Option<(Version, Value)> {
         let (version, settings) = settings_of(fleet, "s1", &locality())?;
         let scopes = [scope("zone=a1"), scope("service=menu")];
-        let mut lasts = scopes.iter().filter_map(|scope| fleet.scopes().last(scope));
+        let mut lasts = scopes.iter().filter_map(|scope| fleet.scopes().latest(scope));
         let all = fleet.settings().map(|written| written.version);
         let restored = (fleet.version().generation > 0).then(|| fleet.version());
         let version = match self.fault {
@@ -547,7 +565,7 @@
         match step {
             Step::Put => self.say(&own, None, fresh("k", id)),
             Step::Read => {
-                self.read = self.fleet.version_of(&own);
+                self.read = self.fleet.scope_version(&own);
                 Ok(())
             }
             Step::PutExpecting => self.say(&own, Some(self.read), fresh("l", id)),
@@ -555,11 +573,11 @@
             Step::PutAll => self.say(&Scope::All, None, fresh("l", id)),
             Step::Back => {
                 let first = self.model.of.get(&own).map_or(version(77), |history| history[0].0);
-                self.say(&own, None, What::Back(first))
+                self.say(&own, None, SettingsChange::Rollback(first))
             }
-            Step::Remove => self.say(&own, None, What::Remove),
+            Step::Remove => self.say(&own, None, SettingsChange::Remove),
             Step::Install => {
-                self.behind = Fleet::of(&self.fleet.bytes())?;
+                self.behind = Fleet::from_bytes(&self.fleet.to_bytes())?;
                 self.model_behind = self.model.clone();
                 let same = self.behind.digest() == self.fleet.digest();
                 if same { Ok(()) } else { Err("a copy differs".to_string()) }
--- a/crates/lab/src/releases.rs
+++ b/crates/lab/src/releases.rs
@@ -2,13 +2,15 @@
 //! as well as its version lets it. One daemon that never fails; what daemons do when they fail is the rig's to show.
 
 use appledyke::units::{Moment, Span};
-use appledyke_fleet::health::{Figures, Must};
-use appledyke_fleet::heard::{Heard, Terms};
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::health::{Criteria, RequestCounts};
+use appledyke_fleet::heard::{LivenessTimeouts, MemberTracker};
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::outs::{Amount, Group};
-use appledyke_fleet::releases::{Course, FORMAT, GoesBack, Moves, Order, Plan, Side, Stage};
-use appledyke_fleet::runner::Runner;
-use appledyke_fleet::state::{Command, Fleet, What, Write, WriteId};
+use appledyke_fleet::releases::{
+    FORMAT, Plan, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
+};
+use appledyke_fleet::runner::ReleaseRunner;
+use appledyke_fleet::state::{Command, Fleet, SettingsChange, Write, WriteId};
 use appledyke_fleet::talk::Report;
 use oorandom::Rand64;
 use serde::Serialize;
@@ -84,7 +86,7 @@
     incarnation: u64,
     new: bool,
     since: u64,
-    figures: Figures,
+    figures: RequestCounts,
     drained: Option<u64>,
     down: Option<u64>,
 }
@@ -98,26 +100,26 @@
     Plan {
         format: FORMAT,
         name: "release".into(),
-        moves: Moves::Sidecars,
+        target_kind: TargetKind::Sidecars,
         group: "all".into(),
         order: Vec::new(),
-        most_out: most.min(sidecars as u32),
+        max_out: most.min(sidecars as u32),
         from: "old".into(),
         to: "new".into(),
         action: None,
-        empty_in_ms: 30_000,
-        back_in_ms: 60_000,
+        drain_timeout_ms: 30_000,
+        return_timeout_ms: 60_000,
         settle_ms: 5000,
         watch_ms: 10_000,
-        watch_most_ms: 60_000,
-        must: Must {
-            least_reqs: 100,
+        max_watch_ms: 60_000,
+        criteria: Criteria {
+            min_requests: 100,
             served_lower: Some(0.02),
-            nacked_higher: None,
+            rejected_higher: None,
             failed_higher: None,
             slow_higher: Some(0.05),
         },
-        goes_back: GoesBack::WhenWorse,
+        rollback: RollbackPolicy::WhenWorse,
     }
 }
 
@@ -129,33 +131,33 @@
     let mut fleet = Fleet::default();
     let group = Group {
         name: "all".into(),
-        most_out: Some(Amount::Number(most)),
-        least_serving: None,
+        max_out: Some(Amount::Number(most)),
+        min_serving: None,
         endpoints: Vec::new(),
     };
     let write = Write {
         id: WriteId(1, 1),
-        expects: None,
-        by: String::new(),
-        why: String::new(),
+        expected_version: None,
+        author: String::new(),
+        reason: String::new(),
         at_ms: 0,
-        what: What::Put("{}".into(), Vec::new(), vec![group]),
+        change: SettingsChange::Put("{}".into(), Vec::new(), vec![group]),
     };
     let mut index = 1;
     fleet.apply(index, &Command::Write(write));
     let name = |at: usize| format!("s{at:04}");
     for at in 0..sidecars {
         index += 1;
-        let (standing, groups) = (Standing::Serving, vec!["all".to_string()]);
-        fleet.apply(index, &Command::Member { name: name(at), incarnation: 1, standing, groups });
+        let (standing, groups) = (MemberStatus::Serving, vec!["all".to_string()]);
+        fleet.apply(index, &Command::Member { name: name(at), incarnation: 1, status: standing, groups });
     }
-    let terms = Terms { lease: Span::from_millis(3000), gone: Span::from_millis(600_000) };
-    let (mut heard, mut runner) = (Heard::new(Moment::default(), terms), Runner::new());
+    let terms = LivenessTimeouts { lease: Span::from_millis(3000), gone: Span::from_millis(600_000) };
+    let (mut heard, mut runner) = (MemberTracker::new(Moment::default(), terms), ReleaseRunner::new());
     let fresh = |_| Sidecar {
         incarnation: 1,
         new: false,
         since: 0,
-        figures: Figures::default(),
+        figures: RequestCounts::default(),
         drained: None,
         down: None,
     };
@@ -221,26 +223,26 @@
             if !(now / STEP_MS + who as u64).is_multiple_of(BEAT_STEPS) {
                 continue;
             }
-            let sent = fleet.releases().sends(&name(who), one.incarnation);
+            let sent = fleet.releases().is_to_drain(&name(who), one.incarnation);
             one.drained = if sent { one.drained.or(Some(now)) } else { None };
             let report = Report {
                 name: name(who),
                 incarnation: one.incarnation,
-                process: one.incarnation,
-                standing: if sent { Standing::Drained } else { Standing::Serving },
+                process_nonce: one.incarnation,
+                status: if sent { MemberStatus::Drained } else { MemberStatus::Serving },
                 groups: vec!["all".into()],
-                runs: if one.new { "new" } else { "old" }.to_string(),
-                figures: one.figures,
-                open: u64::from(one.drained.is_some_and(|since| now - since < DRAIN_MS * times)),
-                sent,
+                program_version: if one.new { "new" } else { "old" }.to_string(),
+                request_counts: one.figures,
+                open_requests: u64::from(one.drained.is_some_and(|since| now - since < DRAIN_MS * times)),
+                drained_by_release: sent,
                 ..Report::default()
             };
-            heard.report(at, &report, &fleet);
+            heard.record_report(at, &report, &fleet);
         }
         if now == BEFORE_MS {
-            let before = runner.before(at, &fleet, "all", Moves::Sidecars);
+            let before = runner.baseline(at, &fleet, "all", TargetKind::Sidecars);
             index += 1;
-            fleet.apply(index, &Command::Release(Order::Start(Box::new(plan.clone()), before)));
+            fleet.apply(index, &Command::Release(ReleaseUpdate::Start(Box::new(plan.clone()), before)));
         }
         let orders = runner.proposals(at, &fleet, &heard).into_iter().map(Command::Release);
         for command in orders.chain(heard.proposals(at, &fleet)).collect::<Vec<_>>() {
@@ -257,25 +259,28 @@
             moved_at_halt = all.iter().filter(|one| one.new).count();
         }
         // An operator looks at an outage, and lets the release go on once it is over.
-        if candidate == Candidate::Outage && release.course == Course::Halted && now > BEFORE_MS + 140_000 {
+        if candidate == Candidate::Outage
+            && release.state == ReleaseState::Halted
+            && now > BEFORE_MS + 140_000
+        {
             index += 1;
-            fleet.apply(index, &Command::Release(Order::Resume("release".into())));
+            fleet.apply(index, &Command::Release(ReleaseUpdate::Resume("release".into())));
         }
         let Some(release) = fleet.releases().get("release") else { continue };
-        if let Course::Ended(how) = &release.course {
+        if let ReleaseState::Ended(how) = &release.state {
             break how.clone();
         }
         if now > LENGTH_MOST_MS {
-            break release.line();
+            break release.summary();
         }
-        if release.course == Course::Halted {
+        if release.state == ReleaseState::Halted {
             continue;
         }
-        for (who, going) in release.going().filter(|(_, going)| going.stage == Stage::Empty) {
+        for (who, going) in release.transitions().filter(|(_, going)| going.stage == Stage::Drained) {
             let Some(one) = who[1..].parse::<usize>().ok().and_then(|at| all.get_mut(at)) else { continue };
             if one.incarnation == going.incarnation && one.down.is_none() {
                 one.incarnation += 1;
-                (one.new, one.drained, one.figures) = (going.to == Side::New, None, Figures::default());
+                (one.new, one.drained, one.figures) = (going.to == Side::New, None, RequestCounts::default());
                 one.down = Some(now + START_MS * times);
             }
         }
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -8,8 +8,8 @@
 
 use appledyke_consensus::Id;
 use appledyke_fleet::Version;
-use appledyke_fleet::state::{What, Write, WriteId, Written};
-use appledyke_fleet::talk::{Ask, Frame, Frames, Reply, Status, Who};
+use appledyke_fleet::state::{SettingsChange, SettingsVersion, Write, WriteId};
+use appledyke_fleet::talk::{Frame, FrameReader, Initiator, OperatorReply, OperatorRequest, Status};
 use std::io::{Read, Write as _};
 use std::net::TcpStream;
 
@@ -65,15 +65,15 @@
 ///
 /// # Errors
 /// Why there was none.
-pub fn ask(at: SocketAddr, ask: &Ask, within: Duration) -> Result<Reply, String> {
+pub fn ask(at: SocketAddr, ask: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
     let told = |e: std::io::Error| format!("{at}: {e}");
     let until = Instant::now() + within;
     let mut stream = TcpStream::connect_timeout(&at, within).map_err(told)?;
     let mut out = Vec::new();
-    Frame::hello(FLEET, Who::Operator).write(&mut out);
-    Frame::Ask { number: 1, ask: ask.clone() }.write(&mut out);
+    Frame::hello(FLEET, Initiator::Operator).write(&mut out);
+    Frame::Request { number: 1, ask: ask.clone() }.write(&mut out);
     stream.write_all(&out).map_err(told)?;
-    let (mut frames, mut piece) = (Frames::default(), [0; 16 * 1024]);
+    let (mut frames, mut piece) = (FrameReader::default(), [0; 16 * 1024]);
     loop {
         while let Some(frame) = frames.pop()? {
             if let Frame::Reply { reply, .. } = frame {
@@ -266,8 +266,8 @@
     }
 
     pub fn status(&self, place: u16) -> Option<Status> {
-        match ask(self.at(place), &Ask::Status, Duration::from_millis(500)) {
-            Ok(Reply::Status(status)) => Some(status),
+        match ask(self.at(place), &OperatorRequest::Status, Duration::from_millis(500)) {
+            Ok(OperatorReply::Status(status)) => Some(status),
             _ => None,
         }
     }
@@ -311,15 +311,15 @@
     ///
     /// # Errors
     /// That none did in time; for a write, that its fate is unknown.
-    pub fn ask(&self, asked: &Ask, within: Duration) -> Result<Reply, String> {
+    pub fn ask(&self, asked: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
         let until = Instant::now() + within;
         let mut last = String::new();
         while Instant::now() < until {
             for place in self.places().filter(|place| self.running(*place)) {
                 let left = until.saturating_duration_since(Instant::now()).min(Duration::from_secs(2));
                 match ask(self.at(place), asked, left.max(Duration::from_millis(1))) {
-                    Ok(Reply::NotLeader(_)) => {}
-                    Ok(Reply::Unknown(why)) => last = why,
+                    Ok(OperatorReply::NotLeader(_)) => {}
+                    Ok(OperatorReply::Unknown(why)) => last = why,
                     Ok(reply) => return Ok(reply),
                     Err(why) => last = why,
                 }
@@ -330,10 +330,10 @@
     }
 
     /// A write that is like no other.
-    pub fn a_write(&mut self, what: What, expects: Option<Version>) -> Write {
+    pub fn a_write(&mut self, what: SettingsChange, expects: Option<Version>) -> Write {
         self.writes += 1;
         let (id, by, why) = (WriteId(7, self.writes), "rig".to_string(), format!("write {}", self.writes));
-        Write { id, expects, by, why, at_ms: 0, what }
+        Write { id, expected_version: expects, author: by, reason: why, at_ms: 0, change: what }
     }
 
     /// Puts settings, and says which version they became.
@@ -341,18 +341,18 @@
     /// # Errors
     /// What came instead.
     pub fn put(&mut self, settings: &str) -> Result<Version, String> {
-        let write = self.a_write(What::Put(settings.to_string(), Vec::new(), Vec::new()), None);
-        match self.ask(&Ask::Write(write), PATIENCE)? {
-            Reply::Committed(version) => Ok(version),
+        let write = self.a_write(SettingsChange::Put(settings.to_string(), Vec::new(), Vec::new()), None);
+        match self.ask(&OperatorRequest::Write(write), PATIENCE)? {
+            OperatorReply::Committed(version) => Ok(version),
             other => Err(format!("{other:?}")),
         }
     }
 
     /// # Errors
     /// What came instead.
-    pub fn history(&self) -> Result<Vec<Written>, String> {
-        match self.ask(&Ask::History, PATIENCE)? {
-            Reply::History(rows) => Ok(rows),
+    pub fn history(&self) -> Result<Vec<SettingsVersion>, String> {
+        match self.ask(&OperatorRequest::History, PATIENCE)? {
+            OperatorReply::History(rows) => Ok(rows),
             other => Err(format!("{other:?}")),
         }
     }
--- a/crates/lab/src/rig/holders.rs
+++ b/crates/lab/src/rig/holders.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 use appledyke::units::Moment;
-use appledyke_fleet::budgets::Thing;
+use appledyke_fleet::budgets::Resource;
 use appledyke_fleet::limits::Limits;
-use appledyke_fleet::members::Standing;
-use appledyke_fleet::talk::{Frame, Frames, Report, Told, Who};
+use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report, ReportAnswer};
 
 use super::fleet::FLEET;
 
@@ -39,7 +39,7 @@
     all: Mutex<Vec<One>>,
     answers: AtomicU64,
     bytes: AtomicU64,
-    of: Vec<Thing>,
+    of: Vec<Resource>,
     daemons: Vec<(u16, SocketAddr)>,
 }
 
@@ -65,32 +65,32 @@
             one.asked.pop_front();
         }
         let wants = one.wants;
-        let told = one.limits.uses(now).into_iter().map(|(of, mut told)| {
-            told.wants = wants;
+        let told = one.limits.usage(now).into_iter().map(|(of, mut told)| {
+            told.wanted = wants;
             (of, told)
         });
         let mut uses: Vec<_> = told.collect();
         for of in self.of.iter().filter(|of| !uses.iter().any(|(told, _)| told == *of)).collect::<Vec<_>>() {
-            uses.push((*of, appledyke_fleet::limits::Use { wants, ..Default::default() }));
+            uses.push((*of, appledyke_fleet::limits::Usage { wanted: wants, ..Default::default() }));
         }
         Some(Report {
             name: format!("h{who}"),
             incarnation: 1,
-            process: 1,
-            standing: Standing::Serving,
+            process_nonce: 1,
+            status: MemberStatus::Serving,
             number: one.reports,
-            uses,
+            usage: uses,
             ..Report::default()
         })
     }
 
-    fn told(&self, who: usize, told: &Told) {
+    fn told(&self, who: usize, told: &ReportAnswer) {
         self.answers.fetch_add(1, Ordering::Relaxed);
         let mut all = self.all();
         let one = &mut all[who];
         let asked = one.asked.iter().find(|(number, _)| *number == told.number).map(|(_, at)| *at);
         if let (Some(asked), Some(grants)) = (asked, &told.grants) {
-            one.limits.granted(asked, grants);
+            one.limits.apply_grants(asked, grants);
         }
     }
 }
@@ -103,7 +103,7 @@
 
 struct Link {
     stream: TcpStream,
-    frames: Frames,
+    frames: FrameReader,
 }
 
 impl Link {
@@ -112,20 +112,20 @@
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(ANSWER_IN))?;
         let mut out = Vec::new();
-        Frame::hello(FLEET, Who::Member { name: format!("h{who}") }).write(&mut out);
+        Frame::hello(FLEET, Initiator::Member { name: format!("h{who}") }).write(&mut out);
         stream.write_all(&out)?;
-        Ok(Link { stream, frames: Frames::default() })
+        Ok(Link { stream, frames: FrameReader::default() })
     }
 
     /// The answer to a report, and the bytes that moved for both.
-    fn told(&mut self, report: Report, piece: &mut [u8]) -> std::io::Result<(Told, usize)> {
+    fn told(&mut self, report: Report, piece: &mut [u8]) -> std::io::Result<(ReportAnswer, usize)> {
         let mut out = Vec::new();
         Frame::Report(report).write(&mut out);
         self.stream.write_all(&out)?;
         let mut moved = out.len();
         loop {
             match self.frames.pop().map_err(std::io::Error::other)? {
-                Some(Frame::Told(told)) => return Ok((told, moved)),
+                Some(Frame::ReportAnswer(told)) => return Ok((told, moved)),
                 Some(_) => {}
                 None => match self.stream.read(piece)? {
                     0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
@@ -164,7 +164,7 @@
             Ok((told, moved, link)) => {
                 shared.told(self.who, &told);
                 shared.bytes.fetch_add(moved as u64, Ordering::Relaxed);
-                let leader = told.leader.filter(|_| !told.leads);
+                let leader = told.leader.filter(|_| !told.is_leader);
                 let other = leader.and_then(|leader| shared.daemons.iter().position(|(at, _)| *at == leader));
                 match other.filter(|other| *other != self.to) {
                     Some(other) => self.to = other,
@@ -178,7 +178,7 @@
 
 impl Holders {
     /// None yet, for the daemons of these places, one at the least, which listen there.
-    pub fn new(daemons: Vec<(u16, SocketAddr)>, beat: Duration, of: &[Thing]) -> Holders {
+    pub fn new(daemons: Vec<(u16, SocketAddr)>, beat: Duration, of: &[Resource]) -> Holders {
         let shared = Shared {
             start: Instant::now(),
             over: AtomicBool::new(false),
@@ -235,13 +235,13 @@
     }
 
     /// What one believes that it may use now.
-    pub fn holds(&self, who: usize, of: Thing) -> u64 {
+    pub fn holds(&self, who: usize, of: Resource) -> u64 {
         let (all, now) = (self.shared.all(), self.shared.now());
         all[who].limits.allowed(now, of).unwrap_or(0)
     }
 
     /// What all believe together that they may use now; frozen ones by their own clocks if `flawed`.
-    pub fn believed(&self, of: Thing, flawed: bool) -> u64 {
+    pub fn believed(&self, of: Resource, flawed: bool) -> u64 {
         let (all, now) = (self.shared.all(), self.shared.now());
         let at = |one: &One| one.frozen.filter(|_| flawed).unwrap_or(now);
         all.iter().map(|one| one.limits.allowed(at(one), of).unwrap_or(0)).sum()
--- a/crates/lab/src/rig/judge.rs
+++ b/crates/lab/src/rig/judge.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::Thing;
-use appledyke_fleet::state::Written;
+use appledyke_fleet::budgets::Resource;
+use appledyke_fleet::state::SettingsVersion;
 
 /// Of the reqs to sidecars that were not struck themselves, the share that may go unserved beyond the paired run's.
 const UNSERVED_MOST: f64 = 0.01;
@@ -48,7 +48,7 @@
 /// What all sidecars together used of a budget at the most, as endpoints counted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Used {
-    pub of: Thing,
+    pub of: Resource,
     pub most: u64,
     pub whole: u64,
 }
@@ -60,7 +60,7 @@
     pub reads: Vec<Read>,
     pub seen: Vec<Seen>,
     /// The history as it was read, each version as often.
-    pub history: Vec<Written>,
+    pub history: Vec<SettingsVersion>,
     /// Each daemon's place, last entry applied and digest, once all was over.
     pub states: Vec<(u16, u64, u64)>,
     /// Places that ought to be there in the end.
@@ -98,20 +98,20 @@
     let mut broken = Vec::new();
     let mut tell = |check, what: String| broken.push(Broken { check, what });
     // The history as all readings have it together.
-    let mut history: BTreeMap<Version, &Written> = BTreeMap::new();
+    let mut history: BTreeMap<Version, &SettingsVersion> = BTreeMap::new();
     for written in &record.history {
         if let Some(other) = history.insert(written.version, written)
             && other != written
         {
             tell(
                 "one history",
-                format!("version {} is {:?} and {:?}", written.version, other.why, written.why),
+                format!("version {} is {:?} and {:?}", written.version, other.reason, written.reason),
             );
         }
     }
     let mut writes: BTreeMap<&str, BTreeSet<Version>> = BTreeMap::new();
     for written in history.values() {
-        writes.entry(&written.why).or_default().insert(written.version);
+        writes.entry(&written.reason).or_default().insert(written.version);
     }
     for (why, versions) in &writes {
         if versions.len() > 1 {
@@ -211,17 +211,17 @@
         Version { generation: 0, number }
     }
 
-    fn written(at: u64, why: &str) -> Written {
+    fn written(at: u64, why: &str) -> SettingsVersion {
         let (by, why, settings) = ("rig".to_string(), why.to_string(), format!("s{at}"));
-        Written {
+        SettingsVersion {
             version: number(at),
             settings,
             budgets: Vec::new(),
             groups: Vec::new(),
-            by,
-            why,
+            author: by,
+            reason: why,
             at_ms: 0,
-            back_to: None,
+            rollback_to: None,
         }
     }
 
@@ -248,7 +248,7 @@
             places: 3,
             served: (985, 1000),
             paired: (990, 1000),
-            uses: vec![Used { of: Thing::WriteOuts, most: 100, whole: 100 }],
+            uses: vec![Used { of: Resource::Attempts, most: 100, whole: 100 }],
             released: Some(Released { out: 2, most: 2, ..Released::default() }),
         }
     }
@@ -268,7 +268,7 @@
             ("never above the whole", |r| r.uses[0].most = 101),
             ("one history", |r| r.history.push(written(2, "other"))),
             ("once", |r| r.history.push(written(3, "a"))),
-            ("committed is kept", |r| r.history.retain(|w| w.why != "a")),
+            ("committed is kept", |r| r.history.retain(|w| w.reason != "a")),
             ("committed is kept", |r| r.puts[0].outcome = Outcome::Committed(number(2))),
             ("refused has no effect", |r| r.history.push(written(3, "c"))),
             ("linearizable", |r| r.reads[0].version = number(0)),
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::budgets::{Budget, Thing};
-use appledyke_fleet::members::Standing as Member;
-use appledyke_fleet::state::What;
-use appledyke_fleet::talk::{Ask, Reply};
+use appledyke_fleet::budgets::{Budget, Resource};
+use appledyke_fleet::members::MemberStatus as Member;
+use appledyke_fleet::state::SettingsChange;
+use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use serde_json::{Map, Value, json};
 
 use super::fleet::{Daemons, PATIENCE, Shape, ask};
@@ -77,10 +77,11 @@
         let leader = daemons.wait_for_leader()?;
         let mut times = Vec::new();
         for number in 0..puts {
-            let write = daemons.a_write(What::Put(settings(number as u64), Vec::new(), Vec::new()), None);
+            let write =
+                daemons.a_write(SettingsChange::Put(settings(number as u64), Vec::new(), Vec::new()), None);
             let start = Instant::now();
-            match ask(daemons.at(leader), &Ask::Write(write), PATIENCE)? {
-                Reply::Committed(_) => times.push(start.elapsed().as_secs_f64() * 1e3),
+            match ask(daemons.at(leader), &OperatorRequest::Write(write), PATIENCE)? {
+                OperatorReply::Committed(_) => times.push(start.elapsed().as_secs_f64() * 1e3),
                 other => return Err(format!("{other:?}")),
             }
         }
@@ -152,8 +153,8 @@
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &[]);
         holders.come(members, 0);
         daemons.wait("all are members", |fleet| {
-            matches!(fleet.ask(&Ask::Members, PATIENCE), Ok(Reply::Members(rows))
-                if rows.iter().filter(|row| row.standing == Member::Serving).count() == members)
+            matches!(fleet.ask(&OperatorRequest::Members, PATIENCE), Ok(OperatorReply::Members(rows))
+                if rows.iter().filter(|row| row.status == Member::Serving).count() == members)
         })?;
         let load = load(&mut daemons, leader, &holders, || std::thread::sleep(lasts));
         let mut figures = json!({"what": "members", "members": members, "beat_ms": beat.as_millis() as u64});
@@ -172,15 +173,22 @@
         let shape =
             Shape { election_ms: 1000, beat_ms: 100, lease_ms: 5000, compact_every: 512, ..Shape::default() };
         let mut daemons = self.fleet("holders", shape)?;
-        let of: Vec<Thing> = Thing::ALL.into_iter().take(budgets).collect();
+        let of: Vec<Resource> = Resource::ALL.into_iter().take(budgets).collect();
         let count = members as u64;
-        let budget = |of: &Thing| {
-            let window_ms = if of.is_stock() { 0 } else { 1000 };
-            Budget { of: *of, whole: 15 * count, window_ms, least: 2, alone: 1, members: 2 * count }
+        let budget = |of: &Resource| {
+            let window_ms = if of.is_concurrency_limit() { 0 } else { 1000 };
+            Budget {
+                resource: *of,
+                quota: 15 * count,
+                window_ms,
+                min_share: 2,
+                standalone_share: 1,
+                max_members: 2 * count,
+            }
         };
         let rows = of.iter().map(budget).collect();
-        let write = daemons.a_write(What::Put("{}".to_string(), rows, Vec::new()), None);
-        daemons.ask(&Ask::Write(write), PATIENCE)?;
+        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), rows, Vec::new()), None);
+        daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         let leader = daemons.wait_for_leader()?;
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &of);
         holders.come(members, WANTS);
@@ -281,16 +289,23 @@
         const WHOLE: u64 = 600;
         let mut daemons = self.fleet("budgets", Shape::default())?;
         let alone = if divided { 1 } else { WHOLE / MEMBERS };
-        let budget =
-            Budget { of: Thing::WriteOuts, whole: WHOLE, window_ms: 1000, least: 2, alone, members: MEMBERS };
+        let budget = Budget {
+            resource: Resource::Attempts,
+            quota: WHOLE,
+            window_ms: 1000,
+            min_share: 2,
+            standalone_share: alone,
+            max_members: MEMBERS,
+        };
         let at: Vec<_> = if divided {
             daemons.places().map(|place| (place, daemons.at(place))).collect()
         } else {
             vec![(1, SocketAddr::from(([127, 0, 0, 1], 1)))]
         };
         if divided {
-            let write = daemons.a_write(What::Put("{}".to_string(), vec![budget], Vec::new()), None);
-            daemons.ask(&Ask::Write(write), PATIENCE)?;
+            let write =
+                daemons.a_write(SettingsChange::Put("{}".to_string(), vec![budget], Vec::new()), None);
+            daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         }
         let mut sidecars = Sidecars::new(&self.folder.join("budgets-sidecars"), self.sidecar, self.base, 8)?;
         sidecars.alone(json!({"write-outs": {"part": alone, "windowMs": 1000}}));
--- a/crates/lab/src/rig/operators.rs
+++ b/crates/lab/src/rig/operators.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use appledyke_fleet::releases::{Course, Release, Stage};
-use appledyke_fleet::talk::{Ask, Reply};
+use appledyke_fleet::releases::{Release, ReleaseState, Stage};
+use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 
 use super::fleet::Daemons;
 use super::sidecars::Sidecars;
@@ -27,8 +27,8 @@
 impl Operators {
     /// How a release stands, where anyone can tell.
     pub fn release(daemons: &Daemons, name: &str) -> Option<Release> {
-        let releases = match daemons.ask(&Ask::Releases, LOOK_IN) {
-            Ok(Reply::Releases(releases, _)) => releases,
+        let releases = match daemons.ask(&OperatorRequest::Releases, LOOK_IN) {
+            Ok(OperatorReply::Releases(releases, _)) => releases,
             _ => return None,
         };
         releases.into_iter().find(|release| release.plan.name == name)
@@ -46,18 +46,18 @@
         beat_ms: u64,
     ) -> Result<Option<Release>, String> {
         let Some(release) = Operators::release(daemons, name) else { return Ok(None) };
-        if release.course == Course::Halted {
+        if release.state == ReleaseState::Halted {
             return Ok(Some(release));
         }
         let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
-        let empty = release.going().filter(|(_, going)| going.stage == Stage::Empty);
+        let empty = release.transitions().filter(|(_, going)| going.stage == Stage::Drained);
         for (who, going) in empty {
-            let version = release.plan.version(going.to).to_string();
+            let version = release.plan.version_on(going.to).to_string();
             // One that has been restarted for this going is on its way back.
-            if self.moved.contains_key(&(who.clone(), going.since)) || !sidecars.names().contains(who) {
+            if self.moved.contains_key(&(who.clone(), going.started_at)) || !sidecars.names().contains(who) {
                 continue;
             }
-            self.moved.insert((who.clone(), going.since), version.clone());
+            self.moved.insert((who.clone(), going.started_at), version.clone());
             if self.versions.insert(who.clone(), version.clone()).as_ref() == Some(&version) {
                 self.twice.push(format!("{who} to {version}"));
             }
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -12,14 +12,16 @@
 use std::time::{Duration, Instant};
 
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::{self, Budget, Thing};
-use appledyke_fleet::health::{Figures, Must};
-use appledyke_fleet::members::Standing as Member;
+use appledyke_fleet::budgets::{self, Budget, Resource};
+use appledyke_fleet::health::{Criteria, RequestCounts};
+use appledyke_fleet::members::MemberStatus as Member;
 use appledyke_fleet::outs::{Amount, Group};
-use appledyke_fleet::releases::{Course, FORMAT, GoesBack, Moves, Order, Plan, Release};
-use appledyke_fleet::scopes::{Locality, Scope, Scoped};
-use appledyke_fleet::state::{What, Write, WriteId, Written};
-use appledyke_fleet::talk::{Ask, Frame, Frames, Reply, Report, Who};
+use appledyke_fleet::releases::{
+    FORMAT, Plan, Release, ReleaseState, ReleaseUpdate, RollbackPolicy, TargetKind,
+};
+use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings};
+use appledyke_fleet::state::{SettingsChange, SettingsVersion, Write, WriteId};
+use appledyke_fleet::talk::{Frame, FrameReader, Initiator, OperatorReply, OperatorRequest, Report};
 use oorandom::Rand64;
 use serde::Deserialize;
 
@@ -292,10 +294,19 @@
     belongs
 }
 
-fn as_written(scoped: Scoped) -> Written {
-    let Scoped { version, settings, by, why, at_ms, back_to } = scoped;
+fn as_written(scoped: ScopedSettings) -> SettingsVersion {
+    let ScopedSettings { version, settings, author: by, reason: why, at_ms, rollback_to: back_to } = scoped;
     let (settings, budgets, groups) = (settings.unwrap_or_default(), Vec::new(), Vec::new());
-    Written { version, settings, budgets, groups, by, why, at_ms, back_to }
+    SettingsVersion {
+        version,
+        settings,
+        budgets,
+        groups,
+        author: by,
+        reason: why,
+        at_ms,
+        rollback_to: back_to,
+    }
 }
 
 impl Watchers {
@@ -312,7 +323,7 @@
     }
 
     /// One round over all daemons after another, until one answers for good.
-    fn ask(&self, asked: &Ask, within: Duration) -> Result<Reply, bool> {
+    fn ask(&self, asked: &OperatorRequest, within: Duration) -> Result<OperatorReply, bool> {
         let until = Instant::now() + within;
         // Whether someone may have acted on it without saying so.
         let mut open = false;
@@ -320,11 +331,13 @@
         while Instant::now() < until {
             for place in places.clone() {
                 match ask(self.doors[&place], asked, ONE_IN) {
-                    Ok(Reply::NotLeader(Some(leader))) => places.sort_by_key(|place| *place != leader),
-                    Ok(Reply::NotLeader(None)) => {}
-                    Ok(Reply::Unknown(_)) => open = true,
+                    Ok(OperatorReply::NotLeader(Some(leader))) => {
+                        places.sort_by_key(|place| *place != leader)
+                    }
+                    Ok(OperatorReply::NotLeader(None)) => {}
+                    Ok(OperatorReply::Unknown(_)) => open = true,
                     // Danger: what one finds faulty another may have taken before.
-                    Ok(Reply::Faulty(_)) if open => {}
+                    Ok(OperatorReply::Invalid(_)) if open => {}
                     Ok(reply) => return Ok(reply),
                     // Whether it was taken before the connection broke cannot be told.
                     Err(_) => open = true,
@@ -347,20 +360,20 @@
         let id = WriteId(9, number);
         let write = Write {
             id,
-            expects,
-            by: "rig".into(),
-            why: why.clone(),
+            expected_version: expects,
+            author: "rig".into(),
+            reason: why.clone(),
             at_ms: 0,
-            what: What::Put(settings, self.budgets.clone(), self.groups.clone()),
+            change: SettingsChange::Put(settings, self.budgets.clone(), self.groups.clone()),
         };
         let asked = match &self.scopes[number as usize % self.scopes.len()] {
-            Scope::All => Ask::Write(write),
-            scope => Ask::WriteFor { scope: scope.clone(), write },
+            Scope::All => OperatorRequest::Write(write),
+            scope => OperatorRequest::WriteScoped { scope: scope.clone(), write },
         };
         let began = self.now();
         let outcome = match self.ask(&asked, WRITE_IN) {
-            Ok(Reply::Committed(version)) => Outcome::Committed(version),
-            Ok(Reply::Refused(_) | Reply::Faulty(_)) | Err(false) => Outcome::Refused,
+            Ok(OperatorReply::Committed(version)) => Outcome::Committed(version),
+            Ok(OperatorReply::Refused(_) | OperatorReply::Invalid(_)) | Err(false) => Outcome::Refused,
             _ => Outcome::Unknown,
         };
         let ended = self.now();
@@ -369,12 +382,12 @@
 
     fn read(&self) {
         let began = self.now();
-        let asked = if self.scopes.len() > 1 { Ask::Scopes } else { Ask::Get(None) };
+        let asked = if self.scopes.len() > 1 { OperatorRequest::Scopes } else { OperatorRequest::Get(None) };
         let version = match self.ask(&asked, ONE_IN) {
             // What was put last, for whomever.
-            Ok(Reply::Scopes(rows)) => rows.iter().map(|row| row.version).max().unwrap_or_default(),
-            Ok(Reply::Settings(Some(written))) => written.version,
-            Ok(Reply::Settings(None)) => Version::default(),
+            Ok(OperatorReply::Scopes(rows)) => rows.iter().map(|row| row.version).max().unwrap_or_default(),
+            Ok(OperatorReply::Settings(Some(written))) => written.version,
+            Ok(OperatorReply::Settings(None)) => Version::default(),
             _ => return,
         };
         let ended = self.now();
@@ -384,17 +397,17 @@
     fn history(&self) -> bool {
         self.scopes.iter().all(|scope| {
             let rows = match scope {
-                Scope::All => match self.ask(&Ask::History, WRITE_IN) {
-                    Ok(Reply::History(rows)) => rows,
+                Scope::All => match self.ask(&OperatorRequest::History, WRITE_IN) {
+                    Ok(OperatorReply::History(rows)) => rows,
                     _ => return false,
                 },
-                scope => match self.ask(&Ask::HistoryFor(scope.clone()), WRITE_IN) {
-                    Ok(Reply::HistoryFor(rows)) => rows.into_iter().map(as_written).collect(),
+                scope => match self.ask(&OperatorRequest::ScopeHistory(scope.clone()), WRITE_IN) {
+                    Ok(OperatorReply::ScopeHistory(rows)) => rows.into_iter().map(as_written).collect(),
                     _ => return false,
                 },
             };
             self.tell(|record| {
-                let new: Vec<Written> =
+                let new: Vec<SettingsVersion> =
                     rows.into_iter().filter(|row| !record.history.contains(row)).collect();
                 record.history.extend(new);
             });
@@ -433,30 +446,30 @@
         let mut stream = TcpStream::connect_timeout(&self.doors[&place], ONE_IN)?;
         stream.set_read_timeout(Some(ONE_IN))?;
         let name = format!("stand-in-{place}");
-        let (mut out, mut frames, mut piece) = (Vec::new(), Frames::default(), vec![0; 64 * 1024]);
-        Frame::hello(FLEET, Who::Member { name: name.clone() }).write(&mut out);
+        let (mut out, mut frames, mut piece) = (Vec::new(), FrameReader::default(), vec![0; 64 * 1024]);
+        Frame::hello(FLEET, Initiator::Member { name: name.clone() }).write(&mut out);
         // One of them has what is merged, which is the text of no version by itself.
         let scoped = self.scopes.len() > 1 && place == 1;
         if scoped {
             let service = Some("v0".to_string());
-            Frame::Belongs(Locality { service, ..Locality::default() }).write(&mut out);
+            Frame::Locality(Locality { service, ..Locality::default() }).write(&mut out);
         }
         let mut version = Version::default();
         while !self.over() {
             let report = Report {
                 name: name.clone(),
                 incarnation: life,
-                process: life,
-                standing: Member::Serving,
+                process_nonce: life,
+                status: Member::Serving,
                 version,
-                knows: version,
+                latest_known: version,
                 ..Report::default()
             };
             Frame::Report(report).write(&mut out);
             stream.write_all(&std::mem::take(&mut out))?;
             let told = loop {
                 match frames.pop().map_err(std::io::Error::other)? {
-                    Some(Frame::Told(told)) => break told,
+                    Some(Frame::ReportAnswer(told)) => break told,
                     Some(_) => {}
                     None => match stream.read(&mut piece)? {
                         0 => return Ok(()),
@@ -539,8 +552,8 @@
     let most = scenario.release_most;
     let group = |most| Group {
         name: "all".to_string(),
-        most_out: Some(Amount::Number(most)),
-        least_serving: None,
+        max_out: Some(Amount::Number(most)),
+        min_serving: None,
         endpoints: Vec::new(),
     };
     let groups: Vec<Group> = most.map(group).into_iter().collect();
@@ -549,18 +562,18 @@
         sidecars.version("v0", false);
     }
     if !scenario.budget.is_empty() || most.is_some() {
-        let mut write =
-            daemons.a_write(What::Put("{}".to_string(), scenario.budget.clone(), groups.clone()), None);
-        write.why = "budgets".to_string();
-        daemons.ask(&Ask::Write(write), WRITE_IN)?;
+        let mut write = daemons
+            .a_write(SettingsChange::Put("{}".to_string(), scenario.budget.clone(), groups.clone()), None);
+        write.reason = "budgets".to_string();
+        daemons.ask(&OperatorRequest::Write(write), WRITE_IN)?;
     }
     if !scenario.budget.is_empty() {
         let alone = scenario.budget.iter().map(|budget| {
-            let mut row = serde_json::json!({"part": budget.alone});
-            if !budget.of.is_stock() {
+            let mut row = serde_json::json!({"part": budget.standalone_share});
+            if !budget.resource.is_concurrency_limit() {
                 row["windowMs"] = budget.window_ms.into();
             }
-            (budget.of.name().to_string(), row)
+            (budget.resource.name().to_string(), row)
         });
         sidecars.alone(serde_json::Value::Object(alone.collect()));
     }
@@ -738,8 +751,8 @@
             }
             return Ok(None);
         };
-        match &release.course {
-            Course::Ended(how) => {
+        match &release.state {
+            ReleaseState::Ended(how) => {
                 self.released.ended += 1;
                 let runs = if how == "all are moved" { to } else { runs };
                 (self.releases.1, self.releases.2) = (runs.clone(), None);
@@ -748,16 +761,17 @@
                     self.begin(number + 1, &runs);
                 }
             }
-            Course::Halted => {
+            ReleaseState::Halted => {
                 let since = *self.releases.2.get_or_insert(now);
                 if halted.is_none() {
                     self.released.halts += 1;
-                    self.played.struck.push(format!("{now} ms: {}", release.line()));
+                    self.played.struck.push(format!("{now} ms: {}", release.summary()));
                 }
-                if now >= since + HALTED_FOR_MS && release.going().next().is_none() {
+                if now >= since + HALTED_FOR_MS && release.transitions().next().is_none() {
                     let back = self.released.halts.is_multiple_of(3);
-                    let order = if back { Order::Back(name) } else { Order::Resume(name) };
-                    let _ = self.daemons.ask(&Ask::Release(order), ONE_IN);
+                    let order =
+                        if back { ReleaseUpdate::Rollback(name) } else { ReleaseUpdate::Resume(name) };
+                    let _ = self.daemons.ask(&OperatorRequest::Release(order), ONE_IN);
                     self.releases.2 = None;
                 }
             }
@@ -770,30 +784,30 @@
         let plan = Plan {
             format: FORMAT,
             name: format!("r{number}"),
-            moves: Moves::Sidecars,
+            target_kind: TargetKind::Sidecars,
             group: "all".to_string(),
             order: Vec::new(),
-            most_out: self.released.most as u32,
+            max_out: self.released.most as u32,
             from: from.to_string(),
             to: format!("v{number}"),
             action: None,
-            empty_in_ms: 10_000,
-            back_in_ms: 10_000,
+            drain_timeout_ms: 10_000,
+            return_timeout_ms: 10_000,
             settle_ms: 0,
             watch_ms: 300,
-            watch_most_ms: 8000,
-            must: Must {
-                least_reqs: 1,
+            max_watch_ms: 8000,
+            criteria: Criteria {
+                min_requests: 1,
                 served_lower: Some(0.5),
-                nacked_higher: None,
+                rejected_higher: None,
                 failed_higher: None,
                 slow_higher: None,
             },
-            goes_back: GoesBack::Never,
+            rollback: RollbackPolicy::Never,
         };
         // Whether it has begun shows at the next look: said again it begins once.
-        let start = Order::Start(Box::new(plan), Figures::default());
-        let _ = self.daemons.ask(&Ask::Release(start), ONE_IN);
+        let start = ReleaseUpdate::Start(Box::new(plan), RequestCounts::default());
+        let _ = self.daemons.ask(&OperatorRequest::Release(start), ONE_IN);
     }
 
     /// Waits until the last release is over, and looks what all run.
@@ -805,12 +819,12 @@
         loop {
             let seen = self.release(false)?;
             if let Some(release) = &seen
-                && release.is_over()
+                && release.is_ended()
             {
                 break;
             }
             if Instant::now() >= until {
-                let line = seen.map_or("no release can be seen".to_string(), |release| release.line());
+                let line = seen.map_or("no release can be seen".to_string(), |release| release.summary());
                 self.released.unfinished.push(line);
                 break;
             }
@@ -819,7 +833,7 @@
             }
             thread::sleep(LOOK);
         }
-        if let Ok(Reply::Releases(_, runs)) = self.daemons.ask(&Ask::Releases, PATIENCE) {
+        if let Ok(OperatorReply::Releases(_, runs)) = self.daemons.ask(&OperatorRequest::Releases, PATIENCE) {
             let wanted = &self.releases.1;
             let odd = runs
                 .iter()
@@ -999,21 +1013,21 @@
     fn uses(&self) -> Vec<Used> {
         let used = |budget: &Budget| {
             let endpoints = &self.sidecars.endpoints;
-            let most = match budget.of {
-                Thing::WriteOuts => {
+            let most = match budget.resource {
+                Resource::Attempts => {
                     let times = endpoints.iter().flat_map(Endpoint::times).collect();
                     let window = Duration::from_millis(budget.window_ms).saturating_sub(UNDER_WAY);
                     most_within(times, window).0 as u64
                 }
-                Thing::Connections => endpoints.iter().map(Endpoint::most_open).max().unwrap_or(0),
-                Thing::ListCalls => {
+                Resource::Connections => endpoints.iter().map(Endpoint::most_open).max().unwrap_or(0),
+                Resource::DiscoveryCalls => {
                     let window = Duration::from_millis(budget.window_ms).saturating_sub(UNDER_WAY);
                     most_within(self.sidecars.list.calls(), window).0 as u64
                 }
                 // No stand-in can tell a repeat, or what is out, from what it sees; and none here starts anew.
-                Thing::Repeats | Thing::InFlight | Thing::ColdWriteOuts => return None,
+                Resource::Retries | Resource::InFlight | Resource::ColdAttempts => return None,
             };
-            Some(Used { of: budget.of, most, whole: budget.whole })
+            Some(Used { of: budget.resource, most, whole: budget.quota })
         };
         self.watchers.budgets.iter().filter_map(used).collect()
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -14,12 +14,12 @@
 use appledyke::ids;
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::Thing;
+use appledyke_fleet::budgets::Resource;
 use appledyke_fleet::limits::Limits;
-use appledyke_fleet::member::{self, Do, Member};
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::member::{self, HostAction, Member};
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::scopes::Locality;
-use appledyke_fleet::talk::{Frame, Frames, VERSION, Who, greeted};
+use appledyke_fleet::talk::{Frame, FrameReader, Initiator, VERSION, check_hello};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Registry, Token, Waker};
 use oorandom::Rand64;
@@ -120,7 +120,7 @@
     /// Each member books so many records a beat.
     Evidence { each: u32 },
     /// What these want of each of these things in a window, or at a time: all members if none is named.
-    Wants { who: Vec<u32>, of: Vec<Thing>, wants: u64 },
+    Wants { who: Vec<u32>, of: Vec<Resource>, wants: u64 },
     /// What all here believe that they may use, at this moment.
     Sums { at_ns: u64 },
     /// Say what these members' last steps were.
@@ -287,7 +287,7 @@
     Sums {
         at_ns: u64,
         late_us: u64,
-        sums: Vec<(Thing, u64)>,
+        sums: Vec<(Resource, u64)>,
     },
     Steps(Vec<(u32, Vec<Step>)>),
     Mark(Box<Counts>),
@@ -298,7 +298,7 @@
     place: u16,
     path: Path,
     up: bool,
-    frames: Frames,
+    frames: FrameReader,
     /// What the last answer over it said: whether it leads, who does, and whether it does not serve.
     said: Option<(bool, Option<u16>, bool)>,
     unsent: Vec<u8>,
@@ -347,7 +347,7 @@
     /// Out by its own asking, and when it is back.
     back_at: Option<Moment>,
     drains_for: Span,
-    wants: Vec<(Thing, u64)>,
+    wants: Vec<(Resource, u64)>,
 }
 
 struct Hollow {
@@ -465,20 +465,20 @@
         let locality = self.setup.scoped.then(|| spec.locality());
         // Danger: one that is raised again within a clock's step would be its own twin.
         let incarnation = now.nanos();
-        let setup = member::Setup {
+        let setup = member::MemberConfig {
             name: spec.name,
             daemons: spec.daemons,
-            beat: Span::from_millis(self.setup.beat_ms),
+            heartbeat: Span::from_millis(self.setup.beat_ms),
             incarnation,
-            process: self.chance.rand_u64(),
+            process_nonce: self.chance.rand_u64(),
             version: Version::default(),
             limits: Limits::default(),
             groups: vec![format!("service-{}", spec.service), format!("zone-{}", spec.zone)],
             locality,
-            runs: env!("CARGO_PKG_VERSION").to_string(),
+            program_version: env!("CARGO_PKG_VERSION").to_string(),
         };
         let mut member = Member::new(now, setup, self.chance.rand_u64());
-        member.alone = true;
+        member.sole_at_address = true;
         self.lives[at] = Some(Life {
             member,
             incarnation,
@@ -497,7 +497,11 @@
 
     fn schedule(&mut self, at: usize) {
         let next = self.lives[at].as_ref().map(|life| {
-            let member = life.member.asker.until().map_or(life.member.next(), |u| u.min(life.member.next()));
+            let member = life
+                .member
+                .drain_requests
+                .deadline()
+                .map_or(life.member.next_due(), |u| u.min(life.member.next_due()));
             let watch = if life.watch.is_none() { Some(life.watch_at) } else { None };
             let conn = life.conn.as_ref().filter(|conn| !self.cut.contains(&self.pair(at, conn.place)));
             // Danger: what is due on a way that is not up yet would be due all the time, and keep the loop busy with nothing.
@@ -524,7 +528,7 @@
     fn due(&mut self, at: usize) {
         let now = now();
         let Some(life) = &mut self.lives[at] else { return };
-        let due = life.member.next();
+        let due = life.member.next_due();
         if due <= now {
             let late = now.since(due).nanos() / 1000;
             let row = (64 - late.leading_zeros() as usize).min(LATENESS - 1);
@@ -532,16 +536,16 @@
             self.counts.lateness[row] += 1;
             self.counts.late += u64::from(late > self.setup.late_us);
             self.counts.late_worst_us = self.counts.late_worst_us.max(late);
-            if self.each > 0 && life.member.is_up() {
+            if self.each > 0 && life.member.is_connected() {
                 let service = self.setup.members[self.setup.mine[at] as usize].service;
                 let marks = &self.marks[&service];
                 for _ in 0..self.each {
                     let endpoint = marks[self.chance.rand_range(0..marks.len() as u64) as usize];
-                    life.member.book(now, endpoint, 1, 0, 0.5);
+                    life.member.record_attempt(now, endpoint, 1, 0, 0.5);
                 }
                 *self.counts.booked.entry(service).or_default() += u64::from(self.each);
             }
-            let done = life.member.due(now);
+            let done = life.member.on_timer(now);
             self.carry_out(at, done);
         }
         self.others(at, now);
@@ -552,14 +556,14 @@
     /// What falls due beside the member's own.
     fn others(&mut self, at: usize, now: Moment) {
         let Some(life) = &mut self.lives[at] else { return };
-        if life.member.asker.until().is_some_and(|until| until <= now) {
-            life.member.asker.give_up();
+        if life.member.drain_requests.deadline().is_some_and(|until| until <= now) {
+            life.member.drain_requests.give_up();
             self.counts.drains[2] += 1;
         }
         if life.back_at.is_some_and(|back| back <= now) {
             life.back_at = None;
-            life.member.asker.is_back();
-            let done = life.member.stands(now, Standing::Serving);
+            life.member.drain_requests.on_return();
+            let done = life.member.set_status(now, MemberStatus::Serving);
             self.carry_out(at, done);
         }
         let Some(life) = &mut self.lives[at] else { return };
@@ -588,7 +592,7 @@
         }
         self.close(at);
         if let Some(life) = &mut self.lives[at] {
-            life.member.broken(now());
+            life.member.on_disconnected(now());
         }
     }
 
@@ -615,13 +619,13 @@
                     place,
                     path,
                     up: false,
-                    frames: Frames::default(),
+                    frames: FrameReader::default(),
                     said: None,
                     unsent: Vec::new(),
                     late_out: VecDeque::new(),
                     late_in: VecDeque::new(),
                 });
-                self.send(at, &Frame::hello(FLEET, Who::Member { name }));
+                self.send(at, &Frame::hello(FLEET, Initiator::Member { name }));
             }
             Err(_) => self.broken(at),
         }
@@ -712,27 +716,27 @@
         let Some(life) = &mut self.lives[at] else { return false };
         let done = match frame {
             Frame::Hello { .. } => {
-                let Ok((_, speaks)) = greeted(&frame, FLEET, VERSION) else { return false };
-                let done = life.member.up(now, speaks);
+                let Ok((_, speaks)) = check_hello(&frame, FLEET, VERSION) else { return false };
+                let done = life.member.on_connected(now, speaks);
                 if let Some(place) = life.conn.as_ref().map(|conn| conn.place) {
                     self.step(at, What::Greeted(place, speaks));
                 }
                 done
             }
-            Frame::Told(told) => {
-                let said = (told.leads, told.leader, told.apart);
-                let done = life.member.told(now, told);
+            Frame::ReportAnswer(told) => {
+                let said = (told.is_leader, told.leader, told.excluded);
+                let done = life.member.on_answer(now, told);
                 self.answered(at, said);
                 done
             }
-            Frame::ToldCoded(told, coded) => {
-                let said = (told.leads, told.leader, told.apart);
-                let done = life.member.told_coded(now, told, &coded);
+            Frame::CodedReportAnswer(told, coded) => {
+                let said = (told.is_leader, told.leader, told.excluded);
+                let done = life.member.on_coded_answer(now, told, &coded);
                 self.answered(at, said);
                 done
             }
-            Frame::OutTold { ask, refused } => {
-                if !life.member.asker.answered(ask, refused.is_none()) {
+            Frame::DrainAnswer { ask, refused } => {
+                if !life.member.drain_requests.on_answer(ask, refused.is_none()) {
                     return true;
                 }
                 if refused.is_some() {
@@ -741,7 +745,7 @@
                 }
                 self.counts.drains[1] += 1;
                 life.back_at = Some(now + life.drains_for);
-                life.member.stands(now, Standing::Drained)
+                life.member.set_status(now, MemberStatus::Drained)
             }
             _ => return false,
         };
@@ -749,22 +753,22 @@
         true
     }
 
-    fn carry_out(&mut self, at: usize, done: Vec<Do>) {
+    fn carry_out(&mut self, at: usize, done: Vec<HostAction>) {
         for what in done {
             match what {
-                Do::Dial(place) => self.dial(at, place),
-                Do::Close => {
+                HostAction::Dial(place) => self.dial(at, place),
+                HostAction::Close => {
                     let conn = self.lives[at].as_ref().and_then(|life| life.conn.as_ref());
                     if let Some(place) = conn.map(|conn| conn.place) {
                         self.step(at, What::Left(place));
                     }
                     self.close(at);
                 }
-                Do::Belongs(locality) => self.send(at, &Frame::Belongs(locality)),
-                Do::Send(report) => self.send(at, &Frame::Report(*report)),
-                Do::Take(version, settings) => {
+                HostAction::SendLocality(locality) => self.send(at, &Frame::Locality(locality)),
+                HostAction::SendReport(report) => self.send(at, &Frame::Report(*report)),
+                HostAction::ApplySettings(version, settings) => {
                     let Some(life) = &mut self.lives[at] else { return };
-                    life.member.acts_on(version);
+                    life.member.set_active_version(version);
                     let (incarnation, at_ns) = (life.incarnation, now().nanos());
                     self.step(at, What::Takes(version));
                     // The same for hundreds: the digest is found once.
@@ -778,7 +782,7 @@
                         _ => self.said.push(Said::Acts(vec![acts])),
                     }
                 }
-                Do::Hear(passed) => {
+                HostAction::DeliverObservations(passed) => {
                     let own = self.spec(at).service;
                     let of = |writer: &u32| self.service_of.get(writer) == Some(&own);
                     let from_own = passed.iter().filter(|passed| of(&passed.writer)).count() as u64;
@@ -788,21 +792,21 @@
                         passed.iter().filter(|passed| hollow(&passed.writer)).count() as u64;
                     self.counts.heard_all += passed.len() as u64;
                     self.counts.heard_age_ms +=
-                        passed.iter().map(|passed| u64::from(passed.seen.age_ms)).sum::<u64>();
+                        passed.iter().map(|passed| u64::from(passed.observation.age_ms)).sum::<u64>();
                 }
-                Do::Outs(_) => {
+                HostAction::SetDrainedEndpoints(_) => {
                     if let Some(life) = &mut self.lives[at] {
                         // It has no data path, so it holds nothing anywhere.
-                        life.member.holds.clear();
+                        life.member.endpoints_in_use.clear();
                     }
                 }
-                Do::Sent(sent) => {
-                    let standing = if sent { Standing::Drained } else { Standing::Serving };
-                    let done = self.lives[at].as_mut().map(|life| life.member.stands(now(), standing));
+                HostAction::SetReleaseDrain(sent) => {
+                    let standing = if sent { MemberStatus::Drained } else { MemberStatus::Serving };
+                    let done = self.lives[at].as_mut().map(|life| life.member.set_status(now(), standing));
                     self.carry_out(at, done.unwrap_or_default());
                 }
-                Do::Faulty(what) => eprintln!("{}: {what}", self.spec(at).name),
-                Do::Twin(_) | Do::Superseded(_) => {}
+                HostAction::AnswerError(what) => eprintln!("{}: {what}", self.spec(at).name),
+                HostAction::DuplicateProcess(_) | HostAction::Superseded(_) => {}
             }
         }
     }
@@ -834,7 +838,7 @@
         watch.told = told;
         let mut done = Vec::new();
         if told && !std::mem::replace(&mut life.on_list, true) {
-            done = life.member.stands(now(), Standing::Serving);
+            done = life.member.set_status(now(), MemberStatus::Serving);
         }
         if !works {
             if let Some(mut watch) = life.watch.take() {
@@ -853,26 +857,26 @@
             for (of, wants) in &life.wants {
                 let limits = &mut life.member.limits;
                 let Some(allowed) = limits.allowed(now, *of) else { continue };
-                if of.is_stock() {
-                    limits.holds(*of, allowed.min(*wants));
-                    limits.hold(now, *of, wants.saturating_sub(1));
-                    limits.holds(*of, allowed.min(*wants));
+                if of.is_concurrency_limit() {
+                    limits.set_held(*of, allowed.min(*wants));
+                    limits.try_hold(now, *of, wants.saturating_sub(1));
+                    limits.set_held(*of, allowed.min(*wants));
                 } else {
                     let count = *wants as f64 * part + self.chance.rand_float();
                     for _ in 0..count as u64 {
-                        limits.spend(now, *of, true);
+                        limits.try_spend(now, *of, true);
                     }
                 }
             }
         }
     }
 
-    fn sums(&self) -> Vec<(Thing, u64)> {
+    fn sums(&self) -> Vec<(Resource, u64)> {
         let now = now();
-        let believed = |of: Thing| {
+        let believed = |of: Resource| {
             self.lives.iter().flatten().filter_map(|life| life.member.limits.allowed(now, of)).sum()
         };
-        Thing::ALL.into_iter().map(|of| (of, believed(of))).collect()
+        Resource::ALL.into_iter().map(|of| (of, believed(of))).collect()
     }
 
     fn mark(&mut self) -> Counts {
@@ -880,10 +884,10 @@
         let lives = || self.lives.iter().flatten();
         self.counts.at_ns = now.nanos();
         self.counts.running = lives().count() as u64;
-        self.counts.heard = lives().filter(|life| life.member.is_heard(now)).count() as u64;
+        self.counts.heard = lives().filter(|life| life.member.has_recent_answer(now)).count() as u64;
         let mut versions: BTreeMap<String, u64> = BTreeMap::new();
         for life in lives() {
-            *versions.entry(life.member.version().to_string()).or_default() += 1;
+            *versions.entry(life.member.active_version().to_string()).or_default() += 1;
         }
         self.counts.versions = versions;
         let counts = self.counts.clone();
@@ -916,13 +920,13 @@
             Order::Drain { who, for_ms } => {
                 for at in self.here(&who) {
                     let Some(life) = &mut self.lives[at] else { continue };
-                    if !life.member.is_up() || life.back_at.is_some() {
+                    if !life.member.is_connected() || life.back_at.is_some() {
                         continue;
                     }
                     life.drains_for = Span::from_millis(for_ms);
-                    let ask = life.member.asker.ask(now());
+                    let ask = life.member.drain_requests.request(now());
                     self.counts.drains[0] += 1;
-                    self.send(at, &Frame::AskOut { ask, anyway: None });
+                    self.send(at, &Frame::DrainRequest { ask, anyway: None });
                     self.schedule(at);
                 }
             }
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -10,7 +10,7 @@
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::{Budget, Thing};
+use appledyke_fleet::budgets::{Budget, Resource};
 
 use super::clients::{Clients, Made};
 use super::faults::{Schedule, What};
@@ -386,14 +386,14 @@
 
     fn stated(&self) -> Vec<Budget> {
         let count = self.world.size as u64;
-        let of = Thing::ALL.into_iter().take(self.world.scenario.phases.budgets);
-        let budget = |of: Thing| Budget {
-            of,
-            whole: WHOLE_EACH * count,
-            window_ms: if of.is_stock() { 0 } else { 1000 },
-            least: 2,
-            alone: ALONE,
-            members: 2 * count,
+        let of = Resource::ALL.into_iter().take(self.world.scenario.phases.budgets);
+        let budget = |of: Resource| Budget {
+            resource: of,
+            quota: WHOLE_EACH * count,
+            window_ms: if of.is_concurrency_limit() { 0 } else { 1000 },
+            min_share: 2,
+            standalone_share: ALONE,
+            max_members: 2 * count,
         };
         of.map(budget).collect()
     }
@@ -403,14 +403,14 @@
         let rows = self.stated();
         let world = &mut self.world;
         world.put_and_look(BUDGETS_BYTES, &rows)?;
-        let of = rows.iter().map(|budget| budget.of).collect();
+        let of = rows.iter().map(|budget| budget.resource).collect();
         world.tell(&Order::Wants { who: Vec::new(), of, wants: WANTS })?;
         // A quarter of what they want above what each may use alone: the division settles over some seconds more.
         let enough = world.hollow_count() as u64 * (ALONE + (WANTS - ALONE).div_ceil(4));
         let until = Instant::now() + PATIENCE;
         loop {
             let sums = world.sums(&rows)?;
-            if rows.iter().all(|budget| sums.get(&budget.of).is_some_and(|sum| *sum >= enough)) {
+            if rows.iter().all(|budget| sums.get(&budget.resource).is_some_and(|sum| *sum >= enough)) {
                 return Ok(rows);
             }
             if Instant::now() > until {
@@ -646,7 +646,7 @@
     let all = 0..world.shape.members.len() as u32;
     let who = all.filter(|who| (who + step).is_multiple_of(MOVES_PART)).collect();
     let wants = if step.is_multiple_of(2) { WANTS_MORE } else { WANTS };
-    world.tell(&Order::Wants { who, of: rows.iter().map(|budget| budget.of).collect(), wants })
+    world.tell(&Order::Wants { who, of: rows.iter().map(|budget| budget.resource).collect(), wants })
 }
 
 fn play_one(
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -3,8 +3,8 @@
 use std::fs;
 use std::path::Path;
 
-use appledyke_fleet::budgets::Thing;
-use appledyke_fleet::state::SETTINGS_MOST;
+use appledyke_fleet::budgets::Resource;
+use appledyke_fleet::state::MAX_SETTINGS_BYTES;
 use serde::Deserialize;
 
 use super::machine::Machine;
@@ -167,7 +167,7 @@
                 return Err(format!("phases.{key}: expected {PHASE_MOST_MS} at the most, not {value}"));
             }
         }
-        let most = Thing::ALL.len();
+        let most = Resource::ALL.len();
         if phases.budgets > most {
             return Err(format!("phases.budgets: expected 0 to {most}, not {}", phases.budgets));
         }
@@ -178,8 +178,8 @@
         let sizes = named("change_bytes", &phases.change_bytes);
         let sizes = sizes.chain(named("scoped_bytes", &phases.scoped_bytes));
         for (key, bytes) in sizes.chain([("fault_put_bytes".to_string(), self.fault_put_bytes)]) {
-            if !(CHANGE_LEAST..=SETTINGS_MOST).contains(&bytes) {
-                return Err(format!("{key}: expected {CHANGE_LEAST} to {SETTINGS_MOST}, not {bytes}"));
+            if !(CHANGE_LEAST..=MAX_SETTINGS_BYTES).contains(&bytes) {
+                return Err(format!("{key}: expected {CHANGE_LEAST} to {MAX_SETTINGS_BYTES}, not {bytes}"));
             }
         }
         self.limits.check()
--- a/crates/lab/src/scale/world.rs
+++ b/crates/lab/src/scale/world.rs
@@ -7,11 +7,11 @@
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::{Budget, Thing};
-use appledyke_fleet::members::Standing as Member;
+use appledyke_fleet::budgets::{Budget, Resource};
+use appledyke_fleet::members::MemberStatus as Member;
 use appledyke_fleet::scopes::Scope;
-use appledyke_fleet::state::{What, Write, WriteId};
-use appledyke_fleet::talk::{Ask, Reply};
+use appledyke_fleet::state::{SettingsChange, Write, WriteId};
+use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use serde_json::json;
 
 use super::children::Told;
@@ -105,11 +105,11 @@
 pub fn a_put(number: u64, text: &str, budgets: &[Budget]) -> Write {
     Write {
         id: WriteId(8, number),
-        expects: None,
-        by: "rig".to_string(),
-        why: format!("write {number}"),
+        expected_version: None,
+        author: "rig".to_string(),
+        reason: format!("write {number}"),
         at_ms: 0,
-        what: What::Put(text.to_string(), budgets.to_vec(), Vec::new()),
+        change: SettingsChange::Put(text.to_string(), budgets.to_vec(), Vec::new()),
     }
 }
 
@@ -124,12 +124,12 @@
     leader: &mut u16,
     within: Duration,
 ) -> Result<(Version, Moment, Moment), String> {
-    commit_asked(at, &Ask::Write(write.clone()), leader, within)
+    commit_asked(at, &OperatorRequest::Write(write.clone()), leader, within)
 }
 
 fn commit_asked(
     at: &[(u16, SocketAddr)],
-    asked: &Ask,
+    asked: &OperatorRequest,
     leader: &mut u16,
     within: Duration,
 ) -> Result<(Version, Moment, Moment), String> {
@@ -139,10 +139,12 @@
         let Some((_, address)) = at.iter().find(|(place, _)| place == leader) else { return Err(last) };
         let next = || at[(at.iter().position(|(place, _)| place == leader).unwrap_or(0) + 1) % at.len()].0;
         match ask(*address, asked, ONE_IN) {
-            Ok(Reply::Committed(version)) => return Ok((version, began, now())),
-            Ok(Reply::NotLeader(Some(place))) if place != *leader => *leader = place,
-            Ok(Reply::NotLeader(_)) => *leader = next(),
-            Ok(other @ (Reply::Refused(_) | Reply::Faulty(_))) => return Err(format!("{other:?}")),
+            Ok(OperatorReply::Committed(version)) => return Ok((version, began, now())),
+            Ok(OperatorReply::NotLeader(Some(place))) if place != *leader => *leader = place,
+            Ok(OperatorReply::NotLeader(_)) => *leader = next(),
+            Ok(other @ (OperatorReply::Refused(_) | OperatorReply::Invalid(_))) => {
+                return Err(format!("{other:?}"));
+            }
             Ok(other) => last = format!("{other:?}"),
             Err(why) => {
                 last = why;
@@ -300,8 +302,10 @@
     fn wait_for_all(&self, size: usize) -> Result<(), String> {
         let until = Instant::now() + PATIENCE;
         loop {
-            let serving = match self.daemons.ask(&Ask::Members, PATIENCE)? {
-                Reply::Members(rows) => rows.iter().filter(|row| row.standing == Member::Serving).count(),
+            let serving = match self.daemons.ask(&OperatorRequest::Members, PATIENCE)? {
+                OperatorReply::Members(rows) => {
+                    rows.iter().filter(|row| row.status == Member::Serving).count()
+                }
                 _ => 0,
             };
             if serving == size {
@@ -453,18 +457,18 @@
     ///
     /// # Errors
     /// That a hollow process does not answer.
-    pub fn sums(&mut self, budgets: &[Budget]) -> Result<BTreeMap<Thing, u64>, String> {
+    pub fn sums(&mut self, budgets: &[Budget]) -> Result<BTreeMap<Resource, u64>, String> {
         let at = now() + SUMS_AHEAD;
         self.tell(&Order::Sums { at_ns: at.nanos() })?;
-        let mut held: BTreeMap<Thing, Vec<u64>> = BTreeMap::new();
+        let mut held: BTreeMap<Resource, Vec<u64>> = BTreeMap::new();
         for said in self.answers()? {
             if let Said::Sums { sums, .. } = said {
                 sums.into_iter().for_each(|(of, believed)| held.entry(of).or_default().push(believed));
             }
         }
         for budget in budgets {
-            let holders = held.get(&budget.of).cloned().unwrap_or_default();
-            self.referee.holds(at, budget.of.name(), holders, budget.whole);
+            let holders = held.get(&budget.resource).cloned().unwrap_or_default();
+            self.referee.holds(at, budget.resource.name(), holders, budget.quota);
         }
         Ok(held.into_iter().map(|(of, each)| (of, each.iter().sum())).collect())
     }
@@ -551,11 +555,11 @@
         let number = self.number();
         let mut write = a_put(number, &settings(number, bytes.unwrap_or_default()), &[]);
         if bytes.is_none() {
-            write.what = What::Remove;
+            write.change = SettingsChange::Remove;
         }
         let scope = Scope::Service(self.shape.services[service].name.clone());
         let mut leader = self.daemons.wait_for_leader()?;
-        let asked = Ask::WriteFor { scope, write };
+        let asked = OperatorRequest::WriteScoped { scope, write };
         let (version, began, committed) = commit_asked(&self.doors(), &asked, &mut leader, PATIENCE)?;
         let concerns: Vec<usize> = self.shape.services[service].members.clone().collect();
         // What they are to act on is another text than was put: the daemons have made one of two.
@@ -563,9 +567,11 @@
         // Danger: a leader that is new has not heard yet what its members belong to, and says what holds for all.
         let until = Instant::now() + PATIENCE;
         let merged = loop {
-            let said = self.daemons.ask(&Ask::SettingsOf(name.clone()), PATIENCE)?;
+            let said = self.daemons.ask(&OperatorRequest::MemberSettings(name.clone()), PATIENCE)?;
             match said {
-                Reply::Merged(Some(merged)) if merged.locality.is_some() && merged.version >= version => {
+                OperatorReply::Merged(Some(merged))
+                    if merged.locality.is_some() && merged.version >= version =>
+                {
                     break merged;
                 }
                 other if Instant::now() >= until => {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -382,8 +382,11 @@
         within("budgets.beat_ms".into(), self.budgets.beat_ms as f64, 1.0, 60_000.0)?;
         within("budgets.commit_ms".into(), self.budgets.commit_ms, 0.0, 60_000.0)?;
         budgets::check(&self.budgets.row)?;
-        if let Some(stock) = self.budgets.row.iter().find(|row| row.of.is_stock()) {
-            return Err(format!("budgets.row: {}: only what is spent in time is played here", stock.of));
+        if let Some(stock) = self.budgets.row.iter().find(|row| row.resource.is_concurrency_limit()) {
+            return Err(format!(
+                "budgets.row: {}: only what is spent in time is played here",
+                stock.resource
+            ));
         }
         within("load.tenants".into(), self.load.tenants as f64, 1.0, 1000.0)?;
         within("load.retries".into(), f64::from(self.load.retries), 0.0, 20.0)?;
@@ -451,8 +454,8 @@
         grown.load.per_second *= times as f64;
         grown.budgets.instances = grown.budgets.instances.saturating_mul(times as u64);
         for row in &mut grown.budgets.row {
-            row.whole = row.whole.saturating_mul(times as u64);
-            row.members = row.members.saturating_mul(times as u64);
+            row.quota = row.quota.saturating_mul(times as u64);
+            row.max_members = row.max_members.saturating_mul(times as u64);
         }
         for tier in &mut grown.tier {
             tier.sidecars = tier.sidecars.saturating_mul(times);
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use appledyke::units::{Moment, Span};
-use appledyke_fleet::budgets::{Budget, Budgets, Change, Holder, Thing};
-use appledyke_fleet::divide::Divider;
-use appledyke_fleet::limits::{Grant, Limits, flows};
+use appledyke_fleet::budgets::{Budget, Budgets, Holder, Resource, ShareChange};
+use appledyke_fleet::divide::Allocator;
+use appledyke_fleet::limits::{Grant, Limits, attempt_resources};
 
 use crate::scenario::{By, Scenario, at_ms};
 
@@ -29,13 +29,13 @@
 
 pub struct Shares {
     by: By,
-    alone: BTreeMap<Thing, (u64, u64)>,
+    alone: BTreeMap<Resource, (u64, u64)>,
     limits: Vec<Limits>,
     agreed: Budgets,
-    divider: Divider,
+    divider: Allocator,
     index: u64,
     pub answers: Vec<Answer>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<ShareChange>,
     spent: Vec<Spent>,
     warm: Moment,
     over: Moment,
@@ -46,19 +46,19 @@
     pub fn new(scenario: &Scenario, sidecars: usize) -> Shares {
         let terms = &scenario.budgets;
         let part = |row: &Budget| match terms.by {
-            By::Cut => (row.whole / terms.instances, row.window_ms),
-            By::Parts => (row.alone, row.window_ms),
+            By::Cut => (row.quota / terms.instances, row.window_ms),
+            By::Parts => (row.standalone_share, row.window_ms),
         };
         let mut agreed = Budgets::default();
-        agreed.state(&terms.row);
+        agreed.configure(&terms.row);
         let spent = |row: &Budget| Spent { budget: *row, window: VecDeque::new(), most: 0, all: 0 };
-        let alone: BTreeMap<_, _> = terms.row.iter().map(|row| (row.of, part(row))).collect();
+        let alone: BTreeMap<_, _> = terms.row.iter().map(|row| (row.resource, part(row))).collect();
         Shares {
             by: terms.by,
             limits: vec![Limits::new(&alone); sidecars],
             alone,
             agreed,
-            divider: Divider::new(Moment::default(), 0),
+            divider: Allocator::new(Moment::default(), 0),
             index: 0,
             answers: Vec::new(),
             changes: Vec::new(),
@@ -81,17 +81,17 @@
 
     /// A sidecar's report reaches the daemon; its answer is kept until it arrives.
     pub fn report(&mut self, now: Moment, node: usize, life: u32) -> usize {
-        let uses = self.limits[node].uses(now);
+        let uses = self.limits[node].usage(now);
         let holder = Holder { name: format!("s{node}"), incarnation: u64::from(life) };
-        self.divider.report(now, &holder, &uses, false);
-        let grants = self.divider.grants(&holder, &self.agreed, self.index);
+        self.divider.record_report(now, &holder, &uses, false);
+        let grants = self.divider.grants_for(&holder, &self.agreed, self.index);
         self.answers.push(Answer { node, life, asked: now, grants });
         self.answers.len() - 1
     }
 
     pub fn answered(&mut self, at: usize) {
         let answer = &mut self.answers[at];
-        self.limits[answer.node].granted(answer.asked, &std::mem::take(&mut answer.grants));
+        self.limits[answer.node].apply_grants(answer.asked, &std::mem::take(&mut answer.grants));
     }
 
     /// What is to be an entry, by its place among all changes.
@@ -109,10 +109,11 @@
     /// Whether a sidecar may write out now; it is counted if so.
     pub fn may_send(&mut self, now: Moment, node: usize, again: bool, cold: bool) -> bool {
         let Some(limits) = self.limits.get_mut(node) else { return true };
-        if !limits.spend_write_out(now, again, cold) {
+        if !limits.try_spend_attempt(now, again, cold) {
             return false;
         }
-        let counts = |spent: &&mut Spent| flows(again, cold).any(|of| of == spent.budget.of);
+        let counts =
+            |spent: &&mut Spent| attempt_resources(again, cold).any(|of| of == spent.budget.resource);
         for spent in self.spent.iter_mut().filter(counts) {
             let window = Span::from_millis(spent.budget.window_ms);
             while spent.window.front().is_some_and(|at| now.since(*at) >= window) {
@@ -128,7 +129,7 @@
     /// Of each budget: its whole, the most in a window, and the share that was used after the warm-up.
     pub fn uses(&self) -> BTreeMap<String, (u64, u64, f64)> {
         let row = |spent: &Spent| {
-            let Budget { of, whole, window_ms, .. } = spent.budget;
+            let Budget { resource: of, quota: whole, window_ms, .. } = spent.budget;
             let windows = self.over.since(self.warm).secs() / Span::from_millis(window_ms).secs();
             (of.to_string(), (whole, spent.most, spent.all as f64 / (whole as f64 * windows).max(1.0)))
         };
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -8,7 +8,7 @@
 use appledyke::news::Told as Ended;
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, Entry, Outcome, Standing};
-use appledyke_fleet::evidence::{self, Cursor, Evidence, Passed, Seen};
+use appledyke_fleet::evidence::{self, Cursor, EvidenceStore, Observation, RelayedObservation};
 use oorandom::Rand64;
 
 use crate::faults::{Faults, Turn};
@@ -269,7 +269,7 @@
     pub tally: Tally,
     work: Vec<usize>,
     /// What daemons hold of the members' write-outs, how many each has told, and up to where each has heard.
-    evidence: Evidence,
+    evidence: EvidenceStore,
     sequences: Vec<u64>,
     cursors: Vec<Cursor>,
     /// Of the tiers that have budgets, from the first on.
@@ -334,7 +334,7 @@
             referee: Referee::default(),
             tally: Tally::new(scenario),
             work: Vec::new(),
-            evidence: Evidence::default(),
+            evidence: EvidenceStore::default(),
             sequences: Vec::new(),
             cursors: Vec::new(),
             shares: Vec::new(),
@@ -632,7 +632,7 @@
             return;
         }
         let (now, fleet) = (self.now, self.scenario.fleet);
-        let passed = self.evidence.tell(now, 0, node as u32, &mut self.cursors[node], fleet.each);
+        let passed = self.evidence.read_new(now, 0, node as u32, &mut self.cursors[node], fleet.each);
         self.pass_on(node, &passed);
         self.soon(Span::from_millis(fleet.beat_ms), Event::Hears { node, life });
     }
@@ -662,13 +662,13 @@
         }
     }
 
-    fn pass_on(&mut self, node: usize, passed: &[Passed]) {
-        let told = passed.iter().filter_map(|Passed { seen, .. }| {
-            let (method, part) = (seen.method as usize, f64::from(seen.part));
+    fn pass_on(&mut self, node: usize, passed: &[RelayedObservation]) {
+        let told = passed.iter().filter_map(|RelayedObservation { observation: seen, .. }| {
+            let (method, part) = (seen.method as usize, f64::from(seen.budget_fraction));
             Some(Ended {
                 mark: seen.endpoint,
                 method,
-                outcome: evidence::outcome(seen.outcome)?,
+                outcome: evidence::outcome_from_code(seen.outcome)?,
                 part,
                 load: None,
             })
@@ -937,20 +937,20 @@
         }
         self.tally.ended(self.now, self.nodes[node].tier, outcome);
         if self.scenario.fleet.hears != Hears::Nothing
-            && let Some(code) = evidence::code(outcome)
+            && let Some(code) = evidence::outcome_code(outcome)
         {
             self.sequences[node] += 1;
             let (method, sent) = (self.jobs[job].method, self.jobs[job].sent);
             let budget = Span::from_millis(self.scenario.method[method].latency_budget_ms);
-            let seen = Seen {
+            let seen = Observation {
                 sequence: self.sequences[node],
                 age_ms: 0,
                 endpoint: ids::mark(&format!("{endpoint}.{process}")),
                 method: method as u32,
                 outcome: code,
-                part: (self.now.since(sent).secs() / budget.secs().max(1e-6)) as f32,
+                budget_fraction: (self.now.since(sent).secs() / budget.secs().max(1e-6)) as f32,
             };
-            self.evidence.hear(self.now, 0, node as u32, u64::from(life), &[seen]);
+            self.evidence.record(self.now, 0, node as u32, u64::from(life), &[seen]);
         }
         if outcome == Outcome::Satisfied {
             self.final_answer(node, req, Answer::Served);
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::talk::{Ask, Reply};
+use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::PATIENCE;
 use appledyke_lab::rig::links::Link;
 use appledyke_lab::rig::processes::beside;
@@ -187,8 +187,8 @@
         let mut world = World::begin(&scenario, 16, 0, 1, place).unwrap();
         let hollow: Vec<usize> = (0..16).filter(|at| !world.shape.members[*at].real).collect();
         let (one, name) = (hollow[0], world.shape.members[hollow[0]].name.clone());
-        let row = |world: &World| match world.daemons.ask(&Ask::Members, PATIENCE) {
-            Ok(Reply::Members(rows)) => rows.into_iter().find(|row| row.name == name).unwrap(),
+        let row = |world: &World| match world.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+            Ok(OperatorReply::Members(rows)) => rows.into_iter().find(|row| row.name == name).unwrap(),
             other => panic!("{other:?}"),
         };
         let wait = |world: &World, what: &str, check: &dyn Fn(&World) -> bool| {
@@ -201,14 +201,14 @@
         let before = row(&world);
         assert_eq!(before.groups.len(), 2, "{before:?}");
         world.members_down(&[one]).unwrap();
-        wait(&world, "silent", &|world| row(world).standing.name() == "silent");
+        wait(&world, "silent", &|world| row(world).status.name() == "silent");
         world.members_up(&[one]).unwrap();
-        wait(&world, "back", &|world| row(world).standing.name() == "serving");
+        wait(&world, "back", &|world| row(world).status.name() == "serving");
         assert!(row(&world).incarnation > before.incarnation);
         // Out for a while by its own asking, and back.
         world.tell(&Order::Drain { who: vec![one as u32], for_ms: 600 }).unwrap();
-        wait(&world, "drained", &|world| row(world).standing.name() == "drained");
-        wait(&world, "back from that", &|world| row(world).standing.name() == "serving");
+        wait(&world, "drained", &|world| row(world).status.name() == "drained");
+        wait(&world, "back from that", &|world| row(world).status.name() == "serving");
         // One region does not hear the other: members there fall silent for the side that can commit, or find a daemon of
         // their own; either way all are back once it is joined again.
         let members = world.shape.members_where(|place| place.region == 1);
@@ -216,17 +216,17 @@
         let cut = |world: &World| {
             let lost = members.iter().find(|at| !world.shape.members[**at].real).copied().unwrap();
             let lost = &world.shape.members[lost].name;
-            match world.daemons.ask(&Ask::Members, PATIENCE) {
-                Ok(Reply::Members(rows)) => {
-                    rows.iter().any(|row| row.name == *lost && row.standing.name() == "silent")
+            match world.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+                Ok(OperatorReply::Members(rows)) => {
+                    rows.iter().any(|row| row.name == *lost && row.status.name() == "silent")
                 }
                 _ => false,
             }
         };
         wait(&world, "cut off", &cut);
         world.region(1, false, &members).unwrap();
-        wait(&world, "joined", &|world| match world.daemons.ask(&Ask::Members, PATIENCE) {
-            Ok(Reply::Members(rows)) => rows.iter().all(|row| row.standing.name() == "serving"),
+        wait(&world, "joined", &|world| match world.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+            Ok(OperatorReply::Members(rows)) => rows.iter().all(|row| row.status.name() == "serving"),
             _ => false,
         });
         // A change reaches every one, and what they say of it is what was put.
--- a/crates/lab/tests/scale_leader.rs
+++ b/crates/lab/tests/scale_leader.rs
@@ -4,12 +4,12 @@
 use std::hint::black_box;
 
 use appledyke::units::{Moment, Span};
-use appledyke_fleet::budgets::{Budget, Budgets, Change, Holder, Stamp, Thing};
-use appledyke_fleet::divide::Divider;
-use appledyke_fleet::limits::Use;
+use appledyke_fleet::budgets::{Budget, Budgets, Holder, LogPosition, Resource, ShareChange};
+use appledyke_fleet::divide::Allocator;
+use appledyke_fleet::limits::Usage;
 use rustix::time::{ClockId, clock_gettime};
 
-const OF: Thing = Thing::WriteOuts;
+const OF: Resource = Resource::Attempts;
 const FEW: usize = 1000;
 const MANY: usize = 8 * FEW;
 /// Eight times the members may cost eight times as much, and some; by the square it would be 64 times.
@@ -23,7 +23,14 @@
 
 fn budget(members: usize) -> Budget {
     let members = members as u64;
-    Budget { of: OF, whole: 100 * members, window_ms: 1000, least: 2, alone: 40, members }
+    Budget {
+        resource: OF,
+        quota: 100 * members,
+        window_ms: 1000,
+        min_share: 2,
+        standalone_share: 40,
+        max_members: members,
+    }
 }
 
 fn used(work: impl FnOnce()) -> Span {
@@ -42,15 +49,15 @@
     least(MANY) / least(FEW)
 }
 
-fn grants(members: usize) -> Change {
-    Change::Grant(OF, (0..members).map(|number| (holder(number), 20)).collect())
+fn grants(members: usize) -> ShareChange {
+    ShareChange::Grant(OF, (0..members).map(|number| (holder(number), 20)).collect())
 }
 
 fn granted(members: usize) -> Budgets {
     let mut budgets = Budgets::default();
-    budgets.state(&[budget(members)]);
+    budgets.configure(&[budget(members)]);
     budgets.apply(1, &grants(members));
-    assert_eq!(budgets.counted(OF), 20 * members as u64);
+    assert_eq!(budgets.reserved(OF), 20 * members as u64);
     budgets
 }
 
@@ -58,7 +65,7 @@
 fn an_entry_that_grants_to_all_costs_as_many_times_as_there_are_members() {
     let cost = |members| {
         let mut budgets = Budgets::default();
-        budgets.state(&[budget(members)]);
+        budgets.configure(&[budget(members)]);
         let change = grants(members);
         used(|| budgets.apply(1, &change))
     };
@@ -70,10 +77,10 @@
 fn a_division_costs_as_many_times_as_there_are_members() {
     let cost = |members| {
         let budgets = granted(members);
-        let mut divider = Divider::new(Moment::default(), 0);
-        let told = Use { acts: Stamp { generation: 0, index: 1 }, wants: 60, held: 0 };
+        let mut divider = Allocator::new(Moment::default(), 0);
+        let told = Usage { acting_on: LogPosition { generation: 0, index: 1 }, wanted: 60, held: 0 };
         let now = Moment::default() + Span::from_millis(4000);
-        (0..members).for_each(|number| divider.report(now, &holder(number), &[(OF, told)], false));
+        (0..members).for_each(|number| divider.record_report(now, &holder(number), &[(OF, told)], false));
         used(|| drop(black_box(divider.proposals(now, &budgets))))
     };
     let times = times(cost);
@@ -87,7 +94,7 @@
         let new = |number| Holder { incarnation: 8, ..holder(number) };
         used(|| {
             for number in 0..members {
-                assert_eq!(budgets.earlier(OF, &new(number)).count(), 1);
+                assert_eq!(budgets.earlier_incarnations(OF, &new(number)).count(), 1);
             }
         })
     };
@@ -99,13 +106,14 @@
 fn only_earlier_processes_of_the_same_name_are_found() {
     let of = |name: &str, incarnation| Holder { name: name.to_string(), incarnation };
     let mut budgets = Budgets::default();
-    budgets.state(&[budget(10)]);
+    budgets.configure(&[budget(10)]);
     let all = [of("a", 9), of("s", 0), of("s", 3), of("s", 5), of("s", 6), of("s1", 1)];
-    budgets.apply(1, &Change::Grant(OF, all.iter().map(|holder| (holder.clone(), 2)).collect()));
-    let found: Vec<u64> = budgets.earlier(OF, &of("s", 5)).map(|earlier| earlier.incarnation).collect();
+    budgets.apply(1, &ShareChange::Grant(OF, all.iter().map(|holder| (holder.clone(), 2)).collect()));
+    let found: Vec<u64> =
+        budgets.earlier_incarnations(OF, &of("s", 5)).map(|earlier| earlier.incarnation).collect();
     assert_eq!(found, [0, 3]);
-    assert_eq!(budgets.earlier(OF, &of("s", 0)).count(), 0);
-    assert_eq!(budgets.earlier(Thing::Repeats, &of("s", 5)).count(), 0);
+    assert_eq!(budgets.earlier_incarnations(OF, &of("s", 0)).count(), 0);
+    assert_eq!(budgets.earlier_incarnations(Resource::Retries, &of("s", 5)).count(), 0);
 }
 
 /// One entry for many is worth the same as one for each: copies of two builds apply the same log.
@@ -118,13 +126,13 @@
             (0..2 + draw(20)).map(|_| (holder(draw(8) as usize), draw(150))).collect();
         let begin = || {
             let mut budgets = Budgets::default();
-            budgets.state(&[budget(5)]);
-            budgets.apply(1, &Change::Grant(OF, vec![(holder(0), 90), (holder(1), 60)]));
+            budgets.configure(&[budget(5)]);
+            budgets.apply(1, &ShareChange::Grant(OF, vec![(holder(0), 90), (holder(1), 60)]));
             budgets
         };
         let (mut one, mut other) = (begin(), begin());
-        one.apply(2, &Change::Grant(OF, sets.clone()));
-        sets.into_iter().for_each(|set| other.apply(2, &Change::Grant(OF, vec![set])));
+        one.apply(2, &ShareChange::Grant(OF, sets.clone()));
+        sets.into_iter().for_each(|set| other.apply(2, &ShareChange::Grant(OF, vec![set])));
         assert_eq!(one, other);
     }
 }
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -9,13 +9,13 @@
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
-use appledyke_fleet::budgets::Thing;
-use appledyke_fleet::evidence::Passed;
+use appledyke_fleet::budgets::Resource;
+use appledyke_fleet::evidence::RelayedObservation;
 use appledyke_fleet::limits::Limits;
-use appledyke_fleet::member::{Do, Member, Setup};
-use appledyke_fleet::members::Standing;
+use appledyke_fleet::member::{HostAction, Member, MemberConfig};
+use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::scopes::Locality;
-use appledyke_fleet::talk::{Frame, Frames, Greeting, Who, greeted};
+use appledyke_fleet::talk::{Frame, FrameReader, Initiator, VersionNegotiation, check_hello};
 use serde_json::{Value, json};
 
 use crate::figures::End;
@@ -42,7 +42,7 @@
     /// Where the last good settings are kept, for a start while no daemon is there.
     keep: Option<PathBuf>,
     /// What it may use of the fleet's budgets without daemons, and in which window, in milliseconds.
-    alone: BTreeMap<Thing, (u64, u64)>,
+    alone: BTreeMap<Resource, (u64, u64)>,
     /// The groups that it belongs to: zone, tier, pool.
     groups: Vec<String>,
     /// What it belongs to, for settings that are put for a part of the fleet and for others' evidence.
@@ -188,7 +188,7 @@
     rows(locality).map(|(key, name)| format!("{key}={name}")).collect::<Vec<_>>().join(", ")
 }
 
-fn alone(key: &Value) -> Result<BTreeMap<Thing, (u64, u64)>, String> {
+fn alone(key: &Value) -> Result<BTreeMap<Resource, (u64, u64)>, String> {
     let mut alone = BTreeMap::new();
     let rows = match key {
         Value::Null => return Ok(alone),
@@ -196,9 +196,9 @@
         other => return Err(format!("fleet.alone: expected an object, not {other}")),
     };
     for (name, row) in rows {
-        let of = Thing::ALL.into_iter().find(|of| of.name() == name);
+        let of = Resource::ALL.into_iter().find(|of| of.name() == name);
         let of = of.ok_or_else(|| {
-            format!("fleet.alone.{name}: unknown; budgets are of {:?}", Thing::ALL.map(Thing::name))
+            format!("fleet.alone.{name}: unknown; budgets are of {:?}", Resource::ALL.map(Resource::name))
         })?;
         let part = row["part"]
             .as_u64()
@@ -209,8 +209,9 @@
                 .as_u64()
                 .ok_or_else(|| format!("fleet.alone.{name}.windowMs: expected a whole number"))?,
         };
-        if of.is_stock() != (window == 0) {
-            let wanted = if of.is_stock() { "none for a stock" } else { "a positive whole number" };
+        if of.is_concurrency_limit() != (window == 0) {
+            let wanted =
+                if of.is_concurrency_limit() { "none for a stock" } else { "a positive whole number" };
             return Err(format!("fleet.alone.{name}.windowMs: expected {wanted}, not {window}"));
         }
         alone.insert(of, (part, window));
@@ -247,7 +248,7 @@
     /// Settings that are to be checked whole, and acted on.
     Settings(Version, String),
     /// How others' write-outs ended.
-    Ends(Vec<Passed>),
+    Ends(Vec<RelayedObservation>),
     /// These endpoints are out of service, and no others.
     Outs(Vec<String>),
     /// It may go out, or not now and why.
@@ -268,7 +269,7 @@
 
 struct Link {
     connection: Connection,
-    frames: Frames,
+    frames: FrameReader,
     greeted: bool,
     place: u16,
     greets: u16,
@@ -280,7 +281,7 @@
     links: Slots<Link>,
     open: Option<Key>,
     /// With which version each daemon is greeted next.
-    greetings: BTreeMap<u16, Greeting>,
+    greetings: BTreeMap<u16, VersionNegotiation>,
     deadline: Option<Moment>,
     pub agreed: Option<Agreed>,
     /// Settings that were agreed on and found faulty here.
@@ -291,18 +292,18 @@
 impl Fleet {
     pub fn new(terms: Terms, name: &str, seed: u64, agreed: Option<Agreed>, turn: &mut Turn) -> Fleet {
         let now = turn.now;
-        let setup = Setup {
+        let setup = MemberConfig {
             name: name.to_string(),
             daemons: terms.daemons.iter().map(|(place, _)| *place).collect(),
-            beat: terms.beat,
+            heartbeat: terms.beat,
             // The machine's clock at the start: a later start is a later incarnation.
             incarnation: now.nanos(),
-            process: u64::from(std::process::id()),
+            process_nonce: u64::from(std::process::id()),
             version: agreed.as_ref().map_or_else(Version::default, |agreed| agreed.version),
             limits: Limits::new(&terms.alone),
             groups: terms.groups.clone(),
             locality: terms.belongs.clone(),
-            runs: terms.version.clone(),
+            program_version: terms.version.clone(),
         };
         let member = Member::new(now, setup, seed);
         let mut fleet = Fleet {
@@ -321,8 +322,11 @@
     }
 
     fn time(&mut self, turn: &mut Turn) {
-        let next =
-            self.member.asker.until().map_or(self.member.next(), |until| until.min(self.member.next()));
+        let next = self
+            .member
+            .drain_requests
+            .deadline()
+            .map_or(self.member.next_due(), |until| until.min(self.member.next_due()));
         if self.deadline != Some(next) {
             turn.deadlines.shift(Due::Fleet, &mut self.deadline, Some(next));
         }
@@ -330,10 +334,10 @@
 
     pub fn overdue(&mut self, turn: &mut Turn) -> Vec<News> {
         self.deadline = None;
-        let done = self.member.due(turn.now);
+        let done = self.member.on_timer(turn.now);
         let mut news = self.carry_out(done, turn);
-        if self.member.asker.until().is_some_and(|until| until <= turn.now) {
-            self.member.asker.give_up();
+        if self.member.drain_requests.deadline().is_some_and(|until| until <= turn.now) {
+            self.member.drain_requests.give_up();
             self.time(turn);
             news.push(News::Out { refused: Some("no daemon heard".to_string()) });
         }
@@ -341,8 +345,8 @@
     }
 
     /// How this process stands; it is told at once where that has changed.
-    pub fn stands(&mut self, standing: Standing, turn: &mut Turn) {
-        let done = self.member.stands(turn.now, standing);
+    pub fn stands(&mut self, standing: MemberStatus, turn: &mut Turn) {
+        let done = self.member.set_status(turn.now, standing);
         if !done.is_empty() {
             self.carry_out(done, turn);
         }
@@ -355,68 +359,68 @@
         if limits.is_empty() {
             return true;
         }
-        let held = limits.hold(now, Thing::InFlight, wish.out as u64)
-            && (wish.idle || limits.hold(now, Thing::Connections, wish.connections as u64));
-        held && limits.spend_write_out(now, wish.again, wish.cold)
+        let held = limits.try_hold(now, Resource::InFlight, wish.out as u64)
+            && (wish.idle || limits.try_hold(now, Resource::Connections, wish.connections as u64));
+        held && limits.try_spend_attempt(now, wish.again, wish.cold)
     }
 
     /// Whether the fleet's budgets allow a call to the list's service now.
     pub fn may_call_list(&mut self, now: Moment) -> bool {
-        self.member.limits.spend(now, Thing::ListCalls, true)
+        self.member.limits.try_spend(now, Resource::DiscoveryCalls, true)
     }
 
     /// Most connections that it may have at an endpoint now.
     pub fn connections_most(&self, now: Moment) -> Option<u64> {
-        self.member.limits.allowed(now, Thing::Connections)
+        self.member.limits.allowed(now, Resource::Connections)
     }
 
     /// What it holds at the endpoint where it holds most, and whether no other process serves its address.
     pub fn holds(&mut self, connections: usize, out: usize, alone: bool) {
-        self.member.limits.holds(Thing::Connections, connections as u64);
-        self.member.limits.holds(Thing::InFlight, out as u64);
-        self.member.alone = alone;
+        self.member.limits.set_held(Resource::Connections, connections as u64);
+        self.member.limits.set_held(Resource::InFlight, out as u64);
+        self.member.sole_at_address = alone;
     }
 
     /// Asks the fleet whether this process may go out; `false` where nobody can be asked.
     pub fn ask_out(&mut self, anyway: Option<String>, turn: &mut Turn) -> bool {
-        if !self.member.is_up() || !self.member.is_heard(turn.now) {
+        if !self.member.is_connected() || !self.member.has_recent_answer(turn.now) {
             return false;
         }
-        let ask = self.member.asker.ask(turn.now);
-        self.send(&Frame::AskOut { ask, anyway }, turn);
+        let ask = self.member.drain_requests.request(turn.now);
+        self.send(&Frame::DrainRequest { ask, anyway }, turn);
         self.time(turn);
         true
     }
 
     /// It serves, and has not asked.
     pub fn is_back(&mut self) {
-        self.member.asker.is_back();
+        self.member.drain_requests.on_return();
     }
 
     /// Where it holds something still, of what is out of service.
     pub fn holds_at(&mut self, held: Vec<String>) {
-        self.member.holds = held;
+        self.member.endpoints_in_use = held;
     }
 
     /// The endpoints that it is to look for.
     pub fn looks_for(&self) -> impl Iterator<Item = &String> {
-        self.member.looks_for()
+        self.member.watched_endpoints()
     }
 
     /// What it has open still, and which of the endpoints that it looks for the list does not have as ready.
     pub fn stands_with(&mut self, open: usize, lacks: Vec<String>) {
-        (self.member.open, self.member.lacks) = (open as u64, lacks);
+        (self.member.open_requests, self.member.missing_endpoints) = (open as u64, lacks);
     }
 
     /// A req has ended, and served took longer than its latency budget or not.
     pub fn ended(&mut self, end: End, slow: bool) {
-        let figures = &mut self.member.figures;
+        let figures = &mut self.member.request_counts;
         match end {
             End::Satisfied => {
                 figures.served += 1;
                 figures.slow += u64::from(slow);
             }
-            End::Nacked => figures.nacked += 1,
+            End::Nacked => figures.rejected += 1,
             End::Failed => figures.failed += 1,
         }
     }
@@ -428,12 +432,12 @@
 
     pub fn book(&mut self, now: Moment, endpoint: u32, method: u32, outcome: u8, part: f64) {
         self.told += 1;
-        self.member.book(now, endpoint, method, outcome, part as f32);
+        self.member.record_attempt(now, endpoint, method, outcome, part as f32);
     }
 
     /// It acts on these from now on.
     pub fn acts_on(&mut self, agreed: Agreed) {
-        self.member.acts_on(agreed.version);
+        self.member.set_active_version(agreed.version);
         let belongs = self.member.locality().filter(|_| !self.member.is_unscoped());
         if let Some(path) = &self.terms.keep
             && let Err(e) = agreed.keep(path, belongs)
@@ -461,11 +465,11 @@
                 let frame = link.frames.pop();
                 match frame {
                     Ok(Some(frame @ Frame::Hello { .. })) => {
-                        match greeted(&frame, &self.terms.name, link.greets) {
+                        match check_hello(&frame, &self.terms.name, link.greets) {
                             Ok((_, speaks)) => {
                                 link.greeted = true;
-                                self.greetings.entry(place).or_default().taken();
-                                let done = self.member.up(turn.now, speaks);
+                                self.greetings.entry(place).or_default().on_accepted();
+                                let done = self.member.on_connected(turn.now, speaks);
                                 news.extend(self.carry_out(done, turn));
                             }
                             Err(why) => {
@@ -474,22 +478,22 @@
                             }
                         }
                     }
-                    Ok(Some(Frame::OutTold { ask, refused })) => {
-                        if self.member.asker.answered(ask, refused.is_none()) {
+                    Ok(Some(Frame::DrainAnswer { ask, refused })) => {
+                        if self.member.drain_requests.on_answer(ask, refused.is_none()) {
                             news.push(News::Out { refused });
                         }
                     }
-                    Ok(Some(Frame::Told(told))) => {
-                        let done = self.member.told(turn.now, told);
+                    Ok(Some(Frame::ReportAnswer(told))) => {
+                        let done = self.member.on_answer(turn.now, told);
                         news.extend(self.carry_out(done, turn));
                     }
-                    Ok(Some(Frame::ToldCoded(told, coded))) => {
-                        let done = self.member.told_coded(turn.now, told, &coded);
+                    Ok(Some(Frame::CodedReportAnswer(told, coded))) => {
+                        let done = self.member.on_coded_answer(turn.now, told, &coded);
                         news.extend(self.carry_out(done, turn));
                     }
                     // Danger: what was said before is known to the member by now, and is not told again.
-                    Ok(Some(Frame::NotTaken(why))) => {
-                        self.greetings.entry(place).or_default().refused();
+                    Ok(Some(Frame::Rejected(why))) => {
+                        self.greetings.entry(place).or_default().on_rejected();
                         self.fail(&why, turn);
                         return news;
                     }
@@ -506,10 +510,10 @@
             }
             if ended {
                 if up && !self.links.get(key).is_some_and(|link| link.greeted) {
-                    self.greetings.entry(place).or_default().cut();
+                    self.greetings.entry(place).or_default().on_closed();
                 }
                 self.close(turn);
-                self.member.broken(turn.now);
+                self.member.on_disconnected(turn.now);
                 break;
             }
             if !more {
@@ -523,7 +527,7 @@
     fn fail(&mut self, why: &str, turn: &mut Turn) {
         log::warn!("fleet: {why}");
         self.close(turn);
-        self.member.broken(turn.now);
+        self.member.on_disconnected(turn.now);
         self.time(turn);
     }
 
@@ -538,15 +542,21 @@
         let Some((_, at)) = self.terms.daemons.iter().find(|(known, _)| *known == place) else { return };
         let (mut hello, name) = (Vec::new(), self.member.name().to_string());
         let greets = self.greetings.entry(place).or_default().version();
-        Frame::hello_as(greets, &self.terms.name, Who::Member { name }).write(&mut hello);
+        Frame::hello_as(greets, &self.terms.name, Initiator::Member { name }).write(&mut hello);
         let opened = self.links.insert_with(|key| {
             let mut connection = Connection::open(*at, &turn.registry, Peer::Fleet(key).token())?;
             connection.queue(&[&hello], 0);
-            Ok::<_, io::Error>(Link { connection, frames: Frames::default(), greeted: false, place, greets })
+            Ok::<_, io::Error>(Link {
+                connection,
+                frames: FrameReader::default(),
+                greeted: false,
+                place,
+                greets,
+            })
         });
         match opened {
             Ok(key) => self.open = Some(key),
-            Err(_) => self.member.broken(turn.now),
+            Err(_) => self.member.on_disconnected(turn.now),
         }
     }
 
@@ -556,29 +566,33 @@
         frame.write(&mut bytes);
         if link.connection.send(&[&bytes]).is_err() {
             self.close(turn);
-            self.member.broken(turn.now);
+            self.member.on_disconnected(turn.now);
         }
     }
 
-    fn carry_out(&mut self, done: Vec<Do>, turn: &mut Turn) -> Vec<News> {
+    fn carry_out(&mut self, done: Vec<HostAction>, turn: &mut Turn) -> Vec<News> {
         let mut news = Vec::new();
         for what in done {
             match what {
-                Do::Dial(place) => self.dial(place, turn),
-                Do::Close => self.close(turn),
-                Do::Belongs(locality) => self.send(&Frame::Belongs(locality), turn),
-                Do::Send(report) => self.send(&Frame::Report(*report), turn),
-                Do::Take(version, settings) => news.push(News::Settings(version, settings)),
-                Do::Hear(passed) => news.push(News::Ends(passed)),
-                Do::Outs(outs) => news.push(News::Outs(outs)),
-                Do::Sent(sent) => news.push(News::Sent(sent)),
-                Do::Twin(true) => log::error!("fleet: another process runs under this name and incarnation"),
-                Do::Twin(false) => log::info!("fleet: no other process runs under this name any more"),
-                Do::Superseded(true) => {
+                HostAction::Dial(place) => self.dial(place, turn),
+                HostAction::Close => self.close(turn),
+                HostAction::SendLocality(locality) => self.send(&Frame::Locality(locality), turn),
+                HostAction::SendReport(report) => self.send(&Frame::Report(*report), turn),
+                HostAction::ApplySettings(version, settings) => news.push(News::Settings(version, settings)),
+                HostAction::DeliverObservations(passed) => news.push(News::Ends(passed)),
+                HostAction::SetDrainedEndpoints(outs) => news.push(News::Outs(outs)),
+                HostAction::SetReleaseDrain(sent) => news.push(News::Sent(sent)),
+                HostAction::DuplicateProcess(true) => {
+                    log::error!("fleet: another process runs under this name and incarnation")
+                }
+                HostAction::DuplicateProcess(false) => {
+                    log::info!("fleet: no other process runs under this name any more")
+                }
+                HostAction::Superseded(true) => {
                     log::error!("fleet: a later process has taken this name; end this one")
                 }
-                Do::Superseded(false) => log::info!("fleet: this process is known by its name again"),
-                Do::Faulty(what) => log::warn!("fleet: {what}"),
+                HostAction::Superseded(false) => log::info!("fleet: this process is known by its name again"),
+                HostAction::AnswerError(what) => log::warn!("fleet: {what}"),
             }
         }
         self.time(turn);
@@ -589,21 +603,21 @@
     pub fn figures(&self, now: Moment) -> String {
         use std::fmt::Write;
         let mut text = String::new();
-        let (version, knows) = (self.member.version(), self.member.knows());
+        let (version, knows) = (self.member.active_version(), self.member.latest_known());
         for (name, kind, value) in [
             ("settings_generation", "gauge", version.generation),
             ("settings_number", "gauge", version.number),
             ("settings_known_number", "gauge", knows.number),
             ("settings_faulty", "counter", self.faulty),
-            ("daemon_heard", "gauge", u64::from(self.member.is_heard(now))),
+            ("daemon_heard", "gauge", u64::from(self.member.has_recent_answer(now))),
             ("ends_told", "counter", self.told),
-            ("ends_heard", "counter", self.member.heard),
+            ("ends_heard", "counter", self.member.observations_received),
         ] {
             writeln!(text, "# TYPE sidecar_fleet_{name} {kind}\nsidecar_fleet_{name} {value}")
                 .expect("a string takes all");
         }
         let limited =
-            Thing::ALL.into_iter().filter_map(|of| Some((of, self.member.limits.allowed(now, of)?)));
+            Resource::ALL.into_iter().filter_map(|of| Some((of, self.member.limits.allowed(now, of)?)));
         for (at, (of, allowed)) in limited.enumerate() {
             if at == 0 {
                 writeln!(text, "# TYPE sidecar_fleet_allowed gauge").expect("a string takes all");
--- a/crates/sidecar/src/handover.rs
+++ b/crates/sidecar/src/handover.rs
@@ -6,7 +6,7 @@
 
 use appledyke::Outcome;
 use appledyke::units::{Moment, Span};
-use appledyke_fleet::evidence::{code, outcome};
+use appledyke_fleet::evidence::{outcome_code, outcome_from_code};
 
 /// The first line of the file: its kind and version.
 const HEAD: &str = "appledyke handover 1";
@@ -34,7 +34,7 @@
 
 impl Latest {
     pub fn book(&mut self, ended: Ended) {
-        if code(ended.outcome).is_some() {
+        if outcome_code(ended.outcome).is_some() {
             self.ends.push_back(ended);
             if self.ends.len() > MOST {
                 self.ends.pop_front();
@@ -49,7 +49,7 @@
         }
         let mut text = format!("{HEAD}\n");
         for Ended { at, endpoint, method, outcome, part } in &self.ends {
-            let code = code(*outcome).unwrap_or_default();
+            let code = outcome_code(*outcome).unwrap_or_default();
             let line = writeln!(text, "{} {endpoint:08x} {method:08x} {code} {part}", at.nanos());
             line.expect("a string takes all");
         }
@@ -79,7 +79,7 @@
     let at = Moment::from_nanos(words.next()?.parse().ok()?);
     let endpoint = u32::from_str_radix(words.next()?, 16).ok()?;
     let method = u32::from_str_radix(words.next()?, 16).ok()?;
-    let outcome = outcome(words.next()?.parse().ok()?)?;
+    let outcome = outcome_from_code(words.next()?.parse().ok()?)?;
     let part = words.next()?.parse().ok().filter(|part: &f64| part.is_finite() && *part >= 0.0)?;
     words.next().is_none().then_some(Ended { at, endpoint, method, outcome, part })
 }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -3,8 +3,8 @@
 use std::fs::File;
 
 use appledyke_fleet::Version;
-use appledyke_fleet::evidence::{self, Passed};
-use appledyke_fleet::members::Standing as Member;
+use appledyke_fleet::evidence::{self, RelayedObservation};
+use appledyke_fleet::members::MemberStatus as Member;
 
 use super::*;
 use crate::figures::AnsweredHere;
@@ -481,9 +481,14 @@
     }
 
     /// How write-outs of other members have ended. What that is worth is decided elsewhere.
-    fn hear_ends(&mut self, passed: &[Passed]) {
-        let ends = passed.iter().filter_map(|Passed { seen, .. }| {
-            Some((seen.endpoint, seen.method, evidence::outcome(seen.outcome)?, f64::from(seen.part)))
+    fn hear_ends(&mut self, passed: &[RelayedObservation]) {
+        let ends = passed.iter().filter_map(|RelayedObservation { observation: seen, .. }| {
+            Some((
+                seen.endpoint,
+                seen.method,
+                evidence::outcome_from_code(seen.outcome)?,
+                f64::from(seen.budget_fraction),
+            ))
         });
         let told: Vec<_> = self.as_told(ends).collect();
         self.choice.heard(self.turn.now, &told);
--- a/crates/sidecar/src/sidecar/reqs.rs
+++ b/crates/sidecar/src/sidecar/reqs.rs
@@ -237,7 +237,8 @@
         if self.presence.is_some() {
             self.latest.book(ended);
         }
-        if let (Some(fleet), Some(code)) = (&mut self.fleet, appledyke_fleet::evidence::code(outcome)) {
+        if let (Some(fleet), Some(code)) = (&mut self.fleet, appledyke_fleet::evidence::outcome_code(outcome))
+        {
             fleet.book(ended.at, ended.endpoint, ended.method, code, ended.part);
         }
     }
