--- a/crates/daemon/src/folder.rs
+++ b/crates/daemon/src/folder.rs
@@ -126,9 +126,9 @@
         if let Some(state) = state {
             let at = batch.entries[0].position;
             let mut state = state;
-            state.pass(at.index);
+            state.skip_entry(at.index);
             batch.snapshot =
-                Some(Snapshot { last_included: at, voters: [self.id].into(), state: state.bytes() });
+                Some(Snapshot { last_included: at, voters: [self.id].into(), state: state.to_bytes() });
             batch.entries.clear();
         }
         self.persist(&batch)
