--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,19 +1,22 @@
-//! Every decision of one instance. Make a `Balancer` from the decoded terms and a seed, tell it what happens
-//! (`arrival`, `outcome`, `hangup`, `list_*`, `wake` and so on), then pull `next_decision` until it is none.
-//! `lib.rs` has the decisions and their words, `terms.rs` the terms, `known.rs` the rows of what is known.
-//! The ordinary way of a request is the design's: the drop chance from a rolling window on arrival, fractions
-//! from inverse smoothed served latency, weighted draws that pass over an endpoint with much in flight. Loads
-//! that probes report, what peers tell, hints of work and a window by key only let these see more.
-//! The rules are each held in one place: `end` (one final answer, rejections), `may_repeat` (effects),
-//! `open_endpoints` (drains, a started one's budget), `trusted` (placement), `list_*` (the list).
-//! Mechanisms beside the design, six at most:
-//! 1. Distrust: a score per endpoint and method that failures raise and time fades. What is no endpoint's
-//!    fault raises none: a key that fails everywhere, a client that reads, a clock that is ahead.
-//! 2. Retries: only as effects permit, from a purse that arrivals fill; early for a lost answer.
-//! 3. Circle: with too little traffic to hear from all, it keeps to some, and exchanges one at times.
-//! 4. Bound: the most that an endpoint may hold in the mean, from latency against its budget.
-//! 5. Hold: beyond the bound a request waits a little, the most worth first, work within work before all.
-//! 6. Late returns: a client that comes back past its budget is told so at once.
+//! All decisions of one instance. Create a `Balancer` from the decoded terms and a seed, report events to it
+//! (`arrival`, `outcome`, `client_disconnected`, `list_*`, `wake` and so on), then call `next_decision` until it
+//! returns none. `lib.rs` defines the decisions, `terms.rs` the terms, `known.rs` the state that is kept.
+//!
+//! The base algorithm is the design's: on arrival, a drop chance from a rolling window of requests and accepts;
+//! traffic fractions from the inverse of the smoothed served latency; weighted draws that skip endpoints with many
+//! attempts in flight. Loads from probes, reports from peers, hints of work and a window by key refine its inputs.
+//!
+//! Each rule is enforced in one place: `give_up` (one final answer, rejections), `may_attempt` (effects),
+//! `eligible_endpoints` (drains, the budget of a started endpoint), `candidates` (placement), `list_*` (the list).
+//!
+//! There are six mechanisms beside the design, and there should be no more:
+//! 1. Outlier detection: a score by endpoint and method that failures raise and time halves. Failures that are not
+//!    the endpoint's fault do not count: a key that fails everywhere, a client that reads slowly, a clock that is ahead.
+//! 2. Retries: only as the method's effect permits, from a retry budget that arrivals fill; early for a lost answer.
+//! 3. Subset: an instance with too little traffic to measure all endpoints keeps to some, and exchanges one at times.
+//! 4. Concurrency limit: the most attempts in flight at an endpoint, in the mean, from latency against its target.
+//! 5. Queue: above the limit a request waits briefly; nested work comes first, then the method that is worth most.
+//! 6. Expired retries: a client that retries past its latency budget is answered at once.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -24,126 +27,253 @@
 use crate::units::{Moment, Span};
 use crate::{Decision, EndpointState, Entry, GiveUpReason, Outcome, RequestInfo};
 
-// The design's: its start values, but for the margin, where half an attempt decides for a trickle.
-const K: f64 = 2.0; // times accepts, the requests that are let through
-const PROTECTION: (f64, f64) = (5.0, 1.0); // requests that may fail first, and of one key: one by chance
-const BUCKETS: (Span, usize) = (Span::from_millis(250), 40); // their length and number: a window of 10 s
-const SOLVE_EVERY: Span = Span::from_millis(1000); // between two solves of the fractions
-const SMOOTHING: f64 = 0.1; // least part of a new latency: about the last ten count
-const SMOOTHING_OVER: Span = Span::from_millis(2500); // of one heard from seldom: those of this time count
-const MARGIN: (f64, f64) = (1.25, 0.5); // in flight beyond the mean times this, plus that, is well above it
-const FITS: (f64, f64) = (0.8, 1.2); // of the budget left: beyond, an endpoint is passed over; then closed
-const TRIED_WEIGHT: f64 = 0.01; // of an endpoint that the request has been to: only if there is hardly another
-// Distrust, in halvings of traffic.
-const DISTRUST_STEP: f64 = 1.0; // for a failure
-const DISTRUST_DOWN: f64 = 4.0; // for a connection refused or broken, or an attempt timed out: mostly all are
-const DISTRUST_OTHERS: f64 = 0.5; // part of it for other methods, unless connections fail: mostly all fail
-const DISTRUST_KEPT: f64 = 0.8; // part of it that any other answer leaves: three halve it
-const DISTRUST_MOST: f64 = 10.0; // a thousandth of the traffic can still tell of recovery
-const DISTRUST_HALF: Span = Span::from_millis(4000); // to half, as old latencies do: a fault is short
-const HASTY: Span = Span::from_millis(10_000); // that one full or late to fail gets the whole time: a window
-const AVOIDED_TRUST: f64 = 0.25; // of its traffic, at most, has one that counts as avoided: two failures
+// Start values of the design, except for `IN_FLIGHT_SLACK`.
+
+/// Requests that are let through, as a multiple of those accepted.
+const K: f64 = 2.0;
+/// Requests that may fail before the drop chance rises above zero.
+const PROTECTION: f64 = 5.0;
+/// `PROTECTION` for the requests of one key: a single failure may be chance.
+const KEY_PROTECTION: f64 = 1.0;
+/// `WINDOW_BUCKETS` buckets of this length make up the rolling window of 10 s.
+const WINDOW_BUCKET: Span = Span::from_millis(250);
+const WINDOW_BUCKETS: usize = 40;
+/// Time between two solves of the traffic fractions.
+const SOLVE_INTERVAL: Span = Span::from_millis(1000);
+/// Least weight of a new latency in the smoothed one: about the last ten count.
+const LATENCY_SMOOTHING: f64 = 0.1;
+/// Averaging time for an endpoint with few answers: about the answers of this time count.
+const LATENCY_SMOOTHING_TIME: Span = Span::from_millis(2500);
+/// An endpoint is skipped if it has more in flight than the mean times this, plus `IN_FLIGHT_SLACK` attempts.
+const IN_FLIGHT_FACTOR: f64 = 1.25;
+/// Half an attempt decides where traffic is very low and the mean is near zero.
+const IN_FLIGHT_SLACK: f64 = 0.5;
+/// Expected latency as a part of the latency budget that is left; above it an endpoint is skipped.
+const FIT_PREFERRED: f64 = 0.8;
+/// Expected latency as a part of the latency budget that is left; above it an endpoint is excluded.
+const FIT_MAX: f64 = 1.2;
+/// Factor on the weight of an endpoint that the request has already tried, so that it is drawn only if hardly any other
+/// is eligible.
+const TRIED_WEIGHT: f64 = 0.01;
+
+// Outlier detection. Each point of the score halves the endpoint's traffic.
+
+/// Added to the score for a failure.
+const OUTLIER_STEP: f64 = 1.0;
+/// Added for a refused or broken connection or an attempt that timed out: then mostly all requests fail.
+const OUTLIER_STEP_DOWN: f64 = 4.0;
+/// Part of a step that is added for the other methods; all of it if connections fail, as then mostly all methods do.
+const OUTLIER_OTHER_METHODS: f64 = 0.5;
+/// Part of the score that a served attempt leaves: three of them halve it.
+const OUTLIER_KEPT: f64 = 0.8;
+/// Cap on the score: a thousandth of the traffic is still enough to notice recovery.
+const OUTLIER_MAX: f64 = 10.0;
+/// Half-life of the score, similar to that of old latencies: most faults are short.
+const OUTLIER_HALF_LIFE: Span = Span::from_millis(4000);
+/// How long an endpoint that was overloaded or failed late is given the client's whole deadline: one rolling window.
+const EARLY_FAILURE_WINDOW: Span = Span::from_millis(10_000);
+/// An endpoint counts as avoided at this part of its traffic or less, which is the effect of two failures.
+const AVOIDED_HEALTH: f64 = 0.25;
+
 // Retries.
-const PURSE_SHARE: f64 = 0.2; // that one arrival pays for: a fifth of the load for long
-const PURSE_MOST: f64 = 10.0; // saved up: enough to carry requests past one endpoint's fall
-const PATIENCE: f64 = 5.0; // times the usual that one may take while another may follow: few take as long
-const PATIENCE_PARTS: (f64, f64) = (0.2, 1.0); // least and most, of the budget: past it another earns little
-const READ: (f64, f64) = (3.0, 0.15); // times the usual for its size, beyond all but few; part of reply slots
-// Circle.
-const CIRCLE_SENDS: f64 = 2.0; // to each endpoint in a solve interval: as many as keep its latency known
-const CIRCLE_LEAST: f64 = 4.0; // endpoints, as a few may fall at once
-const CIRCLES: f64 = 8.0; // that an endpoint is in, in the mean: with fewer, chance loads them too unevenly
-const EXCHANGE_EVERY: Span = Span::from_millis(10000); // times one to two: rare against a connection's cost
-const HOME_PRICE: f64 = 0.01; // of crossing zones: up to it, all crossings together cost less than chance
-const HOME_GAIN: f64 = 150.0; // weight of home by the price beyond: seven times another's at a twentieth
-const HOME_ROOM: f64 = 2.0; // most room that this gives an endpoint, in means: home is not crowded for it
-// Bound: aim as part of the budget, least and first in attempts at an endpoint from all instances together.
-const BOUND_OWN: (f64, f64, f64) = (0.3, 6.0, 8.0); // room for spread; under the least, cores idle
-const BOUND_TOLD: (f64, f64, f64) = (0.3, 1.5, 3.0); // where load is told it acts on all at once: low
-const BOUND_GAIN: (f64, f64) = (0.8, 0.25); // relative change in a second a whole budget off; most by one
-const BOUND_USED: f64 = 0.7; // grows only while this part is in use: else answers teach nothing,
-const BOUND_SPARE: f64 = 2.0; // and all of it but so many instances' parts, if that is more
-const CROWD_OVER: Span = Span::from_millis(20); // smoothing of what is out, times the instances that share
-const CROWD_SENDS: f64 = 100.0; // most sends that it is smoothed over: chance has evened out by then
-const CROWD_TOLD: Span = Span::from_millis(800); // over which what peers tell of it is summed up
-// Hold.
-const HELD_FLOOR: f64 = 4.0; // requests held whatever the rate of sends, for an instance that has just started
-const HOLD_SHARE: f64 = 0.06; // of the budget: makes room by the next answer, and a rejection is still of use
-const HOLD_LOOK: Span = Span::from_millis(20); // between two looks: short against any budget
-const COME_BACK: f64 = 0.1; // told to a rejected client, of the budget, times one to two: spreads the returns
+
+/// Retries that one arrival adds to the retry budget: in the long run, retries are at most a fifth of the load.
+const RETRY_BUDGET_RATIO: f64 = 0.2;
+/// Cap on the retry budget: enough to retry the requests that the failure of one endpoint hits.
+const RETRY_BUDGET_MAX: f64 = 10.0;
+/// Timeout of an attempt that may be retried, as a multiple of the usual latency: few attempts take as long.
+const ATTEMPT_TIMEOUT_FACTOR: f64 = 5.0;
+/// Least timeout of an attempt that may be retried, as a part of the latency budget.
+const ATTEMPT_TIMEOUT_MIN: f64 = 0.2;
+/// From this part of the latency budget on, an attempt has no timeout of its own: a retry would come too late to be worth
+/// much.
+const ATTEMPT_TIMEOUT_MAX: f64 = 1.0;
+/// An attempt out for longer than this multiple of the usual latency of its size may have been answered to a client that
+/// reads slowly: all but few take less.
+const READING_AGE_FACTOR: f64 = 3.0;
+/// Part of the reply slots that clients which seem to read slowly may take.
+const READING_SLOT_SHARE: f64 = 0.15;
+
+// Subset.
+
+/// Sends to each endpoint of the subset in a solve interval: enough to keep its latency known.
+const SUBSET_SENDS: f64 = 2.0;
+/// Least endpoints in a subset, as a few may fail at once.
+const SUBSET_MIN: f64 = 4.0;
+/// Mean number of subsets that an endpoint belongs to: with fewer, chance spreads the load too unevenly.
+const SUBSETS_PER_ENDPOINT: f64 = 8.0;
+/// Least time between two exchanges of an endpoint, at most twice this: rare against the cost of a connection.
+const SUBSET_EXCHANGE_INTERVAL: Span = Span::from_millis(10000);
+/// Price of crossing zones up to which zones are ignored: all crossings together then cost less than chance does.
+const CROSS_ZONE_PRICE_IGNORED: f64 = 0.01;
+/// Weight that the own zone gains by the price beyond that: at a price of a twentieth, seven times another zone's weight.
+const OWN_ZONE_WEIGHT_GAIN: f64 = 150.0;
+/// Cap on the in-flight room that the zone weight adds, as a multiple of the mean: the own zone is not overloaded for it.
+const OWN_ZONE_ROOM_MAX: f64 = 2.0;
+
+// Concurrency limit, in attempts in flight at an endpoint from all instances together.
+
+struct LimitParameters {
+    /// Latency at which the limit neither grows nor shrinks, as a part of the latency budget.
+    target: f64,
+    min: f64,
+    initial: f64,
+}
+
+/// Leaves room for the spread between instances; below the least limit, cores stand idle.
+const LIMIT_LOCAL: LimitParameters = LimitParameters { target: 0.3, min: 6.0, initial: 8.0 };
+/// Low, as a limit on load that peers report acts on all instances at once.
+const LIMIT_SHARED: LimitParameters = LimitParameters { target: 0.3, min: 1.5, initial: 3.0 };
+/// Relative change of the limit in a second if latency is off the target by a whole budget.
+const LIMIT_GAIN: f64 = 0.8;
+/// Cap on the relative change by one answer.
+const LIMIT_GAIN_MAX: f64 = 0.25;
+/// The limit grows only while this part of it is in use: otherwise answers tell nothing about it.
+const LIMIT_USED: f64 = 0.7;
+/// As an alternative to `LIMIT_USED`, it grows only while all of it but this many instances' parts is in use, if that is
+/// more.
+const LIMIT_SPARE_INSTANCES: f64 = 2.0;
+/// Smoothing time of the mean in flight, times the instances that share the endpoints.
+const IN_FLIGHT_SMOOTHING_TIME: Span = Span::from_millis(20);
+/// Most sends over which the mean in flight is smoothed: chance has evened out by then.
+const IN_FLIGHT_SMOOTHING_SENDS: f64 = 100.0;
+/// Time over which the load that peers report is summed up.
+const REPORTED_LOAD_TIME: Span = Span::from_millis(800);
+
+// Queue.
+
+/// Requests that may be queued whatever the rate of sends, for an instance that has just started.
+const QUEUE_MIN: f64 = 4.0;
+/// Longest wait as a part of the latency budget: the next answer makes room within it, and a rejection is still of use.
+const QUEUE_WAIT: f64 = 0.06;
+/// Time between two checks of the queue: short against any latency budget.
+const QUEUE_POLL_INTERVAL: Span = Span::from_millis(20);
+/// Time after which a rejected client may retry, as a part of the latency budget; times one to two, to spread the retries.
+const RETRY_AFTER: f64 = 0.1;
+
 // Rules.
-const ANSWER_TICKS: f64 = 2.0; // before the budget ends: an attempt's outcome, then the final answer
-const REPEAT_TICKS: f64 = 4.0; // before a group forgets: a repeat has yet to arrive, once connected
-const COLD_FLOOR: f64 = 4.0; // sends in a fall window to a started endpoint, from all, where none is warm
-const COLD_DRAWN: (f64, f64) = (1.5, 0.01); // of the gain, as some goes unused; least gain weighed up for
-const COLD_RUSH: f64 = 3.0; // sends to each in a running window, beyond the rate, that tell of no other rate
-const ASK_SHARE: f64 = 0.5; // of the stated asking time, to wait before subscribing or asking again
-const FIRST_ASK_EACH: Span = Span::from_millis(100); // for each instance, most before the first: few need no longer
-const GONE_KEPT: Span = Span::from_millis(60_000); // for an endpoint that is gone: it may yet come back
-// Reported loads.
-const ASKED: usize = 3; // endpoints: few, so that a late report does not send everyone to the same one
-const ASKED_PRICE: f64 = 0.012; // most for a request's probes, of its worth: little is lost if they tell nothing
-const ASKED_WAIT: f64 = 0.06; // of the budget, for reports
-const ASKED_FRESH: Span = Span::from_millis(5); // age of a report not asked for again: little changes so soon
-const ASKED_MARGIN: f64 = 0.8; // times the mean of the expected latencies: one beyond it is passed over
-const ASKED_BOUND: f64 = 0.4; // of the budget, that an attempt may be expected to take
-const SLOPE_FIRST: (f64, f64) = (0.5, 0.1); // what loads tell of latency at first, and how surely
-const SLOPE_MOST: f64 = 3.0; // most that one latency counts there, in usual ones beyond the usual
-const USUAL_PART: f64 = 0.05; // part of a new load or hint in the usual one: about the last twenty count
-// Messages and hints.
-const TELL_EVERY: Span = Span::from_millis(500); // between two messages
-const TELL_PEERS: usize = 8; // that each goes to: several times the own rate is heard within a second
-const SIZES: (f64, f64) = (0.4, 8.0); // of a request by its expected work: beyond, the wait for others tells more
-
-type Draw = Vec<(usize, f64)>; // for one draw: endpoints and their weights
-
-/// For the instance. `default` has no terms: it is what `new` starts from.
+
+/// Margin before the budget ends: one tick for the attempt's outcome, one for the final answer.
+const ANSWER_MARGIN_TICKS: f64 = 2.0;
+/// Margin before a group's deduplication window ends: once connected, a repeat has yet to arrive.
+const DEDUP_MARGIN_TICKS: f64 = 4.0;
+/// Sends by all instances to a started endpoint in a fall window, if no endpoint is warm.
+const COLD_SENDS_MIN: f64 = 4.0;
+/// Factor on the gain of warm-up credit, as some of the credit goes unused.
+const COLD_CREDIT_FACTOR: f64 = 1.5;
+/// Least gain that the weight of a cold endpoint is compensated for.
+const COLD_GAIN_MIN: f64 = 0.01;
+/// Sends to each endpoint in a running window, beyond the settled rate, that do not yet show a higher rate.
+const COLD_BURST_SENDS: f64 = 3.0;
+/// Wait before subscribing, or before a failed call is repeated, as a part of the time stated for subscribing.
+const SUBSCRIBE_DELAY: f64 = 0.5;
+/// Longest wait before the first subscription, for each instance: few instances need no longer wait.
+const FIRST_SUBSCRIBE_DELAY: Span = Span::from_millis(100);
+/// How long an endpoint that is gone is remembered, as it may come back.
+const GONE_RETENTION: Span = Span::from_millis(60_000);
+
+// Probes for load.
+
+/// Most endpoints that are probed for a request: few, so that an outdated report does not send everyone to the same one.
+const PROBES_MAX: usize = 3;
+/// Cap on the price of a request's probes, as a part of its worth: little is lost if they are of no use.
+const PROBE_PRICE_MAX: f64 = 0.012;
+/// Longest wait for the reports, as a part of the latency budget.
+const PROBE_WAIT: f64 = 0.06;
+/// A report of this age or less is not requested again: little changes so soon.
+const PROBE_FRESH: Span = Span::from_millis(5);
+/// A probed endpoint is skipped if its expected latency is above the mean of those probed, times this.
+const PROBED_LATENCY_MARGIN: f64 = 0.8;
+/// Expected latency as a part of the latency budget above which a probed endpoint is excluded.
+const PROBED_LATENCY_MAX: f64 = 0.4;
+/// Initial slope of latency over reported load.
+const SLOPE_INITIAL: f64 = 0.5;
+/// How much that slope counts: as much as observations with this variance.
+const SLOPE_INITIAL_VARIANCE: f64 = 0.1;
+/// Cap on a latency in the slope: so many usual latencies beyond the usual one.
+const SLOPE_LATENCY_MAX: f64 = 3.0;
+/// Weight of a new load or hint of work in the usual one: about the last twenty count.
+const USUAL_SMOOTHING: f64 = 0.05;
+
+// Reports to peers and hints of work.
+
+/// Time between two reports to peers.
+const REPORT_INTERVAL: Span = Span::from_millis(500);
+/// Peers that each report goes to: so an instance hears of several times its own rate within a second.
+const REPORT_PEERS: usize = 8;
+/// Range of a request's size by its expected work; outside it, the wait for other requests says more.
+const SIZE_MIN: f64 = 0.4;
+const SIZE_MAX: f64 = 8.0;
+
+/// Candidates of one weighted draw: endpoints and their weights.
+type Draw = Vec<(usize, f64)>;
+
+/// The state of an instance. `default` has no terms; `new` starts from it.
 #[derive(Default)]
 pub struct Balancer {
     terms: Terms,
     chance: Chance,
     requests: Vec<Option<Request>>,
     endpoints: Vec<Option<Endpoint>>,
-    circle: Vec<usize>, // the endpoints that this instance keeps to
-    circle_most: f64,   // most that it may keep to, as connections refused have shown
+    /// The endpoints that this instance sends to, as long as repeats need no others.
+    subset: Vec<usize>,
+    /// Cap on the size of the subset, lowered by refused connections.
+    subset_max: f64,
     exchange_at: Moment,
+    /// Requests to decide on next.
     due: VecDeque<usize>,
-    keyed: bool,                 // requests come with keys here
-    keys: HashMap<u32, Rolling>, // requests and accepts since one failed, of the keys that have failed lately
-    asks: usize,                 // how many endpoints a request asks for their load
-    asking_load: Vec<usize>,     // requests that wait for these
-    held: Vec<usize>,            // requests that wait for an endpoint, the most worth first
-    look_at_held: bool,
-    out: VecDeque<Decision>,
-    windows: Vec<Rolling>, // requests and accepts: of the methods that may go anywhere, then of each other
-    habits: Vec<Habit>,    // of the clients, by method
-    usual: Usual,          // usual served latency of each method here by kind of machine, in seconds
-    load_usual: f64,       // usual load as reported
-    telling: Slope,        // what a load tells of the latency that follows
-    sends: Rate,           // in fall windows
-    answers: Rate,         // the same, here and at peers that told of them
-    news: Vec<u8>,         // what has yet to be told to peers
-    tell_at: Moment,
-    by_name_hash: HashMap<u32, usize>, // the endpoints by what peers call them
-    fleet: f64,                        // how many endpoints are ready
+    /// Some request has had a key.
+    keys_seen: bool,
+    /// Requests and accepts since the first failure, of the keys that have failed lately.
+    keys: HashMap<u32, Rolling>,
+    /// How many endpoints are probed for a request.
+    probes: usize,
+    /// Requests that wait for reports of load.
+    waiting_for_probes: Vec<usize>,
+    /// Requests that wait for an endpoint, those worth most first.
+    queue: Vec<usize>,
+    recheck_queue: bool,
+    decisions: VecDeque<Decision>,
+    /// Requests and accepts: first of all methods without placement, then of each method with one.
+    windows: Vec<Rolling>,
+    /// Statistics of the clients' requests, by method.
+    habits: Vec<Habit>,
+    /// Usual latency of served attempts by kind of machine and method, in seconds.
+    usual: Usual,
+    /// Usual load as reported.
+    usual_load: f64,
+    /// Slope of latency over reported load.
+    load_slope: Slope,
+    /// Sends, in fall windows.
+    sends: Rate,
+    /// Outcomes here and at the peers that reported them, in fall windows.
+    outcomes: Rate,
+    /// The report for peers that has yet to be sent, and when to send it.
+    report: Vec<u8>,
+    report_at: Moment,
+    /// The endpoints by the hashes of their names, which peers use.
+    by_name_hash: HashMap<u32, usize>,
+    ready_endpoints: f64,
     solved: Option<Moment>,
-    purse: f64,
-    bound: f64,
-    crowd: f64, // the mean in flight in the circle, or everywhere as told, smoothed, as of a moment
-    crowd_at: Moment,
-    ask_at: Option<Moment>,
-    asking: bool, // a call to the list's service is under way
+    retry_budget: f64,
+    limit: f64,
+    /// Smoothed mean in flight as of a moment: in the subset, or at all endpoints as peers report.
+    in_flight_mean: f64,
+    in_flight_mean_at: Moment,
+    subscribe_at: Option<Moment>,
+    /// A call to the discovery service is under way.
+    subscribing: bool,
 }
 
-fn asks(terms: &Terms) -> usize {
-    let worth = (ASKED_PRICE / terms.probe_price.max(1e-9)) as usize;
-    if terms.load_at.is_some() && worth > 1 { worth.min(ASKED) } else { 0 }
+fn probes_per_request(terms: &Terms) -> usize {
+    let worth = (PROBE_PRICE_MAX / terms.probe_price.max(1e-9)) as usize;
+    if terms.load_at.is_some() && worth > 1 { worth.min(PROBES_MAX) } else { 0 }
 }
 
-/// The bound's aim, and an instance's part of the least and the first.
-fn bounds(terms: &Terms) -> (f64, f64, f64) {
-    let (of, sharers) = if terms.may_tell { (BOUND_TOLD, 1.0) } else { (BOUND_OWN, terms.instances) };
-    (of.0, of.1 / sharers, of.2 / sharers)
+/// The limit's latency target, and this instance's part of the least and the initial limit.
+fn limits(terms: &Terms) -> LimitParameters {
+    let (of, sharers) = if terms.may_tell { (LIMIT_SHARED, 1.0) } else { (LIMIT_LOCAL, terms.instances) };
+    LimitParameters { target: of.target, min: of.min / sharers, initial: of.initial / sharers }
 }
 
 impl Balancer {
@@ -152,25 +282,25 @@
         // Danger: all instances that start together would fall on the list's service at once.
         // Danger: what has changed while this one was down counts as told whether it has asked or not; so few,
         // of whom the service can answer each within moments, ask sooner. It hurts where the service is slower.
-        let most = |within: Span| (within * ASK_SHARE).min(FIRST_ASK_EACH * terms.instances);
-        let ask_at = terms.ask_within.map(|within| now + most(within) * chance.part());
+        let most = |within: Span| (within * SUBSCRIBE_DELAY).min(FIRST_SUBSCRIBE_DELAY * terms.instances);
+        let subscribe_at = terms.ask_within.map(|within| now + most(within) * chance.part());
         let mut balancer = Balancer {
             habits: vec![Habit::default(); terms.methods.len()],
-            load_usual: 1.0,
-            telling: Slope::new(SLOPE_FIRST.0, SLOPE_FIRST.1),
-            bound: bounds(&terms).2,
-            asks: asks(&terms),
+            usual_load: 1.0,
+            load_slope: Slope::new(SLOPE_INITIAL, SLOPE_INITIAL_VARIANCE),
+            limit: limits(&terms).initial,
+            probes: probes_per_request(&terms),
             sends: Rate::new(now, terms.fall_window),
-            answers: Rate::new(now, terms.fall_window),
+            outcomes: Rate::new(now, terms.fall_window),
             terms,
             chance,
-            circle_most: f64::MAX,
+            subset_max: f64::MAX,
             exchange_at: now,
-            purse: PURSE_MOST,
-            crowd_at: now,
+            retry_budget: RETRY_BUDGET_MAX,
+            in_flight_mean_at: now,
             ..Balancer::default()
         };
-        balancer.ask_later(ask_at);
+        balancer.subscribe_later(subscribe_at);
         balancer
     }
 
@@ -187,12 +317,12 @@
             self.usual.follow(*to, *from);
             self.windows.truncate(1);
             for e in self.endpoints.iter_mut().flatten() {
-                e.distrust.resize(terms.methods.len(), 0.0);
-                e.distrust[*to] = from.map_or(0.0, |from| e.distrust[from]);
+                e.outlier_score.resize(terms.methods.len(), 0.0);
+                e.outlier_score[*to] = from.map_or(0.0, |from| e.outlier_score[from]);
             }
         }
-        self.bound *= bounds(&terms).2 / bounds(&self.terms).2;
-        (self.asks, self.terms) = (asks(&terms), terms);
+        self.limit *= limits(&terms).initial / limits(&self.terms).initial;
+        (self.probes, self.terms) = (probes_per_request(&terms), terms);
     }
 
     pub fn arrival(&mut self, now: Moment, request: usize, ask: RequestInfo) {
@@ -200,10 +330,10 @@
         // Danger: where all else has a key, what has none comes back to the tier that waits for it. Refused,
         // it undoes what waits; behind new work, it waits for places that its callers hold. It is against any
         // work within work that shows so; it hurts where clients leave out keys at will.
-        self.keyed |= key.is_some();
-        let within = self.keyed && key.is_none();
-        let size =
-            work.map_or(1.0, |work| self.habits[method].size(work, USUAL_PART).clamp(SIZES.0, SIZES.1));
+        self.keys_seen |= key.is_some();
+        let nested = self.keys_seen && key.is_none();
+        let size = work
+            .map_or(1.0, |work| self.habits[method].size(work, USUAL_SMOOTHING).clamp(SIZE_MIN, SIZE_MAX));
         self.requests.resize_with(self.requests.len().max(request + 1), || None);
         // Danger: a client that returns late would take a place for an answer that is worth nothing any more.
         // Tries have one length, found by a vote; one with less left is cut by its client's whole deadline,
@@ -214,13 +344,13 @@
         self.requests[request] = Some(Request {
             method,
             key,
-            within,
+            nested,
             age,
             size,
-            most: self.terms.max_attempts,
+            max_attempts: self.terms.max_attempts,
             arrived: now,
             deadline: now + (left + doubt),
-            asks_until: now,
+            probes_until: now,
             ..Request::default()
         });
         self.due.push_back(request);
@@ -231,30 +361,31 @@
         let Some(w) = r.attempts.get_mut(attempt).filter(|w| w.ended.is_none()) else { return };
         w.ended = Some(outcome);
         r.closed |= closed;
-        let (endpoint, method, off, key, read) = (w.endpoint, r.method, w.off, r.key, w.read);
+        let (endpoint, method, load_deviation, key, client_reading) =
+            (w.endpoint, r.method, w.load_deviation, r.key, w.client_reading);
         let part =
             now.since(w.sent).secs() / r.size / self.terms.methods[method].latency_budget.secs().max(1e-6);
-        let in_vain = outcome == Outcome::Timeout && now >= r.useful_until(&self.terms);
+        let too_late = outcome == Outcome::Timeout && now >= r.useful_until(&self.terms);
         self.due.push_back(request);
-        self.look_at_held = true;
+        self.recheck_queue = true;
         let e = self.endpoints[endpoint].as_mut().expect("an endpoint with a write-out is kept");
-        e.leave(read);
+        e.attempt_ended(client_reading);
         let name_hash = e.entry.name_hash;
         self.close_idle(endpoint);
-        self.readers(now);
-        let excused = read && outcome == Outcome::Timeout;
+        self.detect_slow_readers(now);
+        let excused = client_reading && outcome == Outcome::Timeout;
         let tells = !matches!(outcome, Outcome::Cancelled | Outcome::NeverSent | Outcome::ClientError);
         // What never ran there has not got as far as to what its key stands for.
         let accepted = Some(outcome == Outcome::Success && part <= 1.0).filter(|_| !outcome.never_ran());
-        if tells && !excused && (!self.fails_by_key(now, key, accepted) || outcome.never_ran()) {
-            let told = AttemptReport { name_hash, method, outcome, part, load: off };
-            self.learn(now, endpoint, told, Some(in_vain));
+        if tells && !excused && (!self.key_fails(now, key, accepted) || outcome.never_ran()) {
+            let told = AttemptReport { name_hash, method, outcome, part, load: load_deviation };
+            self.record_outcome(now, endpoint, told, Some(too_late));
             if self.terms.may_tell {
-                if self.news.is_empty() {
-                    self.tell_at = now + TELL_EVERY;
-                    self.out.push_back(Decision::Wake { at: self.tell_at });
+                if self.report.is_empty() {
+                    self.report_at = now + REPORT_INTERVAL;
+                    self.decisions.push_back(Decision::Wake { at: self.report_at });
                 }
-                told.write(&mut self.news);
+                told.write(&mut self.report);
             }
         }
     }
@@ -263,7 +394,7 @@
     /// slowly: one at each endpoint is taken for that. Danger: it would hold a place there and have it
     /// distrusted for no fault of it, and slow readers would take all buffers from the others. It is against
     /// whatever keeps answers behind endpoints, and hurts where one of a few endpoints hangs.
-    fn readers(&mut self, now: Moment) {
+    fn detect_slow_readers(&mut self, now: Moment) {
         let Some(slots) = self.terms.reply_slots else { return };
         let mut reading = Vec::new();
         for (at, r) in self.requests.iter_mut().enumerate().filter_map(|(at, r)| Some((at, r.as_mut()?))) {
@@ -273,33 +404,33 @@
             let usual =
                 self.usual.of(r.method).unwrap_or(f64::MAX) * r.size * e.latency.unwrap_or(1.0).max(1.0);
             let age = now.since(w.sent);
-            if !w.read && !e.reading && age.secs() > READ.0 * usual {
-                (w.read, e.reading) = (true, true);
+            if !w.client_reading && !e.client_reading && age.secs() > READING_AGE_FACTOR * usual {
+                (w.client_reading, e.client_reading) = (true, true);
                 e.in_flight -= 1;
             }
-            if w.read && !r.closed {
+            if w.client_reading && !r.closed {
                 reading.push((age, at));
             }
         }
-        if reading.len() as f64 > slots as f64 * READ.1 {
-            self.end(reading.into_iter().max().expect("more than none").1, GiveUpReason::RepliesFull);
+        if reading.len() as f64 > slots as f64 * READING_SLOT_SHARE {
+            self.give_up(reading.into_iter().max().expect("more than none").1, GiveUpReason::RepliesFull);
         }
     }
 
     /// What an attempt's end teaches, from a peer or from here, where it may have been waited for in vain.
-    fn learn(&mut self, now: Moment, endpoint: usize, told: AttemptReport, own: Option<bool>) {
+    fn record_outcome(&mut self, now: Moment, endpoint: usize, told: AttemptReport, own: Option<bool>) {
         let AttemptReport { method, outcome, part, load, .. } = told;
         let Some(budget) = self.terms.methods.get(method).map(|m| m.latency_budget) else { return };
-        let (secs, own, in_vain) = ((budget.secs() * part).max(1e-6), own.is_some(), own == Some(true));
+        let (secs, own, too_late) = ((budget.secs() * part).max(1e-6), own.is_some(), own == Some(true));
         let Some(Some(e)) = self.endpoints.get_mut(endpoint) else { return };
-        self.answers.count(now);
+        self.outcomes.count(now);
         let (kind, served) = (e.entry.kind, outcome == Outcome::Success);
         let usual = self.usual.at(kind, method);
         if let (Some(x), Some(usual)) = (load, usual.filter(|_| served || outcome == Outcome::Timeout)) {
-            self.telling.heard(x, (secs / usual - 1.0).min(SLOPE_MOST));
+            self.load_slope.heard(x, (secs / usual - 1.0).min(SLOPE_LATENCY_MAX));
         }
         e.connected |= own && outcome != Outcome::ConnectFailure;
-        if own && e.doubted && outcome == Outcome::ConnectFailure {
+        if own && e.gone_unconfirmed && outcome == Outcome::ConnectFailure {
             (e.entry.state, e.gone_at, self.solved) = (EndpointState::Gone, now, None);
         }
         // Danger: an endpoint whose clock is ahead turns away or breaks off what it takes to be over. It gets
@@ -307,81 +438,82 @@
         // difference; it hurts at an endpoint that is full, and begins what has been withdrawn.
         let late_error = outcome == Outcome::Error && usual.is_some_and(|usual| secs > usual);
         if own && (outcome == Outcome::Overloaded || late_error) {
-            e.hasty_until = now + HASTY;
+            e.early_failure_until = now + EARLY_FAILURE_WINDOW;
         }
         let down = matches!(outcome, Outcome::ConnectFailure | Outcome::Reset);
-        let fade = halved(e.distrust_at, now, DISTRUST_HALF);
-        (e.distrust_at, e.distrust) = (now, e.distrust.iter().map(|score| score * fade).collect());
-        let failed = if served {
-            let usual = self.usual.heard(kind, method, secs, SMOOTHING);
-            e.distrust[method] *= DISTRUST_KEPT;
-            let gap = now.since(std::mem::replace(&mut e.heard_at, now)).secs();
-            let part = (gap / (gap + SMOOTHING_OVER.secs())).max(SMOOTHING);
+        let decay = halved(e.outlier_score_at, now, OUTLIER_HALF_LIFE);
+        (e.outlier_score_at, e.outlier_score) =
+            (now, e.outlier_score.iter().map(|score| score * decay).collect());
+        let penalty = if served {
+            let usual = self.usual.heard(kind, method, secs, LATENCY_SMOOTHING);
+            e.outlier_score[method] *= OUTLIER_KEPT;
+            let gap = now.since(std::mem::replace(&mut e.latency_at, now)).secs();
+            let part = (gap / (gap + LATENCY_SMOOTHING_TIME.secs())).max(LATENCY_SMOOTHING);
             e.latency = Some(smoothed(e.latency, secs / usual, part));
             0.0
         } else {
             // Danger: one whose connections have run out refuses new sidecars for good. Who came first is to
             // make room too: its exchanges are refused as well, so its circle shrinks.
-            let refused = own && outcome == Outcome::ConnectFailure && !e.connected;
-            if refused && self.circle.contains(&endpoint) {
-                self.circle.retain(|kept| *kept != endpoint);
-                self.circle_most = self.circle.len() as f64;
+            let connect_refused = own && outcome == Outcome::ConnectFailure && !e.connected;
+            if connect_refused && self.subset.contains(&endpoint) {
+                self.subset.retain(|kept| *kept != endpoint);
+                self.subset_max = self.subset.len() as f64;
             }
             // Danger: an endpoint that fails at once looks idle to all; so of that a peer's word counts.
             match e.latency {
                 _ if !own && outcome != Outcome::Error => 0.0,
-                None if down => DISTRUST_MOST,
-                _ if down || in_vain => DISTRUST_DOWN,
-                _ => DISTRUST_STEP,
+                None if down => OUTLIER_MAX,
+                _ if down || too_late => OUTLIER_STEP_DOWN,
+                _ => OUTLIER_STEP,
             }
         };
         // Danger: an endpoint that fails all requests of one method wins trust back with answers to the others.
-        for (other, score) in e.distrust.iter_mut().enumerate() {
-            let part = if down || other == method { 1.0 } else { DISTRUST_OTHERS };
-            *score = (*score + failed * part).min(DISTRUST_MOST);
+        for (other, score) in e.outlier_score.iter_mut().enumerate() {
+            let part = if down || other == method { 1.0 } else { OUTLIER_OTHER_METHODS };
+            *score = (*score + penalty * part).min(OUTLIER_MAX);
         }
         // Danger: a queue that answers late never fails, so the window would not see the overload in it.
         self.window(now, method).book(now, 1.0, f64::from(u8::from(served && part <= 1.0)));
         // Danger: crowded endpoints turn slower and stay so; the crowd must be kept from forming.
-        let (aim, least, _) = bounds(&self.terms);
-        let off = match outcome {
-            Outcome::Success | Outcome::Timeout => aim - part.min(1.0),
-            Outcome::Overloaded => aim - 1.0,
+        let LimitParameters { target, min, .. } = limits(&self.terms);
+        let error = match outcome {
+            Outcome::Success | Outcome::Timeout => target - part.min(1.0),
+            Outcome::Overloaded => target - 1.0,
             _ => 0.0,
         };
         // Danger: by its own few requests none can tell how much is out. By all, it is the time in a second.
-        if self.terms.may_tell && self.asks == 0 {
-            let times = if own { 1.0 } else { ((self.terms.instances - 1.0) / TELL_PEERS as f64).max(1.0) };
-            self.fade_crowd(now);
-            self.crowd += secs * times / CROWD_TOLD.secs() / self.fleet.max(1.0);
+        if self.terms.may_tell && self.probes == 0 {
+            let times = if own { 1.0 } else { ((self.terms.instances - 1.0) / REPORT_PEERS as f64).max(1.0) };
+            self.decay_in_flight_mean(now);
+            self.in_flight_mean += secs * times / REPORTED_LOAD_TIME.secs() / self.ready_endpoints.max(1.0);
         }
         // Danger: what many instances grew in a calm, past its use by chance, they send at once in trouble.
         let shared = self.terms.may_tell;
-        let spare = if shared { 0.0 } else { 1.0 - BOUND_SPARE / self.terms.instances };
-        let bound = if shared { self.bound } else { self.bound_in_circle() };
-        if off < 0.0 || self.crowd >= BOUND_USED.max(spare) * bound {
-            let answers = self.answers.in_second().max(self.sends.in_second());
-            let gain = (BOUND_GAIN.0 / answers.max(1e-6)).min(BOUND_GAIN.1);
+        let spare = if shared { 0.0 } else { 1.0 - LIMIT_SPARE_INSTANCES / self.terms.instances };
+        let limit = if shared { self.limit } else { self.limit_in_subset() };
+        if error < 0.0 || self.in_flight_mean >= LIMIT_USED.max(spare) * limit {
+            let answers = self.outcomes.in_second().max(self.sends.in_second());
+            let gain = (LIMIT_GAIN / answers.max(1e-6)).min(LIMIT_GAIN_MAX);
             // Danger: a least that each instance may hold adds up over them. One must be possible, though.
-            let least = least.max(if shared { 0.0 } else { 1.0 / self.fleet.max(1.0) });
-            self.bound = (self.bound * (1.0 + gain * off)).max(least);
+            let min = min.max(if shared { 0.0 } else { 1.0 / self.ready_endpoints.max(1.0) });
+            self.limit = (self.limit * (1.0 + gain * error)).max(min);
         }
     }
 
     /// Part of the request has gone on and is not held any more: it is sent no further, and is timed from now.
     pub fn partly_forwarded(&mut self, now: Moment, request: usize) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
-        (r.most, r.deadline, r.arrived) = (r.attempts.len(), r.deadline + now.since(r.arrived), now);
+        (r.max_attempts, r.deadline, r.arrived) = (r.attempts.len(), r.deadline + now.since(r.arrived), now);
         r.attempts.last_mut().into_iter().for_each(|w| w.sent = now);
     }
 
     /// A probe has ended, with what it says of the requests in hand.
     pub fn probe_result(&mut self, now: Moment, endpoint: usize, load: Option<f64>) {
         let Some(Some(e)) = self.endpoints.get_mut(endpoint) else { return };
-        (e.probed, e.others_at) = (false, now);
-        e.others = load.map(|load| (load - e.in_flight as f64).max(0.0));
-        self.load_usual += load.map_or(0.0, |load| USUAL_PART * (load - self.load_usual));
-        self.due.extend(self.asking_load.drain(..));
+        (e.probe_pending, e.other_load_at) = (false, now);
+        e.other_load = load.map(|load| (load - e.in_flight as f64).max(0.0));
+        self.usual_load += load.map_or(0.0, |load| USUAL_SMOOTHING * (load - self.usual_load));
+        self.due.extend(self.waiting_for_probes.drain(..));
     }
 
     /// How attempts to listed endpoints ended, as a peer tells, or (`ours`) this instance's other process.
@@ -389,26 +521,32 @@
         for told in news {
             let listed = |at: &&usize| self.endpoints[**at].as_ref().is_some_and(Endpoint::is_ready);
             let Some(endpoint) = self.by_name_hash.get(&told.name_hash).filter(listed) else { continue };
-            self.learn(now, *endpoint, told, ours.then_some(false));
+            self.record_outcome(now, *endpoint, told, ours.then_some(false));
         }
     }
 
     /// How many endpoints are listed, and how many of these are avoided: not ready, or much distrusted.
     pub fn avoided(&self, now: Moment) -> (usize, usize) {
         let listed = || self.endpoints.iter().flatten().filter(|e| e.entry.state != EndpointState::Gone);
-        let avoided = listed().filter(|e| !e.is_ready() || e.trust(now, None) <= AVOIDED_TRUST);
+        let avoided = listed().filter(|e| !e.is_ready() || e.health(now, None) <= AVOIDED_HEALTH);
         (listed().count(), avoided.count())
     }
 
     /// For an instance that only watches: where the request's attempt that is out went in truth, if any is.
     pub fn set_actual_attempt(&mut self, now: Moment, request: usize, endpoint: Option<usize>) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
-        (r.admitted, r.asked) = (true, Vec::new());
-        if let Some(Attempt { endpoint, read, .. }) = r.attempts.pop_if(|w| w.ended.is_none()) {
-            self.endpoints[endpoint].iter_mut().for_each(|e| e.leave(read));
+        (r.admitted, r.probed) = (true, Vec::new());
+        if let Some(Attempt { endpoint, client_reading, .. }) = r.attempts.pop_if(|w| w.ended.is_none()) {
+            self.endpoints[endpoint].iter_mut().for_each(|e| e.attempt_ended(client_reading));
         }
         if let Some(endpoint) = endpoint.filter(|at| self.endpoints[*at].is_some()) {
-            r.attempts.push(Attempt { endpoint, sent: now, ended: None, read: false, off: None });
+            r.attempts.push(Attempt {
+                endpoint,
+                sent: now,
+                ended: None,
+                client_reading: false,
+                load_deviation: None,
+            });
             self.endpoints[endpoint].iter_mut().for_each(|e| e.in_flight += 1);
         }
     }
@@ -431,282 +569,286 @@
 
     pub fn list_entry(&mut self, now: Moment, endpoint: usize, entry: Entry) {
         self.endpoints.resize_with(self.endpoints.len().max(endpoint + 1), || None);
-        let distrust = vec![0.0; self.terms.methods.len()];
-        let (heard_at, credit) = (now, (0.0, now));
-        let fresh = || Endpoint { entry, heard_at, credit, distrust, new: true, ..Default::default() };
+        let outlier_score = vec![0.0; self.terms.methods.len()];
+        let (latency_at, credit) = (now, (0.0, now));
+        let fresh = || Endpoint { entry, latency_at, credit, outlier_score, new: true, ..Default::default() };
         let e = self.endpoints[endpoint].get_or_insert_with(fresh);
         if entry.started > e.entry.started {
             // A new process: what the old one earned or lost says nothing of it. Danger: many instances that
             // each send at once would push it over, however little each sends.
             (e.latency, e.new, e.credit) = (None, true, (self.chance.part(), now));
-            e.distrust.fill(0.0);
+            e.outlier_score.fill(0.0);
         }
         e.drained = entry.state == EndpointState::Draining || e.drained && entry.started == e.entry.started;
         (e.listed, e.gone_at) = (true, now);
         if entry.state == EndpointState::Gone {
-            e.lose(now, self.terms.drains_alone);
+            e.list_as_gone(now, self.terms.drains_alone);
         } else {
-            (e.entry, e.doubted) = (entry, false);
+            (e.entry, e.gone_unconfirmed) = (entry, false);
         }
         self.by_name_hash.insert(entry.name_hash, endpoint);
         self.solved = None;
     }
 
     pub fn list_end(&mut self, now: Moment) {
-        let asked = std::mem::take(&mut self.asking);
-        self.ask_at = self.ask_at.filter(|_| !asked);
+        let asked = std::mem::take(&mut self.subscribing);
+        self.subscribe_at = self.subscribe_at.filter(|_| !asked);
         let missing = |e: &&mut Endpoint| !e.listed && e.entry.state != EndpointState::Gone;
         let missing = self.endpoints.iter_mut().flatten().filter(missing);
-        missing.for_each(|e| e.lose(now, self.terms.drains_alone));
-        self.fleet = self.ready().count() as f64;
+        missing.for_each(|e| e.list_as_gone(now, self.terms.drains_alone));
+        self.ready_endpoints = self.ready().count() as f64;
         self.solved = None;
-        self.look_at_held = true;
+        self.recheck_queue = true;
     }
 
     pub fn list_failed(&mut self, now: Moment) {
-        self.asking = false;
+        self.subscribing = false;
         // Danger: a list service that is down or full stays so if everyone asks again at once.
-        let wait = ASK_SHARE * (0.5 + self.chance.part());
-        self.ask_later(self.terms.ask_within.map(|within| now + within * wait));
+        let wait = SUBSCRIBE_DELAY * (0.5 + self.chance.part());
+        self.subscribe_later(self.terms.ask_within.map(|within| now + within * wait));
     }
 
     pub fn wake(&mut self, now: Moment) {
-        if self.ask_at.is_some_and(|at| at <= now) {
-            self.out.push_back(Decision::Subscribe);
+        if self.subscribe_at.is_some_and(|at| at <= now) {
+            self.decisions.push_back(Decision::Subscribe);
             // Danger: an instance whose call goes unanswered would follow an old list for ever.
-            self.asking = true;
-            self.ask_later(self.terms.ask_within.map(|within| now + within));
+            self.subscribing = true;
+            self.subscribe_later(self.terms.ask_within.map(|within| now + within));
         }
-        self.look_at_held = true;
-        self.due.extend(self.asking_load.drain(..));
-        let over = |r: &Request| r.overstays && now >= r.useful_until(&self.terms);
+        self.recheck_queue = true;
+        self.due.extend(self.waiting_for_probes.drain(..));
+        let over = |r: &Request| r.cancel_when_late && now >= r.useful_until(&self.terms);
         self.due.extend((0..self.requests.len()).filter(|at| self.requests[*at].as_ref().is_some_and(over)));
-        if now >= self.tell_at && !self.news.is_empty() {
-            let news = std::mem::take(&mut self.news);
+        if now >= self.report_at && !self.report.is_empty() {
+            let news = std::mem::take(&mut self.report);
             let instances = self.terms.instances as usize;
-            for _ in 0..TELL_PEERS.min(instances - 1) {
+            for _ in 0..REPORT_PEERS.min(instances - 1) {
                 let peer = (self.terms.me + 1 + self.chance.below(instances - 1)) % instances;
-                self.out.push_back(Decision::TellPeer { peer, message: news.clone() });
+                self.decisions.push_back(Decision::TellPeer { peer, message: news.clone() });
             }
         }
     }
 
     pub fn next_decision(&mut self, now: Moment) -> Option<Decision> {
-        while self.out.is_empty() {
+        while self.decisions.is_empty() {
             if let Some(request) = self.due.pop_front() {
                 self.decide(now, request);
-            } else if std::mem::take(&mut self.look_at_held) {
-                self.due.extend(std::mem::take(&mut self.held));
+            } else if std::mem::take(&mut self.recheck_queue) {
+                self.due.extend(std::mem::take(&mut self.queue));
             } else {
                 return None;
             }
         }
-        self.out.pop_front()
+        self.decisions.pop_front()
     }
 
     fn decide(&mut self, now: Moment, request: usize) {
         let Some(r) = self.requests[request].as_mut() else { return };
         if r.closed {
-            return self.settle(request);
+            return self.cancel_and_forget(request);
         }
         let over = now >= r.useful_until(&self.terms);
         let out = r.attempts.last().filter(|w| w.ended.is_none()).map(|w| w.endpoint);
-        if r.streaming || out.is_some() && !(r.overstays && over) {
+        if r.streaming || out.is_some() && !(r.cancel_when_late && over) {
             return;
         }
-        let (method, key, within) = (r.method, r.key, r.within);
+        let (method, key, nested) = (r.method, r.key, r.nested);
         if let Some(endpoint) = out {
             let told =
                 AttemptReport { name_hash: 0, method, outcome: Outcome::Timeout, part: 1.0, load: None };
-            self.learn(now, endpoint, told, Some(true));
+            self.record_outcome(now, endpoint, told, Some(true));
         }
         // Danger: a batch may come after the deadline; nothing is sent for what is over or worth nothing.
         if over {
-            return self.end(request, GiveUpReason::TimeOver);
+            return self.give_up(request, GiveUpReason::TimeOver);
         }
         let r = self.requests[request].as_mut().expect("looked up above");
-        if !std::mem::replace(&mut r.admitted, true) && !within {
-            self.purse = (self.purse + PURSE_SHARE).min(PURSE_MOST);
-            let drop = self.window(now, method).drop_chance(now, K, PROTECTION.0);
-            let by_key = self.drop_by_key(now, key);
+        if !std::mem::replace(&mut r.admitted, true) && !nested {
+            self.retry_budget = (self.retry_budget + RETRY_BUDGET_RATIO).min(RETRY_BUDGET_MAX);
+            let drop = self.window(now, method).drop_chance(now, K, PROTECTION);
+            let by_key = self.key_drop_chance(now, key);
             if self.chance.part() < drop || by_key > 0.0 && self.chance.part() < by_key {
-                return self.end(request, GiveUpReason::Throttled);
+                return self.give_up(request, GiveUpReason::Throttled);
             }
         }
         let r = self.requests[request].as_ref().expect("looked up above");
-        let further = !r.attempts.is_empty();
-        let spent = self.purse < 1.0 || r.attempts.len() >= r.most;
+        let retry = !r.attempts.is_empty();
+        let spent = self.retry_budget < 1.0 || r.attempts.len() >= r.max_attempts;
         let only_once = self.terms.methods[r.method].effect == Effect::NonRetryable && !r.never_ran();
-        if further && (spent || only_once || self.fails_by_key(now, key, None)) {
-            return self.end(request, GiveUpReason::NoRetry);
+        if retry && (spent || only_once || self.key_fails(now, key, None)) {
+            return self.give_up(request, GiveUpReason::NoRetry);
         }
         self.solve(now);
-        if self.asks(now, request) {
+        if self.waits_for_probes(now, request) {
             return;
         }
-        if self.asks == 0 && !within && self.crowded(now, method) {
-            return self.hold(now, request);
+        if self.probes == 0 && !nested && self.over_limit(now, method) {
+            return self.enqueue(now, request);
         }
         // Where all are well above the mean, any will do; the draw still follows the weights.
         let r = self.requests[request].as_ref().expect("looked up above");
-        let (open, above) = self.open_endpoints(now, r);
+        let (open, above) = self.eligible_endpoints(now, r);
         match self.chance.drawn(&open).or_else(|| self.chance.drawn(&above)) {
-            Some(endpoint) => self.send(now, request, endpoint, further),
-            None => self.hold(now, request),
+            Some(endpoint) => self.send(now, request, endpoint, retry),
+            None => self.enqueue(now, request),
         }
     }
 
-    fn send(&mut self, now: Moment, request: usize, endpoint: usize, further: bool) {
+    fn send(&mut self, now: Moment, request: usize, endpoint: usize, retry: bool) {
         let credit = self.endpoints[endpoint].as_ref().map_or(0.0, |e| self.credit(now, e).0 - 1.0);
-        let off = self.endpoints[endpoint].as_ref().and_then(|e| self.load_off(e));
+        let load_deviation = self.endpoints[endpoint].as_ref().and_then(|e| self.load_deviation(e));
         let r = self.requests[request].as_mut().expect("only open reqs are sent");
-        r.attempts.push(Attempt { endpoint, sent: now, ended: None, read: false, off });
-        r.asked.clear();
-        let mut give_up = self.give_up(now, request);
+        r.attempts.push(Attempt { endpoint, sent: now, ended: None, client_reading: false, load_deviation });
+        r.probed.clear();
+        let mut give_up = self.attempt_deadline(now, request);
         let r = self.requests[request].as_mut().expect("looked up above");
         let e = self.endpoints[endpoint].as_mut().expect("only known endpoints are picked");
         let at = r.useful_until(&self.terms);
-        if self.terms.may_cancel && now < e.hasty_until && at < r.deadline {
-            (give_up, r.overstays) = (r.deadline, true);
-            self.out.push_back(Decision::Wake { at });
+        if self.terms.may_cancel && now < e.early_failure_until && at < r.deadline {
+            (give_up, r.cancel_when_late) = (r.deadline, true);
+            self.decisions.push_back(Decision::Wake { at });
         }
         e.in_flight += 1;
         e.credit = (credit, now);
         self.sends.count(now);
-        self.purse -= f64::from(u8::from(further));
-        self.out.push_back(Decision::Send { request, endpoint, give_up });
+        self.retry_budget -= f64::from(u8::from(retry));
+        self.decisions.push_back(Decision::Send { request, endpoint, give_up });
     }
 
     /// Up to when to wait for the attempt that sets out now. Danger: an answer that was lost would hold its
     /// request, and a place here, until the client gives up; so another is tried, if half the purse is there.
-    fn give_up(&self, now: Moment, request: usize) -> Moment {
+    fn attempt_deadline(&self, now: Moment, request: usize) -> Moment {
         let r = self.requests[request].as_ref().expect("only open reqs are sent");
-        let (m, last) = (&self.terms.methods[r.method], r.attempts.len() == r.most);
+        let (m, last) = (&self.terms.methods[r.method], r.attempts.len() == r.max_attempts);
         let mut open = self.ready().filter(|(_, e)| m.open_to(&e.entry));
-        let others = self.fleet > 1.0 && open.all(|(_, e)| self.may_repeat(now, r, m, e));
-        let usual = self.usual.of(r.method).filter(|_| !last && self.purse >= PURSE_MOST / 2.0);
-        let parts = usual.map(|usual| PATIENCE * usual * r.size / m.latency_budget.secs().max(1e-6));
-        let parts = parts.filter(|parts| others && *parts < PATIENCE_PARTS.1).unwrap_or(f64::MAX);
-        r.useful_until(&self.terms).min(now + m.latency_budget * parts.max(PATIENCE_PARTS.0))
+        let others = self.ready_endpoints > 1.0 && open.all(|(_, e)| self.may_attempt(now, r, m, e));
+        let usual = self.usual.of(r.method).filter(|_| !last && self.retry_budget >= RETRY_BUDGET_MAX / 2.0);
+        let parts =
+            usual.map(|usual| ATTEMPT_TIMEOUT_FACTOR * usual * r.size / m.latency_budget.secs().max(1e-6));
+        let parts = parts.filter(|parts| others && *parts < ATTEMPT_TIMEOUT_MAX).unwrap_or(f64::MAX);
+        r.useful_until(&self.terms).min(now + m.latency_budget * parts.max(ATTEMPT_TIMEOUT_MIN))
     }
 
     /// The design's drop chance for the requests of one key, against what is accepted of all others. Danger: requests
     /// that wait for one another behind all endpoints fill these, and their failures are no endpoint's. It is
     /// against a lock, a hot record, a poisoned key; it hurts a key whose few requests met a failing endpoint.
-    fn drop_by_key(&mut self, now: Moment, key: Option<u32>) -> f64 {
+    fn key_drop_chance(&mut self, now: Moment, key: Option<u32>) -> f64 {
         let Some(window) = key.and_then(|key| self.keys.get_mut(&key)) else { return 0.0 };
         let (all, accepts) = self.windows.first_mut().map_or((0.0, 0.0), |window| window.sums(now));
-        window.drop_chance(now, K * (all + 1.0) / (accepts + 1.0), PROTECTION.1)
+        window.drop_chance(now, K * (all + 1.0) / (accepts + 1.0), KEY_PROTECTION)
     }
 
     /// Whether the requests of this key fail by themselves, so that this one's end tells nothing of the endpoint.
-    fn fails_by_key(&mut self, now: Moment, key: Option<u32>, accepted: Option<bool>) -> bool {
+    fn key_fails(&mut self, now: Moment, key: Option<u32>, accepted: Option<bool>) -> bool {
         if let (Some(key), Some(accepted)) = (key, accepted)
             && (!accepted || self.keys.contains_key(&key))
         {
-            let window = self.keys.entry(key).or_insert_with(|| Rolling::new(now, BUCKETS.0, BUCKETS.1));
+            let window =
+                self.keys.entry(key).or_insert_with(|| Rolling::new(now, WINDOW_BUCKET, WINDOW_BUCKETS));
             window.book(now, 1.0, f64::from(u8::from(accepted)));
         }
-        self.drop_by_key(now, key) > 0.0
+        self.key_drop_chance(now, key) > 0.0
     }
 
     /// Danger: where the few places of one method are down, its failures would have all others refused too.
     fn window(&mut self, now: Moment, method: usize) -> &mut Rolling {
         let at = if self.terms.methods[method].is_placed() { method + 1 } else { 0 };
-        self.windows.resize_with(self.windows.len().max(at + 1), || Rolling::new(now, BUCKETS.0, BUCKETS.1));
+        self.windows
+            .resize_with(self.windows.len().max(at + 1), || Rolling::new(now, WINDOW_BUCKET, WINDOW_BUCKETS));
         &mut self.windows[at]
     }
 
     /// Nothing can take the request now: it waits a little, the most worth in front, if that is likely to help.
-    fn hold(&mut self, now: Moment, request: usize) {
+    fn enqueue(&mut self, now: Moment, request: usize) {
         let r = self.requests[request].as_mut().expect("only open reqs are held");
-        r.asked.clear();
+        r.probed.clear();
         let m = &self.terms.methods[r.method];
-        let (wait, arrived, deadline) = (m.latency_budget * HOLD_SHARE, r.arrived, r.deadline);
+        let (wait, arrived, deadline) = (m.latency_budget * QUEUE_WAIT, r.arrived, r.deadline);
         // Where all places that a method is bound to are down, waiting a little brings none of them back.
-        let in_vain = m.is_placed() && !self.ready().any(|(_, e)| m.open_to(&e.entry));
-        if in_vain || now + HOLD_LOOK >= (arrived + wait).min(deadline) {
-            return self.end(request, GiveUpReason::NoEndpoint);
+        let too_late = m.is_placed() && !self.ready().any(|(_, e)| m.open_to(&e.entry));
+        if too_late || now + QUEUE_POLL_INTERVAL >= (arrived + wait).min(deadline) {
+            return self.give_up(request, GiveUpReason::NoEndpoint);
         }
-        self.out.extend(self.held.is_empty().then_some(Decision::Wake { at: now + HOLD_LOOK }));
+        self.decisions
+            .extend(self.queue.is_empty().then_some(Decision::Wake { at: now + QUEUE_POLL_INTERVAL }));
         // What a place at an endpoint earns: criticality against the time that the method usually takes.
         let earns = |m: usize| self.terms.methods[m].criticality / self.usual.of(m).unwrap_or(1.0).max(1e-3);
-        let of = |r: &Request| if r.within { f64::MAX } else { earns(r.method) };
+        let of = |r: &Request| if r.nested { f64::MAX } else { earns(r.method) };
         let worth = |request: &usize| self.requests[*request].as_ref().map_or(0.0, of);
-        let place = self.held.partition_point(|held| worth(held) >= worth(&request));
-        self.held.insert(place, request);
+        let place = self.queue.partition_point(|held| worth(held) >= worth(&request));
+        self.queue.insert(place, request);
         // Danger: a queue longer than what is sent in a wait only delays its rejections.
-        if self.held.len() as f64 > (self.sends.in_second() * wait.secs()).max(HELD_FLOOR) {
-            let last = self.held.pop().expect("just filled");
-            self.end(last, GiveUpReason::QueueFull);
+        if self.queue.len() as f64 > (self.sends.in_second() * wait.secs()).max(QUEUE_MIN) {
+            let last = self.queue.pop().expect("just filled");
+            self.give_up(last, GiveUpReason::QueueFull);
         }
     }
 
     /// What a request of usual size is likely to take there, in seconds.
     fn expected(&self, now: Moment, e: &Endpoint, method: usize) -> f64 {
         let usual = self.usual.at(e.entry.kind, method).or(self.usual.of(method)).unwrap_or(0.0);
-        let latency = e.latency.unwrap_or(1.0).powf(halved(e.heard_at, now, DISTRUST_HALF));
-        usual * (1.0 + self.telling.get() * self.load_off(e).unwrap_or(0.0)) * latency
+        let latency = e.latency.unwrap_or(1.0).powf(halved(e.latency_at, now, OUTLIER_HALF_LIFE));
+        usual * (1.0 + self.load_slope.get() * self.load_deviation(e).unwrap_or(0.0)) * latency
     }
 
     /// How far the requests in hand there, from all instances, are off the usual, in parts of it, where reported.
-    fn load_off(&self, e: &Endpoint) -> Option<f64> {
-        e.others.map(|others| (others + e.in_flight as f64 + 1.0) / (self.load_usual + 1.0) - 1.0)
+    fn load_deviation(&self, e: &Endpoint) -> Option<f64> {
+        e.other_load.map(|others| (others + e.in_flight as f64 + 1.0) / (self.usual_load + 1.0) - 1.0)
     }
 
     /// The final answer of a request that is given up: rejected where a repeat does no harm, else failed.
-    fn end(&mut self, request: usize, reason: GiveUpReason) {
+    fn give_up(&mut self, request: usize, reason: GiveUpReason) {
         let r = self.requests[request].as_mut().expect("only open reqs are ended");
         let (m, never_ran) = (&self.terms.methods[r.method], r.never_ran());
         r.closed = true;
         // Danger: a rejection invites a repeat, so it must not follow what may have run, unless repeats are safe.
         let safe = m.effect == Effect::Retryable || m.effect == Effect::Deduplicated && m.group == Group::All;
-        let wait = m.latency_budget * (COME_BACK * (1.0 + self.chance.part()));
+        let wait = m.latency_budget * (RETRY_AFTER * (1.0 + self.chance.part()));
         let retry_after = self.terms.max_retry_after.map(|most| wait.min(most));
         let (reject, fail) =
             (Decision::Reject { request, retry_after, reason }, Decision::Fail { request, reason });
-        self.out.push_back(if safe || never_ran { reject } else { fail });
-        self.settle(request);
+        self.decisions.push_back(if safe || never_ran { reject } else { fail });
+        self.cancel_and_forget(request);
     }
 
     /// Withdraws what a closed request still has out, and forgets it when nothing more can be heard of it.
-    fn settle(&mut self, request: usize) {
+    fn cancel_and_forget(&mut self, request: usize) {
         let Some(r) = self.requests[request].as_ref() else { return };
         let out = r.attempts.iter().enumerate().filter(|(_, w)| w.ended.is_none());
         let cancels = out.map(|(attempt, _)| Decision::Cancel { request, attempt }).collect::<Vec<_>>();
         if !cancels.is_empty() {
-            return self.out.extend(cancels.into_iter().filter(|_| self.terms.may_cancel));
+            return self.decisions.extend(cancels.into_iter().filter(|_| self.terms.may_cancel));
         }
         self.requests[request] = None;
-        self.held.retain(|held| *held != request);
-        self.out.push_back(Decision::ForgetRequest { request });
+        self.queue.retain(|held| *held != request);
+        self.decisions.push_back(Decision::ForgetRequest { request });
     }
 
     /// Whether the request waits for reports of load: it asks a few endpoints for them, drawn as for an attempt.
-    fn asks(&mut self, now: Moment, request: usize) -> bool {
+    fn waits_for_probes(&mut self, now: Moment, request: usize) -> bool {
         let r = self.requests[request].as_ref().expect("only open reqs ask");
-        if self.asks > 0 && r.asked.is_empty() {
-            let until = now + self.terms.methods[r.method].latency_budget * ASKED_WAIT;
-            let (mut open, above) = self.open_endpoints(now, r);
+        if self.probes > 0 && r.probed.is_empty() {
+            let until = now + self.terms.methods[r.method].latency_budget * PROBE_WAIT;
+            let (mut open, above) = self.eligible_endpoints(now, r);
             open.extend(above);
             let mut asked = Vec::new();
-            while let Some(at) = self.chance.drawn(&open).filter(|_| asked.len() < self.asks) {
+            while let Some(at) = self.chance.drawn(&open).filter(|_| asked.len() < self.probes) {
                 open.retain(|(other, _)| *other != at);
                 asked.push(at);
                 let e = self.endpoints[at].as_mut().expect("drawn");
-                let fresh = e.others.is_some() && now.since(e.others_at) < ASKED_FRESH;
-                if !fresh && !std::mem::replace(&mut e.probed, true) {
-                    self.out.push_back(Decision::Probe { endpoint: at });
+                let fresh = e.other_load.is_some() && now.since(e.other_load_at) < PROBE_FRESH;
+                if !fresh && !std::mem::replace(&mut e.probe_pending, true) {
+                    self.decisions.push_back(Decision::Probe { endpoint: at });
                 }
             }
-            self.out.extend((!asked.is_empty()).then_some(Decision::Wake { at: until }));
+            self.decisions.extend((!asked.is_empty()).then_some(Decision::Wake { at: until }));
             let r = self.requests[request].as_mut().expect("only open reqs ask");
-            (r.asked, r.asks_until) = (asked, until);
+            (r.probed, r.probes_until) = (asked, until);
         }
         let r = self.requests[request].as_ref().expect("only open reqs ask");
-        let probed = |at: &usize| self.endpoints[*at].as_ref().is_some_and(|e| e.probed);
-        let waits = now < r.asks_until && r.asked.iter().any(probed);
-        self.asking_load.extend(waits.then_some(request));
+        let probed = |at: &usize| self.endpoints[*at].as_ref().is_some_and(|e| e.probe_pending);
+        let waits = now < r.probes_until && r.probed.iter().any(probed);
+        self.waiting_for_probes.extend(waits.then_some(request));
         waits
     }
 
@@ -716,8 +858,8 @@
     }
 
     /// The ready endpoints of the circle, in the order of their indices.
-    fn kept(&self) -> Vec<(usize, &Endpoint)> {
-        let kept = self.circle.iter().filter_map(|at| Some((*at, self.endpoints[*at].as_ref()?)));
+    fn subset_endpoints(&self) -> Vec<(usize, &Endpoint)> {
+        let kept = self.subset.iter().filter_map(|at| Some((*at, self.endpoints[*at].as_ref()?)));
         let mut kept: Vec<_> = kept.filter(|(_, e)| e.is_ready()).collect();
         kept.sort_unstable_by_key(|(at, _)| *at);
         kept
@@ -727,112 +869,114 @@
     /// Danger: a burst can spend its budget at once. So can what many idle instances save up, or take for a
     /// rate as a rush begins; so a draw lasts one window. If all are cold, a rush has no other way.
     fn credit(&self, now: Moment, e: &Endpoint) -> (f64, f64, Option<f64>) {
-        let share = |e: &Endpoint| e.cold_share(now, &self.terms);
-        let kept = if share(e) < 1.0 { self.kept() } else { return (1.0, 0.0, None) };
-        let places = kept.iter().map(|(_, e)| share(e) * e.trust(now, None)).sum::<f64>().max(1.0);
+        let share = |e: &Endpoint| e.warm_up_share(now, &self.terms);
+        let kept = if share(e) < 1.0 { self.subset_endpoints() } else { return (1.0, 0.0, None) };
+        let places = kept.iter().map(|(_, e)| share(e) * e.health(now, None)).sum::<f64>().max(1.0);
         if kept.iter().any(|(_, e)| share(e) >= 1.0) {
-            let more = self.sends.risen(now, COLD_RUSH * places) / places * share(e);
+            let more = self.sends.risen(now, COLD_BURST_SENDS * places) / places * share(e);
             return (e.credit.0, more, Some(self.sends.settled() / places * share(e)));
         }
-        let gain = (self.sends.in_window() / places).max(COLD_FLOOR / self.terms.instances) * share(e);
+        let gain = (self.sends.in_window() / places).max(COLD_SENDS_MIN / self.terms.instances) * share(e);
         (accrued(e.credit, now, gain, self.terms.fall_window), 0.0, None)
     }
 
     /// This instance's part of the bound, at an endpoint of its circle.
-    fn bound_in_circle(&self) -> f64 {
-        let part = if self.terms.may_tell { self.bound / self.terms.instances } else { self.bound };
-        part * self.fleet / (self.circle.len() as f64).max(1.0)
+    fn limit_in_subset(&self) -> f64 {
+        let part = if self.terms.may_tell { self.limit / self.terms.instances } else { self.limit };
+        part * self.ready_endpoints / (self.subset.len() as f64).max(1.0)
     }
 
     /// The endpoints of the circle, or all, with their trust against that in the most trusted, so that all
     /// distrusted is the same as none; how many they count for, and the mean in flight.
-    fn trusted(&self, now: Moment, method: usize, all: bool) -> (Vec<(usize, &Endpoint, f64)>, f64, f64) {
-        let mut used = if all { self.ready().collect() } else { self.kept() };
+    fn candidates(&self, now: Moment, method: usize, all: bool) -> (Vec<(usize, &Endpoint, f64)>, f64, f64) {
+        let mut used = if all { self.ready().collect() } else { self.subset_endpoints() };
         // Danger: the mean of all, and trust in all, say nothing of the few that a method is bound to.
         used.retain(|(_, e)| self.terms.methods[method].open_to(&e.entry));
-        let mut used: Vec<_> = used.into_iter().map(|(at, e)| (at, e, e.trust(now, Some(method)))).collect();
-        let most = used.iter().map(|(_, _, trust)| *trust).fold(f64::MIN_POSITIVE, f64::max);
-        used.iter_mut().for_each(|(_, _, trust)| *trust /= most);
-        let count = used.iter().map(|(_, _, trust)| trust).sum::<f64>().max(1.0);
-        let mean = used.iter().map(|(_, e, trust)| e.in_flight as f64 * trust).sum::<f64>() / count;
+        let mut used: Vec<_> = used.into_iter().map(|(at, e)| (at, e, e.health(now, Some(method)))).collect();
+        let most = used.iter().map(|(_, _, health)| *health).fold(f64::MIN_POSITIVE, f64::max);
+        used.iter_mut().for_each(|(_, _, health)| *health /= most);
+        let count = used.iter().map(|(_, _, health)| health).sum::<f64>().max(1.0);
+        let mean = used.iter().map(|(_, e, health)| e.in_flight as f64 * health).sum::<f64>() / count;
         (used, count, mean)
     }
 
-    fn home_weight(&self, e: &Endpoint) -> f64 {
-        let dear = (self.terms.crossing_price - HOME_PRICE).max(0.0);
-        if self.terms.home == Some(e.entry.zone) { 1.0 + HOME_GAIN * dear } else { 1.0 }
+    fn zone_weight(&self, e: &Endpoint) -> f64 {
+        let dear = (self.terms.crossing_price - CROSS_ZONE_PRICE_IGNORED).max(0.0);
+        if self.terms.home == Some(e.entry.zone) { 1.0 + OWN_ZONE_WEIGHT_GAIN * dear } else { 1.0 }
     }
 
-    fn fade_crowd(&mut self, now: Moment) {
-        let gap = now.since(std::mem::replace(&mut self.crowd_at, now)).secs();
-        self.crowd *= (-gap / CROWD_TOLD.secs()).exp();
+    fn decay_in_flight_mean(&mut self, now: Moment) {
+        let gap = now.since(std::mem::replace(&mut self.in_flight_mean_at, now)).secs();
+        self.in_flight_mean *= (-gap / REPORTED_LOAD_TIME.secs()).exp();
     }
 
     /// Whether this instance holds its part of what its endpoints may hold. That goes by the mean over a
     /// while: many instances with few requests each differ by chance, and together stay near the mean.
-    fn crowded(&mut self, now: Moment, method: usize) -> bool {
+    fn over_limit(&mut self, now: Moment, method: usize) -> bool {
         if self.terms.may_tell {
-            self.fade_crowd(now);
-            return self.crowd >= self.bound;
+            self.decay_in_flight_mean(now);
+            return self.in_flight_mean >= self.limit;
         }
-        let (_, count, mean) = self.trusted(now, method, false);
-        let bound = self.bound_in_circle();
-        let at_once = mean >= bound + (bound / count).sqrt();
+        let (_, count, mean) = self.candidates(now, method, false);
+        let limit = self.limit_in_subset();
+        let at_once = mean >= limit + (limit / count).sqrt();
         if self.terms.methods[method].is_placed() {
             return at_once;
         }
-        let gap = now.since(std::mem::replace(&mut self.crowd_at, now)).secs();
+        let gap = now.since(std::mem::replace(&mut self.in_flight_mean_at, now)).secs();
         // Danger: one that has far more to send than its part would be slow to see that its bound is in use.
-        let most = CROWD_SENDS / self.sends.in_second().max(1e-6);
-        let over = (CROWD_OVER.secs() * self.terms.instances).min(most);
-        self.crowd += gap / (gap + over).max(1e-9) * (mean - self.crowd);
+        let most = IN_FLIGHT_SMOOTHING_SENDS / self.sends.in_second().max(1e-6);
+        let over = (IN_FLIGHT_SMOOTHING_TIME.secs() * self.terms.instances).min(most);
+        self.in_flight_mean += gap / (gap + over).max(1e-9) * (mean - self.in_flight_mean);
         // Danger: many instances that each keep a whole attempt at every endpoint crowd it together, so the
         // bound holds for the mean, not only for each endpoint. A burst must not pass it by much meanwhile.
-        self.crowd >= bound || at_once
+        self.in_flight_mean >= limit || at_once
     }
 
     /// The endpoints that may take the request now, with their weights in the draw: those not well above the mean
     /// in flight, and those above. Once it has asked for loads, those asked, by the latency to expect.
-    fn open_endpoints(&self, now: Moment, r: &Request) -> (Draw, Draw) {
+    fn eligible_endpoints(&self, now: Moment, r: &Request) -> (Draw, Draw) {
         let (mut open, mut above) = (Vec::new(), Vec::new());
         let m = &self.terms.methods[r.method];
         // A repeat may have to go to an endpoint outside the circle, as its group is there.
         let all = m.effect == Effect::Deduplicated && m.group != Group::All && !r.never_ran();
-        let (mut used, _, mean) = self.trusted(now, r.method, all);
-        let home = used.iter().map(|(_, e, t)| (t * self.home_weight(e), t));
-        let (home, trusts) = home.fold((0.0, 0.0), |sums, (home, t)| (sums.0 + home, sums.1 + t));
-        let (asked, bound) = (!r.asked.is_empty(), self.bound_in_circle());
+        let (mut used, _, mean) = self.candidates(now, r.method, all);
+        let home = used.iter().map(|(_, e, t)| (t * self.zone_weight(e), t));
+        let (home, healths) = home.fold((0.0, 0.0), |sums, (home, t)| (sums.0 + home, sums.1 + t));
+        let (asked, limit) = (!r.probed.is_empty(), self.limit_in_subset());
         let left = m.latency_budget.less(now.since(r.arrived)).secs();
         // Danger: a heavy request on a slow endpoint is done too late, and all of its work for nothing.
         let takes = |e: &Endpoint| if r.size > 1.0 { r.size * self.expected(now, e, r.method) } else { 0.0 };
-        used.retain(|(at, e, _)| (!asked || r.asked.contains(at)) && self.may_repeat(now, r, m, e));
-        let slope = self.telling.get();
+        used.retain(|(at, e, _)| (!asked || r.probed.contains(at)) && self.may_attempt(now, r, m, e));
+        let slope = self.load_slope.get();
         // Of one that was asked: the latency to expect there, against what its weight promises.
-        let expects = |e: &Endpoint, weight: f64| (1.0 + slope * self.load_off(e).unwrap_or(0.0)) / weight;
-        let weight = |e: &Endpoint, trust: f64| {
-            let place = e.cold_share(now, &self.terms) * trust;
+        let expects =
+            |e: &Endpoint, weight: f64| (1.0 + slope * self.load_deviation(e).unwrap_or(0.0)) / weight;
+        let weight = |e: &Endpoint, health: f64| {
+            let place = e.warm_up_share(now, &self.terms) * health;
             (place, e.fraction * self.usual.suits(e.entry.kind, r.method) * place)
         };
         let usual: f64 = used.iter().filter(|_| asked).map(|(_, e, t)| expects(e, weight(e, *t).1)).sum();
         let usual = usual / (used.len() as f64).max(1.0);
-        for (endpoint, e, trust) in used {
-            let (share, (place, weight)) = (e.cold_share(now, &self.terms), weight(e, trust));
+        for (endpoint, e, health) in used {
+            let (share, (place, weight)) = (e.warm_up_share(now, &self.terms), weight(e, health));
             let (credit, more, gain) = self.credit(now, e);
             let (full, crowded) = if asked {
-                let late = r.size * self.expected(now, e, r.method) > ASKED_BOUND * m.latency_budget.secs();
-                (late, expects(e, weight) > ASKED_MARGIN * usual)
+                let late =
+                    r.size * self.expected(now, e, r.method) > PROBED_LATENCY_MAX * m.latency_budget.secs();
+                (late, expects(e, weight) > PROBED_LATENCY_MARGIN * usual)
             } else {
                 // Danger: in a rush only endpoints that are down stay below the mean, and would get all. So a
                 // retry must fit the place that the endpoint's trust leaves it.
-                let home = (self.home_weight(e) * trusts / home).min(HOME_ROOM);
-                let room = place * home * MARGIN.0 * mean + trust * (1.0 + share * MARGIN.1);
-                let full = e.in_flight as f64 >= (bound * share).max(1.0);
-                (full && !r.within, takes(e) > FITS.0 * left || e.in_flight as f64 + 1.0 > room)
+                let home = (self.zone_weight(e) * healths / home).min(OWN_ZONE_ROOM_MAX);
+                let room = place * home * IN_FLIGHT_FACTOR * mean + health * (1.0 + share * IN_FLIGHT_SLACK);
+                let full = e.in_flight as f64 >= (limit * share).max(1.0);
+                (full && !r.nested, takes(e) > FIT_PREFERRED * left || e.in_flight as f64 + 1.0 > room)
             };
-            if credit + more < 1.0 || full || takes(e) > FITS.1 * left {
+            if credit + more < 1.0 || full || takes(e) > FIT_MAX * left {
                 continue;
             }
-            let weight = weight * self.home_weight(e) / gain.unwrap_or(1.0).clamp(COLD_DRAWN.1, 1.0);
+            let weight = weight * self.zone_weight(e) / gain.unwrap_or(1.0).clamp(COLD_GAIN_MIN, 1.0);
             let tried = if r.attempts.iter().any(|w| w.endpoint == endpoint) { TRIED_WEIGHT } else { 1.0 };
             if crowded { &mut above } else { &mut open }.push((endpoint, weight * tried));
         }
@@ -840,11 +984,12 @@
     }
 
     /// Whether an effect could happen twice if the request went to this endpoint now.
-    fn may_repeat(&self, now: Moment, r: &Request, m: &Method, e: &Endpoint) -> bool {
+    fn may_attempt(&self, now: Moment, r: &Request, m: &Method, e: &Endpoint) -> bool {
         let may_have_run = || r.attempts.iter().filter(|w| !w.ended.is_some_and(Outcome::never_ran));
         let Some(first) = may_have_run().next() else { return true };
         // Danger: outside the group, or past its memory from the first that may have run, it runs twice.
-        let remembered = now.since(first.sent) + self.terms.up_in + self.terms.tick * REPEAT_TICKS < m.window;
+        let remembered =
+            now.since(first.sent) + self.terms.up_in + self.terms.tick * DEDUP_MARGIN_TICKS < m.window;
         let earlier = |w: &Attempt| self.endpoints[w.endpoint].as_ref().map(|e| &e.entry);
         let alike = |w: &Attempt| earlier(w).is_some_and(|earlier| m.group.same_group(earlier, &e.entry));
         match m.effect {
@@ -860,11 +1005,11 @@
         for at in 0..if over || self.solved.is_none() { self.endpoints.len() } else { 0 } {
             let anew = self.endpoints[at].as_ref().filter(|e| over || e.new);
             let Some(gain) = anew.and_then(|e| self.credit(now, e).2) else { continue };
-            let drawn = (COLD_DRAWN.0 * gain + self.chance.part(), now);
+            let drawn = (COLD_CREDIT_FACTOR * gain + self.chance.part(), now);
             self.endpoints[at].iter_mut().for_each(|e| e.credit = drawn);
         }
-        self.answers.roll(now, self.terms.fall_window);
-        if self.solved.is_some_and(|at| now.since(at) < SOLVE_EVERY) {
+        self.outcomes.roll(now, self.terms.fall_window);
+        if self.solved.is_some_and(|at| now.since(at) < SOLVE_INTERVAL) {
             return;
         }
         self.solved = Some(now);
@@ -872,7 +1017,7 @@
         let mut ages = vec![0.0_f64; self.endpoints.len()];
         for r in self.requests.iter().flatten() {
             let usual = self.usual.of(r.method).unwrap_or(f64::MAX);
-            for w in r.attempts.iter().filter(|w| w.ended.is_none() && !w.read) {
+            for w in r.attempts.iter().filter(|w| w.ended.is_none() && !w.client_reading) {
                 ages[w.endpoint] = ages[w.endpoint].max(now.since(w.sent).secs() / (usual * r.size));
             }
         }
@@ -885,81 +1030,81 @@
             let Some(e) = slot else { continue };
             e.fraction = e.latency.map_or(mean, |_| e.fraction);
             let over =
-                e.entry.state == EndpointState::Gone && e.in_flight == 0 && e.gone_at + GONE_KEPT < now;
+                e.entry.state == EndpointState::Gone && e.in_flight == 0 && e.gone_at + GONE_RETENTION < now;
             if over && !self.requests.iter().flatten().any(|r| r.attempts.iter().any(|w| w.endpoint == at)) {
                 self.by_name_hash.remove(&e.entry.name_hash);
                 *slot = None;
-                self.out.push_back(Decision::ForgetEndpoint { endpoint: at });
+                self.decisions.push_back(Decision::ForgetEndpoint { endpoint: at });
             }
         }
-        self.tend_circle(now);
+        self.maintain_subset(now);
     }
 
     /// Sees to it that the circle has its size in trusted endpoints, and exchanges one when it is time.
-    fn tend_circle(&mut self, now: Moment) {
+    fn maintain_subset(&mut self, now: Moment) {
         let ready: Vec<usize> = self.ready().map(|(at, _)| at).collect();
         // Danger: a successor at an address would have its connections taken by those to what was there.
-        let left: Vec<usize> = self.circle.extract_if(.., |kept| !ready.contains(kept)).collect();
+        let left: Vec<usize> = self.subset.extract_if(.., |kept| !ready.contains(kept)).collect();
         left.into_iter().for_each(|at| self.close_idle(at));
-        let in_look = self.sends.in_second() * SOLVE_EVERY.secs();
-        let places = CIRCLES * ready.len() as f64 / self.terms.instances;
-        let wanted = (in_look / CIRCLE_SENDS).max(places).min(self.circle_most).max(CIRCLE_LEAST);
+        let in_look = self.sends.in_second() * SOLVE_INTERVAL.secs();
+        let places = SUBSETS_PER_ENDPOINT * ready.len() as f64 / self.terms.instances;
+        let wanted = (in_look / SUBSET_SENDS).max(places).min(self.subset_max).max(SUBSET_MIN);
         // Danger: a fleet that doubles would leave its new half idle, as those who came first keep to the
         // old. So each new endpoint joins by the chance that it would have had if it had always been there.
         for at in &ready {
-            let chance = self.circle.len() as f64 / ready.len() as f64;
+            let chance = self.subset.len() as f64 / ready.len() as f64;
             let new = std::mem::take(&mut self.endpoints[*at].as_mut().expect("ready").new);
-            if new && !self.circle.contains(at) && self.chance.part() < chance {
-                self.give_up_one(now);
-                self.circle.push(*at);
+            if new && !self.subset.contains(at) && self.chance.part() < chance {
+                self.drop_worst_of_subset(now);
+                self.subset.push(*at);
             }
         }
         if wanted < ready.len() as f64 && now >= self.exchange_at {
-            self.exchange_at = now + EXCHANGE_EVERY * (1.0 + self.chance.part());
-            self.circle_most += 1.0;
-            self.give_up_one(now);
+            self.exchange_at = now + SUBSET_EXCHANGE_INTERVAL * (1.0 + self.chance.part());
+            self.subset_max += 1.0;
+            self.drop_worst_of_subset(now);
         }
-        let weights = self.ready().map(|(at, e)| (at, e.trust(now, None) * self.home_weight(e)));
-        let mut outside: Draw = weights.filter(|(at, _)| !self.circle.contains(at)).collect();
-        let trust = |at: &usize| self.endpoints[*at].as_ref().map_or(0.0, |e| e.trust(now, None));
+        let weights = self.ready().map(|(at, e)| (at, e.health(now, None) * self.zone_weight(e)));
+        let mut outside: Draw = weights.filter(|(at, _)| !self.subset.contains(at)).collect();
+        let health = |at: &usize| self.endpoints[*at].as_ref().map_or(0.0, |e| e.health(now, None));
         // Danger: chance may leave a circle without any of the places that a method is bound to.
-        let placed = self.terms.methods.iter().filter(|m| m.is_placed()).map(|m| (Some(m), CIRCLE_LEAST));
+        let placed = self.terms.methods.iter().filter(|m| m.is_placed()).map(|m| (Some(m), SUBSET_MIN));
         for (method, wanted) in [(None, wanted)].into_iter().chain(placed) {
             let at = |at: &usize| self.endpoints[*at].as_ref();
             let open = |e: &usize| method.is_none_or(|m| at(e).is_some_and(|e| m.open_to(&e.entry)));
-            let mut trusted = self.circle.iter().filter(|at| open(at)).map(trust).sum::<f64>();
+            let mut trusted = self.subset.iter().filter(|at| open(at)).map(health).sum::<f64>();
             let mut places: Draw = outside.extract_if(.., |(at, _)| open(at)).collect();
             while let Some(joins) = self.chance.drawn(&places).filter(|_| trusted < wanted) {
-                self.circle.push(joins);
+                self.subset.push(joins);
                 places.retain(|(at, _)| *at != joins);
-                trusted += trust(&joins);
+                trusted += health(&joins);
             }
             outside.append(&mut places);
         }
     }
 
     /// Leaves out the one of the circle that serves worst.
-    fn give_up_one(&mut self, now: Moment) {
-        let good = |e: &Endpoint| e.fraction * e.trust(now, None);
-        let good = |place: &usize| self.endpoints[self.circle[*place]].as_ref().map_or(0.0, good);
-        if let Some(worst) = (0..self.circle.len()).min_by(|a, b| good(a).total_cmp(&good(b))) {
-            let leaves = self.circle.swap_remove(worst);
+    fn drop_worst_of_subset(&mut self, now: Moment) {
+        let good = |e: &Endpoint| e.fraction * e.health(now, None);
+        let good = |place: &usize| self.endpoints[self.subset[*place]].as_ref().map_or(0.0, good);
+        if let Some(worst) = (0..self.subset.len()).min_by(|a, b| good(a).total_cmp(&good(b))) {
+            let leaves = self.subset.swap_remove(worst);
             self.close_idle(leaves);
         }
     }
 
     /// Danger: a connection that stays open outside the circle keeps another instance from the endpoint.
     fn close_idle(&mut self, endpoint: usize) {
-        let outside = !self.circle.contains(&endpoint);
+        let outside = !self.subset.contains(&endpoint);
         let Some(e) = self.endpoints[endpoint].as_mut() else { return };
         if outside && e.in_flight == 0 && std::mem::take(&mut e.connected) {
-            self.out.push_back(Decision::CloseIdle { endpoint });
+            self.decisions.push_back(Decision::CloseIdle { endpoint });
         }
     }
 
-    fn ask_later(&mut self, at: Option<Moment>) {
-        self.ask_at = at;
-        self.out.extend(at.map(|at| Decision::Wake { at }));
+    fn subscribe_later(&mut self, at: Option<Moment>) {
+        self.subscribe_at = at;
+        self.decisions.extend(at.map(|at| Decision::Wake { at }));
     }
 }
 
@@ -967,7 +1112,7 @@
     /// Up to when an answer is worth something, with room to give the final answer before it is late.
     fn useful_until(&self, terms: &Terms) -> Moment {
         let m = &terms.methods[self.method];
-        let prompt = m.latency_budget.less(terms.tick * ANSWER_TICKS).less(self.age);
+        let prompt = m.latency_budget.less(terms.tick * ANSWER_MARGIN_TICKS).less(self.age);
         if m.overdue_criticality > 0.0 { self.deadline } else { self.deadline.min(self.arrived + prompt) }
     }
 }
@@ -975,23 +1120,23 @@
 impl Endpoint {
     /// The list calls it gone, or has lost it. Danger: where only drains bind, that may be untrue of one that
     /// serves on. It is distrusted like one that is down, until it answers or refuses a connection.
-    fn lose(&mut self, now: Moment, drains_alone: bool) {
+    fn list_as_gone(&mut self, now: Moment, drains_alone: bool) {
         if !drains_alone || self.drained || !self.is_ready() {
             (self.entry.state, self.gone_at) = (EndpointState::Gone, now);
-        } else if !std::mem::replace(&mut self.doubted, true) {
-            self.distrust_at = now;
-            self.distrust.fill(DISTRUST_DOWN);
+        } else if !std::mem::replace(&mut self.gone_unconfirmed, true) {
+            self.outlier_score_at = now;
+            self.outlier_score.fill(OUTLIER_STEP_DOWN);
         }
     }
 
     /// By method, or by that which fares worst.
-    fn trust(&self, now: Moment, method: Option<usize>) -> f64 {
-        let worst = || self.distrust.iter().copied().fold(0.0, f64::max);
-        let score = method.map_or_else(worst, |method| self.distrust[method]);
-        0.5_f64.powf(score * halved(self.distrust_at, now, DISTRUST_HALF))
+    fn health(&self, now: Moment, method: Option<usize>) -> f64 {
+        let worst = || self.outlier_score.iter().copied().fold(0.0, f64::max);
+        let score = method.map_or_else(worst, |method| self.outlier_score[method]);
+        0.5_f64.powf(score * halved(self.outlier_score_at, now, OUTLIER_HALF_LIFE))
     }
 
-    fn cold_share(&self, now: Moment, terms: &Terms) -> f64 {
+    fn warm_up_share(&self, now: Moment, terms: &Terms) -> f64 {
         self.entry.started.map_or(1.0, |at| terms.warm_part(now.since(at)))
     }
 }
--- a/src/known.rs
+++ b/src/known.rs
@@ -1,73 +1,95 @@
-//! What an instance knows of its attempts, its requests and the endpoints: plain rows, of which `balancer` decides.
+//! State kept for attempts, requests and endpoints: plain records on which `balancer` decides.
 
 use crate::units::{Moment, Span};
 use crate::{EndpointState, Entry, Outcome};
 
-/// What is known of one attempt.
+/// State of one attempt.
 pub struct Attempt {
     pub endpoint: usize,
     pub sent: Moment,
     pub ended: Option<Outcome>,
-    pub read: bool,       // it is taken for answered: its client seems to be reading
-    pub off: Option<f64>, // how far the load reported there was off the usual one, in parts of it
+    /// Treated as answered, because the client seems to be reading the answer.
+    pub client_reading: bool,
+    /// Relative difference between the load reported by the endpoint before the send and the usual load.
+    pub load_deviation: Option<f64>,
 }
 
-/// What is known of one request.
+/// State of one request.
 #[derive(Default)]
 pub struct Request {
-    pub most: usize, // attempts that it may have
+    /// The most attempts that it may have.
+    pub max_attempts: usize,
     pub method: usize,
     pub key: Option<u32>,
-    pub within: bool, // others wait for it with places that they hold
-    pub age: Span,    // for how long at least the client has been asking before
-    pub size: f64,    // its work against what is usual for its method, as far as that is told
+    /// Work within other work: requests that hold room at endpoints wait for it.
+    pub nested: bool,
+    /// The least time for which the client had been trying before this try.
+    pub age: Span,
+    /// Expected work relative to the usual work of the method, as far as hints tell.
+    pub size: f64,
     pub arrived: Moment,
     pub deadline: Moment,
     pub attempts: Vec<Attempt>,
     pub admitted: bool,
     pub streaming: bool,
     pub closed: bool,
-    pub overstays: bool,   // its last attempt may go on past its use, and is withdrawn then
-    pub asked: Vec<usize>, // endpoints whose load it asks for
-    pub asks_until: Moment, // and until when it waits for that
+    /// The last attempt's deadline lies past the time at which its answer is useful; it is cancelled at that time.
+    pub cancel_when_late: bool,
+    /// Endpoints whose load it waits for, and until when it waits.
+    pub probed: Vec<usize>,
+    pub probes_until: Moment,
 }
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Default)]
 pub struct Endpoint {
-    pub entry: Entry, // as last listed
+    /// As last listed.
+    pub entry: Entry,
     pub listed: bool,
-    pub latency: Option<f64>, // smoothed served latency, as a multiple of what its methods usually take here
-    pub heard_at: Moment,
+    /// Smoothed latency of served attempts, as a multiple of what their methods usually take here.
+    pub latency: Option<f64>,
+    pub latency_at: Moment,
+    /// Weight in the draw, before health and warm-up.
     pub fraction: f64,
-    pub distrust: Vec<f64>, // by method
-    pub distrust_at: Moment,
+    /// Outlier score by method: raised by failures, halved over time.
+    pub outlier_score: Vec<f64>,
+    pub outlier_score_at: Moment,
     pub in_flight: usize,
-    pub others: Option<f64>, // requests in hand as last reported, less those from here
-    pub others_at: Moment,   // when that came
-    pub probed: bool,        // it is being asked for
-    pub credit: (f64, Moment), // sends that a cold endpoint may still get, as of a moment
+    /// Requests in flight there as last reported, less those of this instance, and when that report came.
+    pub other_load: Option<f64>,
+    pub other_load_at: Moment,
+    /// A probe to it is under way.
+    pub probe_pending: bool,
+    /// Warm-up credit: sends that the endpoint may still get while cold, as of a moment.
+    pub credit: (f64, Moment),
     pub gone_at: Moment,
-    pub drained: bool,       // it has been listed as draining since it started
-    pub doubted: bool,       // the list calls it gone, or has lost it, and it may be sent to all the same
-    pub hasty_until: Moment, // it turns away or breaks off more than its load explains, maybe by its clock
-    pub reading: bool,       // an attempt there is taken for one whose client reads
-    pub new: bool,           // it has started since the circle was last looked at
-    pub connected: bool,     // it has answered since its connections were last closed here
+    /// It has been listed as draining since it started.
+    pub drained: bool,
+    /// The list reports it as gone, or no longer has it, but it may still be sent to.
+    pub gone_unconfirmed: bool,
+    /// Until then it counts as one that rejects or fails requests early, perhaps because its clock is ahead.
+    pub early_failure_until: Moment,
+    /// One of its attempts is treated as `client_reading`.
+    pub client_reading: bool,
+    /// It has started since the subset was last maintained.
+    pub new: bool,
+    /// It has answered since this instance last closed its connections to it.
+    pub connected: bool,
 }
 
 impl Request {
     pub fn never_ran(&self) -> bool {
-        self.attempts.iter().all(|w| w.ended.is_some_and(Outcome::never_ran))
+        self.attempts.iter().all(|attempt| attempt.ended.is_some_and(Outcome::never_ran))
     }
 }
 
 impl Endpoint {
-    /// An attempt has ended there; one that was taken for `read` has left its place before.
-    pub fn leave(&mut self, read: bool) {
-        self.in_flight -= usize::from(!read);
-        self.reading &= !read;
+    /// Takes an ended attempt out of the in-flight count, unless it was taken out when it became `client_reading`.
+    pub fn attempt_ended(&mut self, client_reading: bool) {
+        self.in_flight -= usize::from(!client_reading);
+        self.client_reading &= !client_reading;
     }
+
     pub fn is_ready(&self) -> bool {
         self.entry.state == EndpointState::Ready
     }
