--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -52,8 +52,8 @@
 const FIT_PREFERRED: f64 = 0.8;
 /// Expected latency as a part of the latency budget that is left; above it an endpoint is excluded.
 const FIT_MAX: f64 = 1.2;
-/// Factor on the weight of an endpoint that the request has already tried, so that it is drawn only if hardly any other
-/// is eligible.
+/// Factor on the weight of an endpoint that the request has already tried, so that it is drawn only if hardly any
+/// other is eligible.
 const TRIED_WEIGHT: f64 = 0.01;
 
 // Outlier detection. Each point of the score halves the endpoint's traffic.
@@ -85,11 +85,11 @@
 const ATTEMPT_TIMEOUT_FACTOR: f64 = 5.0;
 /// Least timeout of an attempt that may be retried, as a part of the latency budget.
 const ATTEMPT_TIMEOUT_MIN: f64 = 0.2;
-/// From this part of the latency budget on, an attempt has no timeout of its own: a retry would come too late to be worth
-/// much.
+/// From this part of the latency budget on, an attempt has no timeout of its own: a retry would come too late to be
+/// worth much.
 const ATTEMPT_TIMEOUT_MAX: f64 = 1.0;
-/// An attempt out for longer than this multiple of the usual latency of its size may have been answered to a client that
-/// reads slowly: all but few take less.
+/// An attempt out for longer than this multiple of the usual latency of its size may have been answered to a client
+/// that reads slowly: all but few take less.
 const READING_AGE_FACTOR: f64 = 3.0;
 /// Part of the reply slots that clients which seem to read slowly may take.
 const READING_SLOT_SHARE: f64 = 0.15;
@@ -106,9 +106,11 @@
 const SUBSET_EXCHANGE_INTERVAL: Span = Span::from_millis(10000);
 /// Price of crossing zones up to which zones are ignored: all crossings together then cost less than chance does.
 const CROSS_ZONE_PRICE_IGNORED: f64 = 0.01;
-/// Weight that the own zone gains by the price beyond that: at a price of a twentieth, seven times another zone's weight.
+/// Weight that the own zone gains by the price beyond that: at a price of a twentieth, seven times another zone's
+/// weight.
 const OWN_ZONE_WEIGHT_GAIN: f64 = 150.0;
-/// Cap on the in-flight room that the zone weight adds, as a multiple of the mean: the own zone is not overloaded for it.
+/// Cap on the in-flight room that the zone weight adds, as a multiple of the mean: the own zone is not overloaded for
+/// it.
 const OWN_ZONE_ROOM_MAX: f64 = 2.0;
 
 // Concurrency limit, in attempts in flight at an endpoint from all instances together.
@@ -120,9 +122,9 @@
     initial: f64,
 }
 
-/// Leaves room for the spread between instances; below the least limit, cores stand idle.
+/// The target leaves room for the spread of latencies; below the least limit, cores stand idle.
 const LIMIT_LOCAL: LimitParameters = LimitParameters { target: 0.3, min: 6.0, initial: 8.0 };
-/// Low, as a limit on load that peers report acts on all instances at once.
+/// Where peers report load, the limit acts on all instances at once, so it may be low.
 const LIMIT_SHARED: LimitParameters = LimitParameters { target: 0.3, min: 1.5, initial: 3.0 };
 /// Relative change of the limit in a second if latency is off the target by a whole budget.
 const LIMIT_GAIN: f64 = 0.8;
@@ -130,8 +132,8 @@
 const LIMIT_GAIN_MAX: f64 = 0.25;
 /// The limit grows only while this part of it is in use: otherwise answers tell nothing about it.
 const LIMIT_USED: f64 = 0.7;
-/// As an alternative to `LIMIT_USED`, it grows only while all of it but this many instances' parts is in use, if that is
-/// more.
+/// As an alternative to `LIMIT_USED`, it grows only while all of it but this many instances' parts is in use, if that
+/// is more.
 const LIMIT_SPARE_INSTANCES: f64 = 2.0;
 /// Smoothing time of the mean in flight, times the instances that share the endpoints.
 const IN_FLIGHT_SMOOTHING_TIME: Span = Span::from_millis(20);
@@ -144,11 +146,13 @@
 
 /// Requests that may be queued whatever the rate of sends, for an instance that has just started.
 const QUEUE_MIN: f64 = 4.0;
-/// Longest wait as a part of the latency budget: the next answer makes room within it, and a rejection is still of use.
+/// Longest wait as a part of the latency budget: the next answer makes room within it, and a rejection is still of
+/// use.
 const QUEUE_WAIT: f64 = 0.06;
 /// Time between two checks of the queue: short against any latency budget.
 const QUEUE_POLL_INTERVAL: Span = Span::from_millis(20);
-/// Time after which a rejected client may retry, as a part of the latency budget; times one to two, to spread the retries.
+/// Time after which a rejected client may retry, as a part of the latency budget; times one to two, to spread the
+/// retries.
 const RETRY_AFTER: f64 = 0.1;
 
 // Rules.
@@ -174,7 +178,8 @@
 
 // Probes for load.
 
-/// Most endpoints that are probed for a request: few, so that an outdated report does not send everyone to the same one.
+/// Most endpoints that are probed for a request: few, so that an outdated report does not send everyone to the same
+/// one.
 const PROBES_MAX: usize = 3;
 /// Cap on the price of a request's probes, as a part of its worth: little is lost if they are of no use.
 const PROBE_PRICE_MAX: f64 = 0.012;
@@ -279,9 +284,11 @@
 impl Balancer {
     pub fn new(now: Moment, terms: Terms, seed: u64) -> Balancer {
         let mut chance = Chance::new(seed);
-        // Danger: all instances that start together would fall on the list's service at once.
-        // Danger: what has changed while this one was down counts as told whether it has asked or not; so few,
-        // of whom the service can answer each within moments, ask sooner. It hurts where the service is slower.
+        // Danger: instances that start together would all call the discovery service at once, so the first call is
+        // delayed by a random time.
+        // Danger: an instance counts as informed of changes made while it was down, even before it has subscribed.
+        // A few instances therefore subscribe sooner, as the service can answer all of them quickly. This does harm
+        // where the service is slower.
         let most = |within: Span| (within * SUBSCRIBE_DELAY).min(FIRST_SUBSCRIBE_DELAY * terms.instances);
         let subscribe_at = terms.ask_within.map(|within| now + most(within) * chance.part());
         let mut balancer = Balancer {
@@ -308,8 +315,9 @@
         &self.terms
     }
 
-    /// Other terms hold for what arrives from now on. Methods that open requests hold have kept their places; of
-    /// each other place it is told which one its name had before, if any: what was learnt there stays.
+    /// Applies new terms to requests that arrive from now on. Methods that open requests use have kept their places.
+    /// For each place with another method, `places` has the place that the method's name had before, if any; what was
+    /// learnt there is carried over.
     pub fn update_terms(&mut self, terms: Terms, places: &[(usize, Option<usize>)]) {
         for (to, from) in places {
             self.habits.resize(terms.methods.len(), Habit::default());
@@ -325,22 +333,23 @@
         (self.probes, self.terms) = (probes_per_request(&terms), terms);
     }
 
-    pub fn arrival(&mut self, now: Moment, request: usize, ask: RequestInfo) {
-        let RequestInfo { method, left, work, key } = ask;
-        // Danger: where all else has a key, what has none comes back to the tier that waits for it. Refused,
-        // it undoes what waits; behind new work, it waits for places that its callers hold. It is against any
-        // work within work that shows so; it hurts where clients leave out keys at will.
+    pub fn arrival(&mut self, now: Moment, request: usize, info: RequestInfo) {
+        let RequestInfo { method, left, work, key } = info;
+        // Where other requests have keys, one without a key is nested work: a call back into a tier in which its own
+        // caller waits. Danger: if it were rejected, the work of the waiting caller would be lost; queued behind new
+        // work, it would wait for room that its callers hold. This does harm where clients leave out keys at will.
         self.keys_seen |= key.is_some();
         let nested = self.keys_seen && key.is_none();
         let size = work
             .map_or(1.0, |work| self.habits[method].size(work, USUAL_SMOOTHING).clamp(SIZE_MIN, SIZE_MAX));
         self.requests.resize_with(self.requests.len().max(request + 1), || None);
-        // Danger: a client that returns late would take a place for an answer that is worth nothing any more.
-        // Tries have one length, found by a vote; one with less left is cut by its client's whole deadline,
-        // but where the time left is in doubt: there its shortness tells nothing, and what seems over is not.
+        // Danger: a client that retries late would take up room for an answer that is worth nothing any more. The
+        // usual time left of a method's tries is found by a vote; a try with less is limited by its client's whole
+        // deadline, which gives the request's age. Where the time left is uncertain, a short one tells nothing, and a
+        // deadline that seems past may not be.
         let doubt = self.terms.left_doubt;
-        let cut = doubt == Span::ZERO && self.habits[method].tries.shorter(left);
-        let age = if cut { self.terms.methods[method].deadline.less(left) } else { Span::ZERO };
+        let shortened = doubt == Span::ZERO && self.habits[method].tries.shorter(left);
+        let age = if shortened { self.terms.methods[method].deadline.less(left) } else { Span::ZERO };
         self.requests[request] = Some(Request {
             method,
             key,
@@ -368,32 +377,33 @@
         let too_late = outcome == Outcome::Timeout && now >= r.useful_until(&self.terms);
         self.due.push_back(request);
         self.recheck_queue = true;
-        let e = self.endpoints[endpoint].as_mut().expect("an endpoint with a write-out is kept");
+        let e = self.endpoints[endpoint].as_mut().expect("an endpoint with an attempt in flight is kept");
         e.attempt_ended(client_reading);
         let name_hash = e.entry.name_hash;
         self.close_idle(endpoint);
         self.detect_slow_readers(now);
         let excused = client_reading && outcome == Outcome::Timeout;
-        let tells = !matches!(outcome, Outcome::Cancelled | Outcome::NeverSent | Outcome::ClientError);
-        // What never ran there has not got as far as to what its key stands for.
+        let counts = !matches!(outcome, Outcome::Cancelled | Outcome::NeverSent | Outcome::ClientError);
+        // An attempt that never ran has not reached what its key stands for, so it counts for no key.
         let accepted = Some(outcome == Outcome::Success && part <= 1.0).filter(|_| !outcome.never_ran());
-        if tells && !excused && (!self.key_fails(now, key, accepted) || outcome.never_ran()) {
-            let told = AttemptReport { name_hash, method, outcome, part, load: load_deviation };
-            self.record_outcome(now, endpoint, told, Some(too_late));
+        if counts && !excused && (!self.key_fails(now, key, accepted) || outcome.never_ran()) {
+            let report = AttemptReport { name_hash, method, outcome, part, load: load_deviation };
+            self.record_outcome(now, endpoint, report, Some(too_late));
             if self.terms.may_tell {
                 if self.report.is_empty() {
                     self.report_at = now + REPORT_INTERVAL;
                     self.decisions.push_back(Decision::Wake { at: self.report_at });
                 }
-                told.write(&mut self.report);
+                report.write(&mut self.report);
             }
         }
     }
 
-    /// Where few answers can be held for clients, one long out may have been answered, and its client reads
-    /// slowly: one at each endpoint is taken for that. Danger: it would hold a place there and have it
-    /// distrusted for no fault of it, and slow readers would take all buffers from the others. It is against
-    /// whatever keeps answers behind endpoints, and hurts where one of a few endpoints hangs.
+    /// Where the number of answers held for clients is limited, an attempt that is out for long may have been
+    /// answered to a client that reads slowly: one attempt at each endpoint is treated so. Danger: otherwise it would
+    /// count as in flight and raise the outlier score of an endpoint without fault, and slow readers would take all
+    /// reply slots from the other clients. This is meant for anything that holds answers back behind the endpoints,
+    /// and does harm where one of a few endpoints hangs.
     fn detect_slow_readers(&mut self, now: Moment) {
         let Some(slots) = self.terms.reply_slots else { return };
         let mut reading = Vec::new();
@@ -417,9 +427,10 @@
         }
     }
 
-    /// What an attempt's end teaches, from a peer or from here, where it may have been waited for in vain.
-    fn record_outcome(&mut self, now: Moment, endpoint: usize, told: AttemptReport, own: Option<bool>) {
-        let AttemptReport { method, outcome, part, load, .. } = told;
+    /// Learns from the outcome of an attempt. `own` is none for a report by a peer; for this instance's own attempt
+    /// it says whether a timeout came too late for any use of the answer.
+    fn record_outcome(&mut self, now: Moment, endpoint: usize, report: AttemptReport, own: Option<bool>) {
+        let AttemptReport { method, outcome, part, load, .. } = report;
         let Some(budget) = self.terms.methods.get(method).map(|m| m.latency_budget) else { return };
         let (secs, own, too_late) = ((budget.secs() * part).max(1e-6), own.is_some(), own == Some(true));
         let Some(Some(e)) = self.endpoints.get_mut(endpoint) else { return };
@@ -433,9 +444,10 @@
         if own && e.gone_unconfirmed && outcome == Outcome::ConnectFailure {
             (e.entry.state, e.gone_at, self.solved) = (EndpointState::Gone, now, None);
         }
-        // Danger: an endpoint whose clock is ahead turns away or breaks off what it takes to be over. It gets
-        // the client's whole time to see, and the request is withdrawn here. After another error that makes no
-        // difference; it hurts at an endpoint that is full, and begins what has been withdrawn.
+        // Danger: an endpoint whose clock is ahead rejects or aborts requests whose deadline it takes to be past. For
+        // a while it is given the client's whole deadline instead, and the instance cancels the attempt by its own
+        // clock. After errors of another cause this makes no difference; it does harm at an endpoint that is
+        // overloaded and starts work on attempts that have been cancelled.
         let late_error = outcome == Outcome::Error && usual.is_some_and(|usual| secs > usual);
         if own && (outcome == Outcome::Overloaded || late_error) {
             e.early_failure_until = now + EARLY_FAILURE_WINDOW;
@@ -452,14 +464,16 @@
             e.latency = Some(smoothed(e.latency, secs / usual, part));
             0.0
         } else {
-            // Danger: one whose connections have run out refuses new sidecars for good. Who came first is to
-            // make room too: its exchanges are refused as well, so its circle shrinks.
+            // Danger: an endpoint that has no connections left would refuse new sidecars for good. So those that came
+            // first make room too: the endpoints that they exchange to refuse them as well, which shrinks their
+            // subset.
             let connect_refused = own && outcome == Outcome::ConnectFailure && !e.connected;
             if connect_refused && self.subset.contains(&endpoint) {
                 self.subset.retain(|kept| *kept != endpoint);
                 self.subset_max = self.subset.len() as f64;
             }
-            // Danger: an endpoint that fails at once looks idle to all; so of that a peer's word counts.
+            // Danger: an endpoint that fails at once looks idle to all instances, so errors that peers report count
+            // too.
             match e.latency {
                 _ if !own && outcome != Outcome::Error => 0.0,
                 None if down => OUTLIER_MAX,
@@ -467,47 +481,53 @@
                 _ => OUTLIER_STEP,
             }
         };
-        // Danger: an endpoint that fails all requests of one method wins trust back with answers to the others.
+        // Danger: an endpoint that fails every request of one method would recover by its answers to the other
+        // methods, so there is a score for each method.
         for (other, score) in e.outlier_score.iter_mut().enumerate() {
             let part = if down || other == method { 1.0 } else { OUTLIER_OTHER_METHODS };
             *score = (*score + penalty * part).min(OUTLIER_MAX);
         }
-        // Danger: a queue that answers late never fails, so the window would not see the overload in it.
+        // Danger: an endpoint that answers from a long queue is late but never fails, and the window would not show
+        // the overload; so only answers within the latency budget count as accepts.
         self.window(now, method).book(now, 1.0, f64::from(u8::from(served && part <= 1.0)));
-        // Danger: crowded endpoints turn slower and stay so; the crowd must be kept from forming.
+        // Danger: endpoints with too much in flight turn slower and stay slow, so the limit has to prevent this
+        // early.
         let LimitParameters { target, min, .. } = limits(&self.terms);
         let error = match outcome {
             Outcome::Success | Outcome::Timeout => target - part.min(1.0),
             Outcome::Overloaded => target - 1.0,
             _ => 0.0,
         };
-        // Danger: by its own few requests none can tell how much is out. By all, it is the time in a second.
+        // Danger: one instance's few requests do not show how much is in flight overall. Over the attempts of all
+        // instances, that is the sum of their latencies in a second.
         if self.terms.may_tell && self.probes == 0 {
             let times = if own { 1.0 } else { ((self.terms.instances - 1.0) / REPORT_PEERS as f64).max(1.0) };
             self.decay_in_flight_mean(now);
             self.in_flight_mean += secs * times / REPORTED_LOAD_TIME.secs() / self.ready_endpoints.max(1.0);
         }
-        // Danger: what many instances grew in a calm, past its use by chance, they send at once in trouble.
+        // Danger: limits that many instances have raised in calm times, while each was in use only by chance, would
+        // all be used at once in trouble. So a limit grows only while most of it is in use.
         let shared = self.terms.may_tell;
         let spare = if shared { 0.0 } else { 1.0 - LIMIT_SPARE_INSTANCES / self.terms.instances };
         let limit = if shared { self.limit } else { self.limit_in_subset() };
         if error < 0.0 || self.in_flight_mean >= LIMIT_USED.max(spare) * limit {
             let answers = self.outcomes.in_second().max(self.sends.in_second());
             let gain = (LIMIT_GAIN / answers.max(1e-6)).min(LIMIT_GAIN_MAX);
-            // Danger: a least that each instance may hold adds up over them. One must be possible, though.
+            // Danger: the least limits of all instances add up. Still, one attempt has to be possible.
             let min = min.max(if shared { 0.0 } else { 1.0 / self.ready_endpoints.max(1.0) });
             self.limit = (self.limit * (1.0 + gain * error)).max(min);
         }
     }
 
-    /// Part of the request has gone on and is not held any more: it is sent no further, and is timed from now.
+    /// Part of the request has been forwarded and is no longer buffered: it cannot be retried, and its time runs from
+    /// now.
     pub fn partly_forwarded(&mut self, now: Moment, request: usize) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
         (r.max_attempts, r.deadline, r.arrived) = (r.attempts.len(), r.deadline + now.since(r.arrived), now);
         r.attempts.last_mut().into_iter().for_each(|w| w.sent = now);
     }
 
-    /// A probe has ended, with what it says of the requests in hand.
+    /// A probe has ended; `load` is the number of requests in flight that the endpoint reported, if it did.
     pub fn probe_result(&mut self, now: Moment, endpoint: usize, load: Option<f64>) {
         let Some(Some(e)) = self.endpoints.get_mut(endpoint) else { return };
         (e.probe_pending, e.other_load_at) = (false, now);
@@ -516,23 +536,25 @@
         self.due.extend(self.waiting_for_probes.drain(..));
     }
 
-    /// How attempts to listed endpoints ended, as a peer tells, or (`ours`) this instance's other process.
-    pub fn apply_reports(&mut self, now: Moment, news: impl Iterator<Item = AttemptReport>, ours: bool) {
-        for told in news {
-            let listed = |at: &&usize| self.endpoints[**at].as_ref().is_some_and(Endpoint::is_ready);
-            let Some(endpoint) = self.by_name_hash.get(&told.name_hash).filter(listed) else { continue };
-            self.record_outcome(now, *endpoint, told, ours.then_some(false));
+    /// Learns from reports of how attempts at listed endpoints ended, from a peer or (`ours`) from another process of
+    /// this instance.
+    pub fn apply_reports(&mut self, now: Moment, reports: impl Iterator<Item = AttemptReport>, ours: bool) {
+        for report in reports {
+            let ready = |at: &&usize| self.endpoints[**at].as_ref().is_some_and(Endpoint::is_ready);
+            let Some(endpoint) = self.by_name_hash.get(&report.name_hash).filter(ready) else { continue };
+            self.record_outcome(now, *endpoint, report, ours.then_some(false));
         }
     }
 
-    /// How many endpoints are listed, and how many of these are avoided: not ready, or much distrusted.
+    /// How many endpoints are listed, and how many of these are avoided: not ready, or with a high outlier score.
     pub fn avoided(&self, now: Moment) -> (usize, usize) {
         let listed = || self.endpoints.iter().flatten().filter(|e| e.entry.state != EndpointState::Gone);
         let avoided = listed().filter(|e| !e.is_ready() || e.health(now, None) <= AVOIDED_HEALTH);
         (listed().count(), avoided.count())
     }
 
-    /// For an instance that only watches: where the request's attempt that is out went in truth, if any is.
+    /// For a shadow instance, which decides but does not send: replaces the request's attempt in flight by the one
+    /// that was really sent, if any was.
     pub fn set_actual_attempt(&mut self, now: Moment, request: usize, endpoint: Option<usize>) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
         (r.admitted, r.probed) = (true, Vec::new());
@@ -562,7 +584,7 @@
         }
     }
 
-    /// A list follows: all of it, or only what changed.
+    /// Begins a list update: the complete list, or only the entries that changed.
     pub fn list_begin(&mut self, complete: bool) {
         self.endpoints.iter_mut().flatten().for_each(|e| e.listed = !complete);
     }
@@ -574,8 +596,9 @@
         let fresh = || Endpoint { entry, latency_at, credit, outlier_score, new: true, ..Default::default() };
         let e = self.endpoints[endpoint].get_or_insert_with(fresh);
         if entry.started > e.entry.started {
-            // A new process: what the old one earned or lost says nothing of it. Danger: many instances that
-            // each send at once would push it over, however little each sends.
+            // A new process: the latency and outlier scores of the old one do not apply to it. Danger: if many
+            // instances each sent at once they would overload it, however little each sends; so the first credit is
+            // random.
             (e.latency, e.new, e.credit) = (None, true, (self.chance.part(), now));
             e.outlier_score.fill(0.0);
         }
@@ -591,8 +614,8 @@
     }
 
     pub fn list_end(&mut self, now: Moment) {
-        let asked = std::mem::take(&mut self.subscribing);
-        self.subscribe_at = self.subscribe_at.filter(|_| !asked);
+        let answered = std::mem::take(&mut self.subscribing);
+        self.subscribe_at = self.subscribe_at.filter(|_| !answered);
         let missing = |e: &&mut Endpoint| !e.listed && e.entry.state != EndpointState::Gone;
         let missing = self.endpoints.iter_mut().flatten().filter(missing);
         missing.for_each(|e| e.list_as_gone(now, self.terms.drains_alone));
@@ -603,7 +626,7 @@
 
     pub fn list_failed(&mut self, now: Moment) {
         self.subscribing = false;
-        // Danger: a list service that is down or full stays so if everyone asks again at once.
+        // Danger: a discovery service that is down or overloaded stays so if all instances retry at once.
         let wait = SUBSCRIBE_DELAY * (0.5 + self.chance.part());
         self.subscribe_later(self.terms.ask_within.map(|within| now + within * wait));
     }
@@ -611,7 +634,7 @@
     pub fn wake(&mut self, now: Moment) {
         if self.subscribe_at.is_some_and(|at| at <= now) {
             self.decisions.push_back(Decision::Subscribe);
-            // Danger: an instance whose call goes unanswered would follow an old list for ever.
+            // Danger: an instance whose call is never answered would use an old list for ever, so it calls again.
             self.subscribing = true;
             self.subscribe_later(self.terms.ask_within.map(|within| now + within));
         }
@@ -620,11 +643,11 @@
         let over = |r: &Request| r.cancel_when_late && now >= r.useful_until(&self.terms);
         self.due.extend((0..self.requests.len()).filter(|at| self.requests[*at].as_ref().is_some_and(over)));
         if now >= self.report_at && !self.report.is_empty() {
-            let news = std::mem::take(&mut self.report);
+            let message = std::mem::take(&mut self.report);
             let instances = self.terms.instances as usize;
             for _ in 0..REPORT_PEERS.min(instances - 1) {
                 let peer = (self.terms.me + 1 + self.chance.below(instances - 1)) % instances;
-                self.decisions.push_back(Decision::TellPeer { peer, message: news.clone() });
+                self.decisions.push_back(Decision::TellPeer { peer, message: message.clone() });
             }
         }
     }
@@ -654,11 +677,11 @@
         }
         let (method, key, nested) = (r.method, r.key, r.nested);
         if let Some(endpoint) = out {
-            let told =
+            let report =
                 AttemptReport { name_hash: 0, method, outcome: Outcome::Timeout, part: 1.0, load: None };
-            self.record_outcome(now, endpoint, told, Some(true));
+            self.record_outcome(now, endpoint, report, Some(true));
         }
-        // Danger: a batch may come after the deadline; nothing is sent for what is over or worth nothing.
+        // Danger: a batch of events may arrive after the deadline; a request whose answer is of no use is not sent.
         if over {
             return self.give_up(request, GiveUpReason::TimeOver);
         }
@@ -685,7 +708,7 @@
         if self.probes == 0 && !nested && self.over_limit(now, method) {
             return self.enqueue(now, request);
         }
-        // Where all are well above the mean, any will do; the draw still follows the weights.
+        // If all are well above the mean in flight, the draw is among these, still by their weights.
         let r = self.requests[request].as_ref().expect("looked up above");
         let (open, above) = self.eligible_endpoints(now, r);
         match self.chance.drawn(&open).or_else(|| self.chance.drawn(&above)) {
@@ -697,12 +720,12 @@
     fn send(&mut self, now: Moment, request: usize, endpoint: usize, retry: bool) {
         let credit = self.endpoints[endpoint].as_ref().map_or(0.0, |e| self.credit(now, e).0 - 1.0);
         let load_deviation = self.endpoints[endpoint].as_ref().and_then(|e| self.load_deviation(e));
-        let r = self.requests[request].as_mut().expect("only open reqs are sent");
+        let r = self.requests[request].as_mut().expect("only open requests are sent");
         r.attempts.push(Attempt { endpoint, sent: now, ended: None, client_reading: false, load_deviation });
         r.probed.clear();
         let mut give_up = self.attempt_deadline(now, request);
         let r = self.requests[request].as_mut().expect("looked up above");
-        let e = self.endpoints[endpoint].as_mut().expect("only known endpoints are picked");
+        let e = self.endpoints[endpoint].as_mut().expect("only known endpoints are drawn");
         let at = r.useful_until(&self.terms);
         if self.terms.may_cancel && now < e.early_failure_until && at < r.deadline {
             (give_up, r.cancel_when_late) = (r.deadline, true);
@@ -715,10 +738,10 @@
         self.decisions.push_back(Decision::Send { request, endpoint, give_up });
     }
 
-    /// Up to when to wait for the attempt that sets out now. Danger: an answer that was lost would hold its
-    /// request, and a place here, until the client gives up; so another is tried, if half the purse is there.
+    /// Until when to wait for the attempt that is sent now. Danger: a lost answer would hold its request, and room
+    /// here, until the client gives up; so the attempt times out early for a retry, if half the retry budget is left.
     fn attempt_deadline(&self, now: Moment, request: usize) -> Moment {
-        let r = self.requests[request].as_ref().expect("only open reqs are sent");
+        let r = self.requests[request].as_ref().expect("only open requests are sent");
         let (m, last) = (&self.terms.methods[r.method], r.attempts.len() == r.max_attempts);
         let mut open = self.ready().filter(|(_, e)| m.open_to(&e.entry));
         let others = self.ready_endpoints > 1.0 && open.all(|(_, e)| self.may_attempt(now, r, m, e));
@@ -729,16 +752,18 @@
         r.useful_until(&self.terms).min(now + m.latency_budget * parts.max(ATTEMPT_TIMEOUT_MIN))
     }
 
-    /// The design's drop chance for the requests of one key, against what is accepted of all others. Danger: requests
-    /// that wait for one another behind all endpoints fill these, and their failures are no endpoint's. It is
-    /// against a lock, a hot record, a poisoned key; it hurts a key whose few requests met a failing endpoint.
+    /// The design's drop chance for the requests of one key, against the accepts of all others. Danger: requests that
+    /// wait for one another behind the endpoints fill all of these, and their failures are not an endpoint's fault.
+    /// This is meant for a lock, a hot record or a poisoned key; it does harm to a key whose few requests met a
+    /// failing endpoint.
     fn key_drop_chance(&mut self, now: Moment, key: Option<u32>) -> f64 {
         let Some(window) = key.and_then(|key| self.keys.get_mut(&key)) else { return 0.0 };
         let (all, accepts) = self.windows.first_mut().map_or((0.0, 0.0), |window| window.sums(now));
         window.drop_chance(now, K * (all + 1.0) / (accepts + 1.0), KEY_PROTECTION)
     }
 
-    /// Whether the requests of this key fail by themselves, so that this one's end tells nothing of the endpoint.
+    /// Whether the requests of this key fail because of the key, so that this outcome says nothing of the endpoint.
+    /// `accepted` counts in the key's window first.
     fn key_fails(&mut self, now: Moment, key: Option<u32>, accepted: Option<bool>) -> bool {
         if let (Some(key), Some(accepted)) = (key, accepted)
             && (!accepted || self.keys.contains_key(&key))
@@ -750,7 +775,8 @@
         self.key_drop_chance(now, key) > 0.0
     }
 
-    /// Danger: where the few places of one method are down, its failures would have all others refused too.
+    /// The window that a method counts in. Danger: if the few places that a method is bound to were down, its
+    /// failures in a common window would have the other methods rejected too; so a method with placement has its own.
     fn window(&mut self, now: Moment, method: usize) -> &mut Rolling {
         let at = if self.terms.methods[method].is_placed() { method + 1 } else { 0 };
         self.windows
@@ -758,50 +784,53 @@
         &mut self.windows[at]
     }
 
-    /// Nothing can take the request now: it waits a little, the most worth in front, if that is likely to help.
+    /// No endpoint can take the request now: it is queued for a short time, ordered by worth, if that is likely to
+    /// help.
     fn enqueue(&mut self, now: Moment, request: usize) {
-        let r = self.requests[request].as_mut().expect("only open reqs are held");
+        let r = self.requests[request].as_mut().expect("only open requests are queued");
         r.probed.clear();
         let m = &self.terms.methods[r.method];
         let (wait, arrived, deadline) = (m.latency_budget * QUEUE_WAIT, r.arrived, r.deadline);
-        // Where all places that a method is bound to are down, waiting a little brings none of them back.
-        let too_late = m.is_placed() && !self.ready().any(|(_, e)| m.open_to(&e.entry));
-        if too_late || now + QUEUE_POLL_INTERVAL >= (arrived + wait).min(deadline) {
+        // If all places that a method is bound to are down, a short wait does not bring them back.
+        let all_down = m.is_placed() && !self.ready().any(|(_, e)| m.open_to(&e.entry));
+        if all_down || now + QUEUE_POLL_INTERVAL >= (arrived + wait).min(deadline) {
             return self.give_up(request, GiveUpReason::NoEndpoint);
         }
         self.decisions
             .extend(self.queue.is_empty().then_some(Decision::Wake { at: now + QUEUE_POLL_INTERVAL }));
-        // What a place at an endpoint earns: criticality against the time that the method usually takes.
-        let earns = |m: usize| self.terms.methods[m].criticality / self.usual.of(m).unwrap_or(1.0).max(1e-3);
-        let of = |r: &Request| if r.nested { f64::MAX } else { earns(r.method) };
+        // The worth of room at an endpoint: criticality by the time that the method usually takes.
+        let method_worth =
+            |m: usize| self.terms.methods[m].criticality / self.usual.of(m).unwrap_or(1.0).max(1e-3);
+        let of = |r: &Request| if r.nested { f64::MAX } else { method_worth(r.method) };
         let worth = |request: &usize| self.requests[*request].as_ref().map_or(0.0, of);
-        let place = self.queue.partition_point(|held| worth(held) >= worth(&request));
+        let place = self.queue.partition_point(|queued| worth(queued) >= worth(&request));
         self.queue.insert(place, request);
-        // Danger: a queue longer than what is sent in a wait only delays its rejections.
+        // Danger: a queue longer than what is sent within the longest wait only delays rejections.
         if self.queue.len() as f64 > (self.sends.in_second() * wait.secs()).max(QUEUE_MIN) {
             let last = self.queue.pop().expect("just filled");
             self.give_up(last, GiveUpReason::QueueFull);
         }
     }
 
-    /// What a request of usual size is likely to take there, in seconds.
+    /// Expected latency of a request of usual size at the endpoint, in seconds.
     fn expected(&self, now: Moment, e: &Endpoint, method: usize) -> f64 {
         let usual = self.usual.at(e.entry.kind, method).or(self.usual.of(method)).unwrap_or(0.0);
         let latency = e.latency.unwrap_or(1.0).powf(halved(e.latency_at, now, OUTLIER_HALF_LIFE));
         usual * (1.0 + self.load_slope.get() * self.load_deviation(e).unwrap_or(0.0)) * latency
     }
 
-    /// How far the requests in hand there, from all instances, are off the usual, in parts of it, where reported.
+    /// Relative difference between the endpoint's requests in flight, from all instances, and the usual load, if it
+    /// has reported its load.
     fn load_deviation(&self, e: &Endpoint) -> Option<f64> {
         e.other_load.map(|others| (others + e.in_flight as f64 + 1.0) / (self.usual_load + 1.0) - 1.0)
     }
 
-    /// The final answer of a request that is given up: rejected where a repeat does no harm, else failed.
+    /// Gives the final answer to a request that is given up: a rejection where a repeat is safe, else a failure.
     fn give_up(&mut self, request: usize, reason: GiveUpReason) {
-        let r = self.requests[request].as_mut().expect("only open reqs are ended");
+        let r = self.requests[request].as_mut().expect("only open requests are given up");
         let (m, never_ran) = (&self.terms.methods[r.method], r.never_ran());
         r.closed = true;
-        // Danger: a rejection invites a repeat, so it must not follow what may have run, unless repeats are safe.
+        // Danger: a rejection invites a repeat, so a request that may have run is rejected only if repeats are safe.
         let safe = m.effect == Effect::Retryable || m.effect == Effect::Deduplicated && m.group == Group::All;
         let wait = m.latency_budget * (RETRY_AFTER * (1.0 + self.chance.part()));
         let retry_after = self.terms.max_retry_after.map(|most| wait.min(most));
@@ -811,7 +840,7 @@
         self.cancel_and_forget(request);
     }
 
-    /// Withdraws what a closed request still has out, and forgets it when nothing more can be heard of it.
+    /// Cancels the attempts in flight of a closed request, or forgets the request once no outcome is outstanding.
     fn cancel_and_forget(&mut self, request: usize) {
         let Some(r) = self.requests[request].as_ref() else { return };
         let out = r.attempts.iter().enumerate().filter(|(_, w)| w.ended.is_none());
@@ -820,34 +849,34 @@
             return self.decisions.extend(cancels.into_iter().filter(|_| self.terms.may_cancel));
         }
         self.requests[request] = None;
-        self.queue.retain(|held| *held != request);
+        self.queue.retain(|queued| *queued != request);
         self.decisions.push_back(Decision::ForgetRequest { request });
     }
 
-    /// Whether the request waits for reports of load: it asks a few endpoints for them, drawn as for an attempt.
+    /// Whether the request has to wait for reports of load. First probes a few endpoints, drawn as for an attempt.
     fn waits_for_probes(&mut self, now: Moment, request: usize) -> bool {
-        let r = self.requests[request].as_ref().expect("only open reqs ask");
+        let r = self.requests[request].as_ref().expect("only open requests wait for probes");
         if self.probes > 0 && r.probed.is_empty() {
             let until = now + self.terms.methods[r.method].latency_budget * PROBE_WAIT;
             let (mut open, above) = self.eligible_endpoints(now, r);
             open.extend(above);
-            let mut asked = Vec::new();
-            while let Some(at) = self.chance.drawn(&open).filter(|_| asked.len() < self.probes) {
+            let mut probed = Vec::new();
+            while let Some(at) = self.chance.drawn(&open).filter(|_| probed.len() < self.probes) {
                 open.retain(|(other, _)| *other != at);
-                asked.push(at);
+                probed.push(at);
                 let e = self.endpoints[at].as_mut().expect("drawn");
                 let fresh = e.other_load.is_some() && now.since(e.other_load_at) < PROBE_FRESH;
                 if !fresh && !std::mem::replace(&mut e.probe_pending, true) {
                     self.decisions.push_back(Decision::Probe { endpoint: at });
                 }
             }
-            self.decisions.extend((!asked.is_empty()).then_some(Decision::Wake { at: until }));
-            let r = self.requests[request].as_mut().expect("only open reqs ask");
-            (r.probed, r.probes_until) = (asked, until);
+            self.decisions.extend((!probed.is_empty()).then_some(Decision::Wake { at: until }));
+            let r = self.requests[request].as_mut().expect("only open requests wait for probes");
+            (r.probed, r.probes_until) = (probed, until);
         }
-        let r = self.requests[request].as_ref().expect("only open reqs ask");
-        let probed = |at: &usize| self.endpoints[*at].as_ref().is_some_and(|e| e.probe_pending);
-        let waits = now < r.probes_until && r.probed.iter().any(probed);
+        let r = self.requests[request].as_ref().expect("only open requests wait for probes");
+        let pending = |at: &usize| self.endpoints[*at].as_ref().is_some_and(|e| e.probe_pending);
+        let waits = now < r.probes_until && r.probed.iter().any(pending);
         self.waiting_for_probes.extend(waits.then_some(request));
         waits
     }
@@ -857,7 +886,7 @@
         known.filter(|(_, e)| e.is_ready())
     }
 
-    /// The ready endpoints of the circle, in the order of their indices.
+    /// The ready endpoints of the subset, in the order of their indices.
     fn subset_endpoints(&self) -> Vec<(usize, &Endpoint)> {
         let kept = self.subset.iter().filter_map(|at| Some((*at, self.endpoints[*at].as_ref()?)));
         let mut kept: Vec<_> = kept.filter(|(_, e)| e.is_ready()).collect();
@@ -865,32 +894,34 @@
         kept
     }
 
-    /// Sends that a cold endpoint may get now, and more in a rush; its part in a fall window, to draw by.
-    /// Danger: a burst can spend its budget at once. So can what many idle instances save up, or take for a
-    /// rate as a rush begins; so a draw lasts one window. If all are cold, a rush has no other way.
+    /// Warm-up credit of a cold endpoint: the sends that it may get now, those that it may get beyond in a burst, and
+    /// its gain in a fall window, by which its credit and its weight are set if any endpoint is warm. Danger: one
+    /// burst can spend all of an endpoint's cold capacity. So can the credit that many idle instances have saved up,
+    /// or a rate that they all take for settled as a burst begins; so credit lasts for one window. If all endpoints
+    /// are cold, a burst has nowhere else to go.
     fn credit(&self, now: Moment, e: &Endpoint) -> (f64, f64, Option<f64>) {
         let share = |e: &Endpoint| e.warm_up_share(now, &self.terms);
         let kept = if share(e) < 1.0 { self.subset_endpoints() } else { return (1.0, 0.0, None) };
         let places = kept.iter().map(|(_, e)| share(e) * e.health(now, None)).sum::<f64>().max(1.0);
         if kept.iter().any(|(_, e)| share(e) >= 1.0) {
-            let more = self.sends.risen(now, COLD_BURST_SENDS * places) / places * share(e);
-            return (e.credit.0, more, Some(self.sends.settled() / places * share(e)));
+            let burst = self.sends.risen(now, COLD_BURST_SENDS * places) / places * share(e);
+            return (e.credit.0, burst, Some(self.sends.settled() / places * share(e)));
         }
         let gain = (self.sends.in_window() / places).max(COLD_SENDS_MIN / self.terms.instances) * share(e);
         (accrued(e.credit, now, gain, self.terms.fall_window), 0.0, None)
     }
 
-    /// This instance's part of the bound, at an endpoint of its circle.
+    /// This instance's part of the concurrency limit at an endpoint of its subset.
     fn limit_in_subset(&self) -> f64 {
         let part = if self.terms.may_tell { self.limit / self.terms.instances } else { self.limit };
         part * self.ready_endpoints / (self.subset.len() as f64).max(1.0)
     }
 
-    /// The endpoints of the circle, or all, with their trust against that in the most trusted, so that all
-    /// distrusted is the same as none; how many they count for, and the mean in flight.
+    /// The endpoints of the subset, or all, that the method may use, each with its health relative to the healthiest:
+    /// so if all are unhealthy, none is. Then their number weighted by health, and so weighted the mean in flight.
     fn candidates(&self, now: Moment, method: usize, all: bool) -> (Vec<(usize, &Endpoint, f64)>, f64, f64) {
         let mut used = if all { self.ready().collect() } else { self.subset_endpoints() };
-        // Danger: the mean of all, and trust in all, say nothing of the few that a method is bound to.
+        // Danger: the mean and the health of all endpoints say nothing of the few that a method is bound to.
         used.retain(|(_, e)| self.terms.methods[method].open_to(&e.entry));
         let mut used: Vec<_> = used.into_iter().map(|(at, e)| (at, e, e.health(now, Some(method)))).collect();
         let most = used.iter().map(|(_, _, health)| *health).fold(f64::MIN_POSITIVE, f64::max);
@@ -900,9 +931,10 @@
         (used, count, mean)
     }
 
+    /// Factor on the weight of an endpoint in the instance's own zone, by the price of crossing zones.
     fn zone_weight(&self, e: &Endpoint) -> f64 {
-        let dear = (self.terms.crossing_price - CROSS_ZONE_PRICE_IGNORED).max(0.0);
-        if self.terms.home == Some(e.entry.zone) { 1.0 + OWN_ZONE_WEIGHT_GAIN * dear } else { 1.0 }
+        let price = (self.terms.crossing_price - CROSS_ZONE_PRICE_IGNORED).max(0.0);
+        if self.terms.home == Some(e.entry.zone) { 1.0 + OWN_ZONE_WEIGHT_GAIN * price } else { 1.0 }
     }
 
     fn decay_in_flight_mean(&mut self, now: Moment) {
@@ -910,8 +942,8 @@
         self.in_flight_mean *= (-gap / REPORTED_LOAD_TIME.secs()).exp();
     }
 
-    /// Whether this instance holds its part of what its endpoints may hold. That goes by the mean over a
-    /// while: many instances with few requests each differ by chance, and together stay near the mean.
+    /// Whether this instance uses its part of its endpoints' limits. This goes by the mean in flight over a while:
+    /// many instances with few requests each differ by chance, but together stay near the mean.
     fn over_limit(&mut self, now: Moment, method: usize) -> bool {
         if self.terms.may_tell {
             self.decay_in_flight_mean(now);
@@ -924,70 +956,74 @@
             return at_once;
         }
         let gap = now.since(std::mem::replace(&mut self.in_flight_mean_at, now)).secs();
-        // Danger: one that has far more to send than its part would be slow to see that its bound is in use.
+        // Danger: an instance with far more to send than its part would be slow to see that its limit is in use, so
+        // the smoothing time shrinks with its rate of sends.
         let most = IN_FLIGHT_SMOOTHING_SENDS / self.sends.in_second().max(1e-6);
         let over = (IN_FLIGHT_SMOOTHING_TIME.secs() * self.terms.instances).min(most);
         self.in_flight_mean += gap / (gap + over).max(1e-9) * (mean - self.in_flight_mean);
-        // Danger: many instances that each keep a whole attempt at every endpoint crowd it together, so the
-        // bound holds for the mean, not only for each endpoint. A burst must not pass it by much meanwhile.
+        // Danger: many instances that each have one attempt in flight at every endpoint overload it together, so the
+        // limit applies to the mean, not only to each endpoint. Until the smoothed mean follows, a burst must not
+        // exceed the limit by much.
         self.in_flight_mean >= limit || at_once
     }
 
-    /// The endpoints that may take the request now, with their weights in the draw: those not well above the mean
-    /// in flight, and those above. Once it has asked for loads, those asked, by the latency to expect.
+    /// The endpoints that may take the request now, with their weights in the draw: first those not well above the
+    /// mean in flight, then those above. Once the request has probed endpoints, only these, divided by expected
+    /// latency.
     fn eligible_endpoints(&self, now: Moment, r: &Request) -> (Draw, Draw) {
         let (mut open, mut above) = (Vec::new(), Vec::new());
         let m = &self.terms.methods[r.method];
-        // A repeat may have to go to an endpoint outside the circle, as its group is there.
+        // A retry may have to go outside the subset, to an endpoint in the group that deduplicates it.
         let all = m.effect == Effect::Deduplicated && m.group != Group::All && !r.never_ran();
         let (mut used, _, mean) = self.candidates(now, r.method, all);
         let home = used.iter().map(|(_, e, t)| (t * self.zone_weight(e), t));
         let (home, healths) = home.fold((0.0, 0.0), |sums, (home, t)| (sums.0 + home, sums.1 + t));
-        let (asked, limit) = (!r.probed.is_empty(), self.limit_in_subset());
+        let (probed, limit) = (!r.probed.is_empty(), self.limit_in_subset());
         let left = m.latency_budget.less(now.since(r.arrived)).secs();
-        // Danger: a heavy request on a slow endpoint is done too late, and all of its work for nothing.
+        // Danger: a heavy request at a slow endpoint ends too late, and all of its work is wasted.
         let takes = |e: &Endpoint| if r.size > 1.0 { r.size * self.expected(now, e, r.method) } else { 0.0 };
-        used.retain(|(at, e, _)| (!asked || r.probed.contains(at)) && self.may_attempt(now, r, m, e));
+        used.retain(|(at, e, _)| (!probed || r.probed.contains(at)) && self.may_attempt(now, r, m, e));
         let slope = self.load_slope.get();
-        // Of one that was asked: the latency to expect there, against what its weight promises.
+        // For a probed endpoint: the expected latency relative to that which its weight implies.
         let expects =
             |e: &Endpoint, weight: f64| (1.0 + slope * self.load_deviation(e).unwrap_or(0.0)) / weight;
         let weight = |e: &Endpoint, health: f64| {
             let place = e.warm_up_share(now, &self.terms) * health;
             (place, e.fraction * self.usual.suits(e.entry.kind, r.method) * place)
         };
-        let usual: f64 = used.iter().filter(|_| asked).map(|(_, e, t)| expects(e, weight(e, *t).1)).sum();
+        let usual: f64 = used.iter().filter(|_| probed).map(|(_, e, t)| expects(e, weight(e, *t).1)).sum();
         let usual = usual / (used.len() as f64).max(1.0);
         for (endpoint, e, health) in used {
             let (share, (place, weight)) = (e.warm_up_share(now, &self.terms), weight(e, health));
-            let (credit, more, gain) = self.credit(now, e);
-            let (full, crowded) = if asked {
+            let (credit, burst, gain) = self.credit(now, e);
+            let (full, busy) = if probed {
                 let late =
                     r.size * self.expected(now, e, r.method) > PROBED_LATENCY_MAX * m.latency_budget.secs();
                 (late, expects(e, weight) > PROBED_LATENCY_MARGIN * usual)
             } else {
-                // Danger: in a rush only endpoints that are down stay below the mean, and would get all. So a
-                // retry must fit the place that the endpoint's trust leaves it.
+                // Danger: in a burst only endpoints that are down stay below the mean in flight, and would get all
+                // requests. So each further attempt has to fit into the room that the endpoint's health leaves.
                 let home = (self.zone_weight(e) * healths / home).min(OWN_ZONE_ROOM_MAX);
                 let room = place * home * IN_FLIGHT_FACTOR * mean + health * (1.0 + share * IN_FLIGHT_SLACK);
                 let full = e.in_flight as f64 >= (limit * share).max(1.0);
                 (full && !r.nested, takes(e) > FIT_PREFERRED * left || e.in_flight as f64 + 1.0 > room)
             };
-            if credit + more < 1.0 || full || takes(e) > FIT_MAX * left {
+            if credit + burst < 1.0 || full || takes(e) > FIT_MAX * left {
                 continue;
             }
             let weight = weight * self.zone_weight(e) / gain.unwrap_or(1.0).clamp(COLD_GAIN_MIN, 1.0);
             let tried = if r.attempts.iter().any(|w| w.endpoint == endpoint) { TRIED_WEIGHT } else { 1.0 };
-            if crowded { &mut above } else { &mut open }.push((endpoint, weight * tried));
+            if busy { &mut above } else { &mut open }.push((endpoint, weight * tried));
         }
         (open, above)
     }
 
-    /// Whether an effect could happen twice if the request went to this endpoint now.
+    /// Whether the request may go to this endpoint now without the risk that its effect happens twice.
     fn may_attempt(&self, now: Moment, r: &Request, m: &Method, e: &Endpoint) -> bool {
         let may_have_run = || r.attempts.iter().filter(|w| !w.ended.is_some_and(Outcome::never_ran));
         let Some(first) = may_have_run().next() else { return true };
-        // Danger: outside the group, or past its memory from the first that may have run, it runs twice.
+        // Danger: the request may run twice outside the group that deduplicates it, or once that group's window has
+        // passed since the first attempt that may have run.
         let remembered =
             now.since(first.sent) + self.terms.up_in + self.terms.tick * DEDUP_MARGIN_TICKS < m.window;
         let earlier = |w: &Attempt| self.endpoints[w.endpoint].as_ref().map(|e| &e.entry);
@@ -999,7 +1035,7 @@
         }
     }
 
-    /// Sets the fractions anew, once every solve interval or when the list has changed.
+    /// Computes the traffic fractions, once every solve interval or when the list has changed.
     fn solve(&mut self, now: Moment) {
         let over = self.sends.roll(now, self.terms.fall_window);
         for at in 0..if over || self.solved.is_none() { self.endpoints.len() } else { 0 } {
@@ -1013,7 +1049,8 @@
             return;
         }
         self.solved = Some(now);
-        // Danger: one that stops answering would keep its good latency, so what is out counts with its age.
+        // Danger: an endpoint that stops answering would keep its good latency, so attempts in flight count with
+        // their age.
         let mut ages = vec![0.0_f64; self.endpoints.len()];
         for r in self.requests.iter().flatten() {
             let usual = self.usual.of(r.method).unwrap_or(f64::MAX);
@@ -1040,17 +1077,19 @@
         self.maintain_subset(now);
     }
 
-    /// Sees to it that the circle has its size in trusted endpoints, and exchanges one when it is time.
+    /// Fills the subset up to its size in healthy endpoints, and exchanges one when that is due.
     fn maintain_subset(&mut self, now: Moment) {
         let ready: Vec<usize> = self.ready().map(|(at, _)| at).collect();
-        // Danger: a successor at an address would have its connections taken by those to what was there.
+        // Danger: connections to an endpoint that is gone would use up those that its successor at the same address
+        // allows.
         let left: Vec<usize> = self.subset.extract_if(.., |kept| !ready.contains(kept)).collect();
         left.into_iter().for_each(|at| self.close_idle(at));
-        let in_look = self.sends.in_second() * SOLVE_INTERVAL.secs();
-        let places = SUBSETS_PER_ENDPOINT * ready.len() as f64 / self.terms.instances;
-        let wanted = (in_look / SUBSET_SENDS).max(places).min(self.subset_max).max(SUBSET_MIN);
-        // Danger: a fleet that doubles would leave its new half idle, as those who came first keep to the
-        // old. So each new endpoint joins by the chance that it would have had if it had always been there.
+        let sends = self.sends.in_second() * SOLVE_INTERVAL.secs();
+        let share = SUBSETS_PER_ENDPOINT * ready.len() as f64 / self.terms.instances;
+        let wanted = (sends / SUBSET_SENDS).max(share).min(self.subset_max).max(SUBSET_MIN);
+        // Danger: if the number of endpoints doubled, the new half would stay idle, as the instances keep to their
+        // old subsets. So each new endpoint is added with the chance that it would have had if it had always been
+        // there.
         for at in &ready {
             let chance = self.subset.len() as f64 / ready.len() as f64;
             let new = std::mem::take(&mut self.endpoints[*at].as_mut().expect("ready").new);
@@ -1067,33 +1106,34 @@
         let weights = self.ready().map(|(at, e)| (at, e.health(now, None) * self.zone_weight(e)));
         let mut outside: Draw = weights.filter(|(at, _)| !self.subset.contains(at)).collect();
         let health = |at: &usize| self.endpoints[*at].as_ref().map_or(0.0, |e| e.health(now, None));
-        // Danger: chance may leave a circle without any of the places that a method is bound to.
+        // Danger: chance may leave a subset without any endpoint in the places that a method is bound to.
         let placed = self.terms.methods.iter().filter(|m| m.is_placed()).map(|m| (Some(m), SUBSET_MIN));
         for (method, wanted) in [(None, wanted)].into_iter().chain(placed) {
             let at = |at: &usize| self.endpoints[*at].as_ref();
             let open = |e: &usize| method.is_none_or(|m| at(e).is_some_and(|e| m.open_to(&e.entry)));
-            let mut trusted = self.subset.iter().filter(|at| open(at)).map(health).sum::<f64>();
+            let mut healthy = self.subset.iter().filter(|at| open(at)).map(health).sum::<f64>();
             let mut places: Draw = outside.extract_if(.., |(at, _)| open(at)).collect();
-            while let Some(joins) = self.chance.drawn(&places).filter(|_| trusted < wanted) {
-                self.subset.push(joins);
-                places.retain(|(at, _)| *at != joins);
-                trusted += health(&joins);
+            while let Some(added) = self.chance.drawn(&places).filter(|_| healthy < wanted) {
+                self.subset.push(added);
+                places.retain(|(at, _)| *at != added);
+                healthy += health(&added);
             }
             outside.append(&mut places);
         }
     }
 
-    /// Leaves out the one of the circle that serves worst.
+    /// Removes the endpoint of the subset that serves worst.
     fn drop_worst_of_subset(&mut self, now: Moment) {
         let good = |e: &Endpoint| e.fraction * e.health(now, None);
         let good = |place: &usize| self.endpoints[self.subset[*place]].as_ref().map_or(0.0, good);
         if let Some(worst) = (0..self.subset.len()).min_by(|a, b| good(a).total_cmp(&good(b))) {
-            let leaves = self.subset.swap_remove(worst);
-            self.close_idle(leaves);
+            let removed = self.subset.swap_remove(worst);
+            self.close_idle(removed);
         }
     }
 
-    /// Danger: a connection that stays open outside the circle keeps another instance from the endpoint.
+    /// Closes the idle connections to an endpoint outside the subset. Danger: if they stayed open, they could keep
+    /// another instance from connecting to it.
     fn close_idle(&mut self, endpoint: usize) {
         let outside = !self.subset.contains(&endpoint);
         let Some(e) = self.endpoints[endpoint].as_mut() else { return };
@@ -1109,7 +1149,7 @@
 }
 
 impl Request {
-    /// Up to when an answer is worth something, with room to give the final answer before it is late.
+    /// Until when an answer is of use, less the time to give the final answer before it is late.
     fn useful_until(&self, terms: &Terms) -> Moment {
         let m = &terms.methods[self.method];
         let prompt = m.latency_budget.less(terms.tick * ANSWER_MARGIN_TICKS).less(self.age);
@@ -1118,8 +1158,9 @@
 }
 
 impl Endpoint {
-    /// The list calls it gone, or has lost it. Danger: where only drains bind, that may be untrue of one that
-    /// serves on. It is distrusted like one that is down, until it answers or refuses a connection.
+    /// The list reports the endpoint as gone, or no longer has it. Danger: where only drains are binding, this may be
+    /// wrong and the endpoint still serve. Its outlier score is then set as if it were down, until it answers or
+    /// refuses a connection.
     fn list_as_gone(&mut self, now: Moment, drains_alone: bool) {
         if !drains_alone || self.drained || !self.is_ready() {
             (self.entry.state, self.gone_at) = (EndpointState::Gone, now);
@@ -1129,7 +1170,7 @@
         }
     }
 
-    /// By method, or by that which fares worst.
+    /// Health for a method, or for the method with the worst score: the part of its traffic that the score leaves it.
     fn health(&self, now: Moment, method: Option<usize>) -> f64 {
         let worst = || self.outlier_score.iter().copied().fold(0.0, f64::max);
         let score = method.map_or_else(worst, |method| self.outlier_score[method]);
