--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -20,9 +20,12 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::figures::{Chance, Habit, Rate, Rolling, Slope, Usual, accrued, halved, mean, smoothed};
 use crate::known::{Attempt, Endpoint, Request};
 use crate::news::AttemptReport;
+use crate::stats::{
+    MethodStats, Random, Rate, RollingWindow, Slope, UsualLatencies, half_life_decay, mean, smoothed,
+    token_bucket_level,
+};
 use crate::terms::{Effect, Group, Method, Terms};
 use crate::units::{Moment, Span};
 use crate::{Decision, EndpointState, Entry, GiveUpReason, Outcome, RequestInfo};
@@ -217,7 +220,7 @@
 #[derive(Default)]
 pub struct Balancer {
     terms: Terms,
-    chance: Chance,
+    random: Random,
     requests: Vec<Option<Request>>,
     endpoints: Vec<Option<Endpoint>>,
     /// The endpoints that this instance sends to, as long as repeats need no others.
@@ -230,7 +233,7 @@
     /// Some request has had a key.
     keys_seen: bool,
     /// Requests and accepts since the first failure, of the keys that have failed lately.
-    keys: HashMap<u32, Rolling>,
+    keys: HashMap<u32, RollingWindow>,
     /// How many endpoints are probed for a request.
     probes: usize,
     /// Requests that wait for reports of load.
@@ -240,11 +243,11 @@
     recheck_queue: bool,
     decisions: VecDeque<Decision>,
     /// Requests and accepts: first of all methods without placement, then of each method with one.
-    windows: Vec<Rolling>,
+    windows: Vec<RollingWindow>,
     /// Statistics of the clients' requests, by method.
-    habits: Vec<Habit>,
+    method_stats: Vec<MethodStats>,
     /// Usual latency of served attempts by kind of machine and method, in seconds.
-    usual: Usual,
+    usual_latency: UsualLatencies,
     /// Usual load as reported.
     usual_load: f64,
     /// Slope of latency over reported load.
@@ -283,16 +286,16 @@
 
 impl Balancer {
     pub fn new(now: Moment, terms: Terms, seed: u64) -> Balancer {
-        let mut chance = Chance::new(seed);
+        let mut random = Random::new(seed);
         // Danger: instances that start together would all call the discovery service at once, so the first call is
         // delayed by a random time.
         // Danger: an instance counts as informed of changes made while it was down, even before it has subscribed.
         // A few instances therefore subscribe sooner, as the service can answer all of them quickly. This does harm
         // where the service is slower.
         let most = |within: Span| (within * SUBSCRIBE_DELAY).min(FIRST_SUBSCRIBE_DELAY * terms.instances);
-        let subscribe_at = terms.ask_within.map(|within| now + most(within) * chance.part());
+        let subscribe_at = terms.ask_within.map(|within| now + most(within) * random.unit());
         let mut balancer = Balancer {
-            habits: vec![Habit::default(); terms.methods.len()],
+            method_stats: vec![MethodStats::default(); terms.methods.len()],
             usual_load: 1.0,
             load_slope: Slope::new(SLOPE_INITIAL, SLOPE_INITIAL_VARIANCE),
             limit: limits(&terms).initial,
@@ -300,7 +303,7 @@
             sends: Rate::new(now, terms.fall_window),
             outcomes: Rate::new(now, terms.fall_window),
             terms,
-            chance,
+            random,
             subset_max: f64::MAX,
             exchange_at: now,
             retry_budget: RETRY_BUDGET_MAX,
@@ -320,9 +323,9 @@
     /// learnt there is carried over.
     pub fn update_terms(&mut self, terms: Terms, places: &[(usize, Option<usize>)]) {
         for (to, from) in places {
-            self.habits.resize(terms.methods.len(), Habit::default());
-            self.habits[*to] = Habit::default();
-            self.usual.follow(*to, *from);
+            self.method_stats.resize(terms.methods.len(), MethodStats::default());
+            self.method_stats[*to] = MethodStats::default();
+            self.usual_latency.replace_method(*to, *from);
             self.windows.truncate(1);
             for e in self.endpoints.iter_mut().flatten() {
                 e.outlier_score.resize(terms.methods.len(), 0.0);
@@ -340,15 +343,16 @@
         // work, it would wait for room that its callers hold. This does harm where clients leave out keys at will.
         self.keys_seen |= key.is_some();
         let nested = self.keys_seen && key.is_none();
-        let size = work
-            .map_or(1.0, |work| self.habits[method].size(work, USUAL_SMOOTHING).clamp(SIZE_MIN, SIZE_MAX));
+        let size = work.map_or(1.0, |work| {
+            self.method_stats[method].relative_size(work, USUAL_SMOOTHING).clamp(SIZE_MIN, SIZE_MAX)
+        });
         self.requests.resize_with(self.requests.len().max(request + 1), || None);
         // Danger: a client that retries late would take up room for an answer that is worth nothing any more. The
         // usual time left of a method's tries is found by a vote; a try with less is limited by its client's whole
         // deadline, which gives the request's age. Where the time left is uncertain, a short one tells nothing, and a
         // deadline that seems past may not be.
         let doubt = self.terms.left_doubt;
-        let shortened = doubt == Span::ZERO && self.habits[method].tries.shorter(left);
+        let shortened = doubt == Span::ZERO && self.method_stats[method].time_left.is_shorter(left);
         let age = if shortened { self.terms.methods[method].deadline.less(left) } else { Span::ZERO };
         self.requests[request] = Some(Request {
             method,
@@ -411,8 +415,9 @@
             let out = r.attempts.last_mut().filter(|w| w.ended.is_none() && !r.streaming);
             let Some(w) = out else { continue };
             let Some(e) = self.endpoints[w.endpoint].as_mut() else { continue };
-            let usual =
-                self.usual.of(r.method).unwrap_or(f64::MAX) * r.size * e.latency.unwrap_or(1.0).max(1.0);
+            let usual = self.usual_latency.mean_of(r.method).unwrap_or(f64::MAX)
+                * r.size
+                * e.latency.unwrap_or(1.0).max(1.0);
             let age = now.since(w.sent);
             if !w.client_reading && !e.client_reading && age.secs() > READING_AGE_FACTOR * usual {
                 (w.client_reading, e.client_reading) = (true, true);
@@ -436,9 +441,9 @@
         let Some(Some(e)) = self.endpoints.get_mut(endpoint) else { return };
         self.outcomes.count(now);
         let (kind, served) = (e.entry.kind, outcome == Outcome::Success);
-        let usual = self.usual.at(kind, method);
+        let usual = self.usual_latency.get(kind, method);
         if let (Some(x), Some(usual)) = (load, usual.filter(|_| served || outcome == Outcome::Timeout)) {
-            self.load_slope.heard(x, (secs / usual - 1.0).min(SLOPE_LATENCY_MAX));
+            self.load_slope.add(x, (secs / usual - 1.0).min(SLOPE_LATENCY_MAX));
         }
         e.connected |= own && outcome != Outcome::ConnectFailure;
         if own && e.gone_unconfirmed && outcome == Outcome::ConnectFailure {
@@ -453,11 +458,11 @@
             e.early_failure_until = now + EARLY_FAILURE_WINDOW;
         }
         let down = matches!(outcome, Outcome::ConnectFailure | Outcome::Reset);
-        let decay = halved(e.outlier_score_at, now, OUTLIER_HALF_LIFE);
+        let decay = half_life_decay(e.outlier_score_at, now, OUTLIER_HALF_LIFE);
         (e.outlier_score_at, e.outlier_score) =
             (now, e.outlier_score.iter().map(|score| score * decay).collect());
         let penalty = if served {
-            let usual = self.usual.heard(kind, method, secs, LATENCY_SMOOTHING);
+            let usual = self.usual_latency.update(kind, method, secs, LATENCY_SMOOTHING);
             e.outlier_score[method] *= OUTLIER_KEPT;
             let gap = now.since(std::mem::replace(&mut e.latency_at, now)).secs();
             let part = (gap / (gap + LATENCY_SMOOTHING_TIME.secs())).max(LATENCY_SMOOTHING);
@@ -489,7 +494,7 @@
         }
         // Danger: an endpoint that answers from a long queue is late but never fails, and the window would not show
         // the overload; so only answers within the latency budget count as accepts.
-        self.window(now, method).book(now, 1.0, f64::from(u8::from(served && part <= 1.0)));
+        self.window(now, method).count(now, 1.0, f64::from(u8::from(served && part <= 1.0)));
         // Danger: endpoints with too much in flight turn slower and stay slow, so the limit has to prevent this
         // early.
         let LimitParameters { target, min, .. } = limits(&self.terms);
@@ -599,7 +604,7 @@
             // A new process: the latency and outlier scores of the old one do not apply to it. Danger: if many
             // instances each sent at once they would overload it, however little each sends; so the first credit is
             // random.
-            (e.latency, e.new, e.credit) = (None, true, (self.chance.part(), now));
+            (e.latency, e.new, e.credit) = (None, true, (self.random.unit(), now));
             e.outlier_score.fill(0.0);
         }
         e.drained = entry.state == EndpointState::Draining || e.drained && entry.started == e.entry.started;
@@ -627,7 +632,7 @@
     pub fn list_failed(&mut self, now: Moment) {
         self.subscribing = false;
         // Danger: a discovery service that is down or overloaded stays so if all instances retry at once.
-        let wait = SUBSCRIBE_DELAY * (0.5 + self.chance.part());
+        let wait = SUBSCRIBE_DELAY * (0.5 + self.random.unit());
         self.subscribe_later(self.terms.ask_within.map(|within| now + within * wait));
     }
 
@@ -646,7 +651,7 @@
             let message = std::mem::take(&mut self.report);
             let instances = self.terms.instances as usize;
             for _ in 0..REPORT_PEERS.min(instances - 1) {
-                let peer = (self.terms.me + 1 + self.chance.below(instances - 1)) % instances;
+                let peer = (self.terms.me + 1 + self.random.below(instances - 1)) % instances;
                 self.decisions.push_back(Decision::TellPeer { peer, message: message.clone() });
             }
         }
@@ -690,7 +695,7 @@
             self.retry_budget = (self.retry_budget + RETRY_BUDGET_RATIO).min(RETRY_BUDGET_MAX);
             let drop = self.window(now, method).drop_chance(now, K, PROTECTION);
             let by_key = self.key_drop_chance(now, key);
-            if self.chance.part() < drop || by_key > 0.0 && self.chance.part() < by_key {
+            if self.random.unit() < drop || by_key > 0.0 && self.random.unit() < by_key {
                 return self.give_up(request, GiveUpReason::Throttled);
             }
         }
@@ -711,7 +716,7 @@
         // If all are well above the mean in flight, the draw is among these, still by their weights.
         let r = self.requests[request].as_ref().expect("looked up above");
         let (open, above) = self.eligible_endpoints(now, r);
-        match self.chance.drawn(&open).or_else(|| self.chance.drawn(&above)) {
+        match self.random.weighted(&open).or_else(|| self.random.weighted(&above)) {
             Some(endpoint) => self.send(now, request, endpoint, retry),
             None => self.enqueue(now, request),
         }
@@ -745,7 +750,10 @@
         let (m, last) = (&self.terms.methods[r.method], r.attempts.len() == r.max_attempts);
         let mut open = self.ready().filter(|(_, e)| m.open_to(&e.entry));
         let others = self.ready_endpoints > 1.0 && open.all(|(_, e)| self.may_attempt(now, r, m, e));
-        let usual = self.usual.of(r.method).filter(|_| !last && self.retry_budget >= RETRY_BUDGET_MAX / 2.0);
+        let usual = self
+            .usual_latency
+            .mean_of(r.method)
+            .filter(|_| !last && self.retry_budget >= RETRY_BUDGET_MAX / 2.0);
         let parts =
             usual.map(|usual| ATTEMPT_TIMEOUT_FACTOR * usual * r.size / m.latency_budget.secs().max(1e-6));
         let parts = parts.filter(|parts| others && *parts < ATTEMPT_TIMEOUT_MAX).unwrap_or(f64::MAX);
@@ -768,19 +776,22 @@
         if let (Some(key), Some(accepted)) = (key, accepted)
             && (!accepted || self.keys.contains_key(&key))
         {
-            let window =
-                self.keys.entry(key).or_insert_with(|| Rolling::new(now, WINDOW_BUCKET, WINDOW_BUCKETS));
-            window.book(now, 1.0, f64::from(u8::from(accepted)));
+            let window = self
+                .keys
+                .entry(key)
+                .or_insert_with(|| RollingWindow::new(now, WINDOW_BUCKET, WINDOW_BUCKETS));
+            window.count(now, 1.0, f64::from(u8::from(accepted)));
         }
         self.key_drop_chance(now, key) > 0.0
     }
 
     /// The window that a method counts in. Danger: if the few places that a method is bound to were down, its
     /// failures in a common window would have the other methods rejected too; so a method with placement has its own.
-    fn window(&mut self, now: Moment, method: usize) -> &mut Rolling {
+    fn window(&mut self, now: Moment, method: usize) -> &mut RollingWindow {
         let at = if self.terms.methods[method].is_placed() { method + 1 } else { 0 };
-        self.windows
-            .resize_with(self.windows.len().max(at + 1), || Rolling::new(now, WINDOW_BUCKET, WINDOW_BUCKETS));
+        self.windows.resize_with(self.windows.len().max(at + 1), || {
+            RollingWindow::new(now, WINDOW_BUCKET, WINDOW_BUCKETS)
+        });
         &mut self.windows[at]
     }
 
@@ -799,8 +810,9 @@
         self.decisions
             .extend(self.queue.is_empty().then_some(Decision::Wake { at: now + QUEUE_POLL_INTERVAL }));
         // The worth of room at an endpoint: criticality by the time that the method usually takes.
-        let method_worth =
-            |m: usize| self.terms.methods[m].criticality / self.usual.of(m).unwrap_or(1.0).max(1e-3);
+        let method_worth = |m: usize| {
+            self.terms.methods[m].criticality / self.usual_latency.mean_of(m).unwrap_or(1.0).max(1e-3)
+        };
         let of = |r: &Request| if r.nested { f64::MAX } else { method_worth(r.method) };
         let worth = |request: &usize| self.requests[*request].as_ref().map_or(0.0, of);
         let place = self.queue.partition_point(|queued| worth(queued) >= worth(&request));
@@ -814,8 +826,12 @@
 
     /// Expected latency of a request of usual size at the endpoint, in seconds.
     fn expected(&self, now: Moment, e: &Endpoint, method: usize) -> f64 {
-        let usual = self.usual.at(e.entry.kind, method).or(self.usual.of(method)).unwrap_or(0.0);
-        let latency = e.latency.unwrap_or(1.0).powf(halved(e.latency_at, now, OUTLIER_HALF_LIFE));
+        let usual = self
+            .usual_latency
+            .get(e.entry.kind, method)
+            .or(self.usual_latency.mean_of(method))
+            .unwrap_or(0.0);
+        let latency = e.latency.unwrap_or(1.0).powf(half_life_decay(e.latency_at, now, OUTLIER_HALF_LIFE));
         usual * (1.0 + self.load_slope.get() * self.load_deviation(e).unwrap_or(0.0)) * latency
     }
 
@@ -832,7 +848,7 @@
         r.closed = true;
         // Danger: a rejection invites a repeat, so a request that may have run is rejected only if repeats are safe.
         let safe = m.effect == Effect::Retryable || m.effect == Effect::Deduplicated && m.group == Group::All;
-        let wait = m.latency_budget * (RETRY_AFTER * (1.0 + self.chance.part()));
+        let wait = m.latency_budget * (RETRY_AFTER * (1.0 + self.random.unit()));
         let retry_after = self.terms.max_retry_after.map(|most| wait.min(most));
         let (reject, fail) =
             (Decision::Reject { request, retry_after, reason }, Decision::Fail { request, reason });
@@ -861,7 +877,7 @@
             let (mut open, above) = self.eligible_endpoints(now, r);
             open.extend(above);
             let mut probed = Vec::new();
-            while let Some(at) = self.chance.drawn(&open).filter(|_| probed.len() < self.probes) {
+            while let Some(at) = self.random.weighted(&open).filter(|_| probed.len() < self.probes) {
                 open.retain(|(other, _)| *other != at);
                 probed.push(at);
                 let e = self.endpoints[at].as_mut().expect("drawn");
@@ -904,11 +920,11 @@
         let kept = if share(e) < 1.0 { self.subset_endpoints() } else { return (1.0, 0.0, None) };
         let places = kept.iter().map(|(_, e)| share(e) * e.health(now, None)).sum::<f64>().max(1.0);
         if kept.iter().any(|(_, e)| share(e) >= 1.0) {
-            let burst = self.sends.risen(now, COLD_BURST_SENDS * places) / places * share(e);
+            let burst = self.sends.excess(now, COLD_BURST_SENDS * places) / places * share(e);
             return (e.credit.0, burst, Some(self.sends.settled() / places * share(e)));
         }
         let gain = (self.sends.in_window() / places).max(COLD_SENDS_MIN / self.terms.instances) * share(e);
-        (accrued(e.credit, now, gain, self.terms.fall_window), 0.0, None)
+        (token_bucket_level(e.credit, now, gain, self.terms.fall_window), 0.0, None)
     }
 
     /// This instance's part of the concurrency limit at an endpoint of its subset.
@@ -989,7 +1005,7 @@
             |e: &Endpoint, weight: f64| (1.0 + slope * self.load_deviation(e).unwrap_or(0.0)) / weight;
         let weight = |e: &Endpoint, health: f64| {
             let place = e.warm_up_share(now, &self.terms) * health;
-            (place, e.fraction * self.usual.suits(e.entry.kind, r.method) * place)
+            (place, e.fraction * self.usual_latency.relative_speed(e.entry.kind, r.method) * place)
         };
         let usual: f64 = used.iter().filter(|_| probed).map(|(_, e, t)| expects(e, weight(e, *t).1)).sum();
         let usual = usual / (used.len() as f64).max(1.0);
@@ -1041,7 +1057,7 @@
         for at in 0..if over || self.solved.is_none() { self.endpoints.len() } else { 0 } {
             let anew = self.endpoints[at].as_ref().filter(|e| over || e.new);
             let Some(gain) = anew.and_then(|e| self.credit(now, e).2) else { continue };
-            let drawn = (COLD_CREDIT_FACTOR * gain + self.chance.part(), now);
+            let drawn = (COLD_CREDIT_FACTOR * gain + self.random.unit(), now);
             self.endpoints[at].iter_mut().for_each(|e| e.credit = drawn);
         }
         self.outcomes.roll(now, self.terms.fall_window);
@@ -1053,7 +1069,7 @@
         // their age.
         let mut ages = vec![0.0_f64; self.endpoints.len()];
         for r in self.requests.iter().flatten() {
-            let usual = self.usual.of(r.method).unwrap_or(f64::MAX);
+            let usual = self.usual_latency.mean_of(r.method).unwrap_or(f64::MAX);
             for w in r.attempts.iter().filter(|w| w.ended.is_none() && !w.client_reading) {
                 ages[w.endpoint] = ages[w.endpoint].max(now.since(w.sent).secs() / (usual * r.size));
             }
@@ -1093,13 +1109,13 @@
         for at in &ready {
             let chance = self.subset.len() as f64 / ready.len() as f64;
             let new = std::mem::take(&mut self.endpoints[*at].as_mut().expect("ready").new);
-            if new && !self.subset.contains(at) && self.chance.part() < chance {
+            if new && !self.subset.contains(at) && self.random.unit() < chance {
                 self.drop_worst_of_subset(now);
                 self.subset.push(*at);
             }
         }
         if wanted < ready.len() as f64 && now >= self.exchange_at {
-            self.exchange_at = now + SUBSET_EXCHANGE_INTERVAL * (1.0 + self.chance.part());
+            self.exchange_at = now + SUBSET_EXCHANGE_INTERVAL * (1.0 + self.random.unit());
             self.subset_max += 1.0;
             self.drop_worst_of_subset(now);
         }
@@ -1113,7 +1129,7 @@
             let open = |e: &usize| method.is_none_or(|m| at(e).is_some_and(|e| m.open_to(&e.entry)));
             let mut healthy = self.subset.iter().filter(|at| open(at)).map(health).sum::<f64>();
             let mut places: Draw = outside.extract_if(.., |(at, _)| open(at)).collect();
-            while let Some(added) = self.chance.drawn(&places).filter(|_| healthy < wanted) {
+            while let Some(added) = self.random.weighted(&places).filter(|_| healthy < wanted) {
                 self.subset.push(added);
                 places.retain(|(at, _)| *at != added);
                 healthy += health(&added);
@@ -1174,7 +1190,7 @@
     fn health(&self, now: Moment, method: Option<usize>) -> f64 {
         let worst = || self.outlier_score.iter().copied().fold(0.0, f64::max);
         let score = method.map_or_else(worst, |method| self.outlier_score[method]);
-        0.5_f64.powf(score * halved(self.outlier_score_at, now, OUTLIER_HALF_LIFE))
+        0.5_f64.powf(score * half_life_decay(self.outlier_score_at, now, OUTLIER_HALF_LIFE))
     }
 
     fn warm_up_share(&self, now: Moment, terms: &Terms) -> f64 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,10 +4,10 @@
 //! there is none. This file defines that interface; `balancer` holds every decision.
 
 pub mod balancer;
-pub mod figures;
 pub mod ids;
 mod known;
 pub mod news;
+pub mod stats;
 pub mod terms;
 pub mod units;
 
