--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -164,7 +164,7 @@
 const ANSWER_MARGIN_TICKS: f64 = 2.0;
 /// Margin before a group's deduplication window ends: once connected, a repeat has yet to arrive.
 const DEDUP_MARGIN_TICKS: f64 = 4.0;
-/// Sends by all instances to a started endpoint in a fall window, if no endpoint is warm.
+/// Sends by all instances to a started endpoint in an overload window, if no endpoint is warm.
 const COLD_SENDS_MIN: f64 = 4.0;
 /// Factor on the gain of warm-up credit, as some of the credit goes unused.
 const COLD_CREDIT_FACTOR: f64 = 1.5;
@@ -252,9 +252,9 @@
     usual_load: f64,
     /// Slope of latency over reported load.
     load_slope: Slope,
-    /// Sends, in fall windows.
+    /// Sends, counted in overload windows.
     sends: Rate,
-    /// Outcomes here and at the peers that reported them, in fall windows.
+    /// Outcomes here and at the peers that reported them, in overload windows.
     outcomes: Rate,
     /// The report for peers that has yet to be sent, and when to send it.
     report: Vec<u8>,
@@ -300,8 +300,8 @@
             load_slope: Slope::new(SLOPE_INITIAL, SLOPE_INITIAL_VARIANCE),
             limit: limits(&terms).initial,
             probes: probes_per_request(&terms),
-            sends: Rate::new(now, terms.fall_window),
-            outcomes: Rate::new(now, terms.fall_window),
+            sends: Rate::new(now, terms.overload_window),
+            outcomes: Rate::new(now, terms.overload_window),
             terms,
             random,
             subset_max: f64::MAX,
@@ -351,7 +351,7 @@
         // usual time left of a method's tries is found by a vote; a try with less is limited by its client's whole
         // deadline, which gives the request's age. Where the time left is uncertain, a short one tells nothing, and a
         // deadline that seems past may not be.
-        let doubt = self.terms.left_doubt;
+        let doubt = self.terms.time_left_error;
         let shortened = doubt == Span::ZERO && self.method_stats[method].time_left.is_shorter(left);
         let age = if shortened { self.terms.methods[method].deadline.less(left) } else { Span::ZERO };
         self.requests[request] = Some(Request {
@@ -610,7 +610,7 @@
         e.drained = entry.state == EndpointState::Draining || e.drained && entry.started == e.entry.started;
         (e.listed, e.gone_at) = (true, now);
         if entry.state == EndpointState::Gone {
-            e.list_as_gone(now, self.terms.drains_alone);
+            e.list_as_gone(now, self.terms.only_drains_bind);
         } else {
             (e.entry, e.gone_unconfirmed) = (entry, false);
         }
@@ -623,7 +623,7 @@
         self.subscribe_at = self.subscribe_at.filter(|_| !answered);
         let missing = |e: &&mut Endpoint| !e.listed && e.entry.state != EndpointState::Gone;
         let missing = self.endpoints.iter_mut().flatten().filter(missing);
-        missing.for_each(|e| e.list_as_gone(now, self.terms.drains_alone));
+        missing.for_each(|e| e.list_as_gone(now, self.terms.only_drains_bind));
         self.ready_endpoints = self.ready().count() as f64;
         self.solved = None;
         self.recheck_queue = true;
@@ -651,7 +651,7 @@
             let message = std::mem::take(&mut self.report);
             let instances = self.terms.instances as usize;
             for _ in 0..REPORT_PEERS.min(instances - 1) {
-                let peer = (self.terms.me + 1 + self.random.below(instances - 1)) % instances;
+                let peer = (self.terms.instance_index + 1 + self.random.below(instances - 1)) % instances;
                 self.decisions.push_back(Decision::TellPeer { peer, message: message.clone() });
             }
         }
@@ -748,7 +748,7 @@
     fn attempt_deadline(&self, now: Moment, request: usize) -> Moment {
         let r = self.requests[request].as_ref().expect("only open requests are sent");
         let (m, last) = (&self.terms.methods[r.method], r.attempts.len() == r.max_attempts);
-        let mut open = self.ready().filter(|(_, e)| m.open_to(&e.entry));
+        let mut open = self.ready().filter(|(_, e)| m.allows(&e.entry));
         let others = self.ready_endpoints > 1.0 && open.all(|(_, e)| self.may_attempt(now, r, m, e));
         let usual = self
             .usual_latency
@@ -788,7 +788,7 @@
     /// The window that a method counts in. Danger: if the few places that a method is bound to were down, its
     /// failures in a common window would have the other methods rejected too; so a method with placement has its own.
     fn window(&mut self, now: Moment, method: usize) -> &mut RollingWindow {
-        let at = if self.terms.methods[method].is_placed() { method + 1 } else { 0 };
+        let at = if self.terms.methods[method].has_placement() { method + 1 } else { 0 };
         self.windows.resize_with(self.windows.len().max(at + 1), || {
             RollingWindow::new(now, WINDOW_BUCKET, WINDOW_BUCKETS)
         });
@@ -803,7 +803,7 @@
         let m = &self.terms.methods[r.method];
         let (wait, arrived, deadline) = (m.latency_budget * QUEUE_WAIT, r.arrived, r.deadline);
         // If all places that a method is bound to are down, a short wait does not bring them back.
-        let all_down = m.is_placed() && !self.ready().any(|(_, e)| m.open_to(&e.entry));
+        let all_down = m.has_placement() && !self.ready().any(|(_, e)| m.allows(&e.entry));
         if all_down || now + QUEUE_POLL_INTERVAL >= (arrived + wait).min(deadline) {
             return self.give_up(request, GiveUpReason::NoEndpoint);
         }
@@ -911,10 +911,10 @@
     }
 
     /// Warm-up credit of a cold endpoint: the sends that it may get now, those that it may get beyond in a burst, and
-    /// its gain in a fall window, by which its credit and its weight are set if any endpoint is warm. Danger: one
-    /// burst can spend all of an endpoint's cold capacity. So can the credit that many idle instances have saved up,
-    /// or a rate that they all take for settled as a burst begins; so credit lasts for one window. If all endpoints
-    /// are cold, a burst has nowhere else to go.
+    /// its gain in an overload window, by which its credit and its weight are set if any endpoint is warm. Danger:
+    /// one burst can spend all of an endpoint's cold capacity. So can the credit that many idle instances have saved
+    /// up, or a rate that they all take for settled as a burst begins; so credit lasts for one window. If all
+    /// endpoints are cold, a burst has nowhere else to go.
     fn credit(&self, now: Moment, e: &Endpoint) -> (f64, f64, Option<f64>) {
         let share = |e: &Endpoint| e.warm_up_share(now, &self.terms);
         let kept = if share(e) < 1.0 { self.subset_endpoints() } else { return (1.0, 0.0, None) };
@@ -924,7 +924,7 @@
             return (e.credit.0, burst, Some(self.sends.settled() / places * share(e)));
         }
         let gain = (self.sends.in_window() / places).max(COLD_SENDS_MIN / self.terms.instances) * share(e);
-        (token_bucket_level(e.credit, now, gain, self.terms.fall_window), 0.0, None)
+        (token_bucket_level(e.credit, now, gain, self.terms.overload_window), 0.0, None)
     }
 
     /// This instance's part of the concurrency limit at an endpoint of its subset.
@@ -938,7 +938,7 @@
     fn candidates(&self, now: Moment, method: usize, all: bool) -> (Vec<(usize, &Endpoint, f64)>, f64, f64) {
         let mut used = if all { self.ready().collect() } else { self.subset_endpoints() };
         // Danger: the mean and the health of all endpoints say nothing of the few that a method is bound to.
-        used.retain(|(_, e)| self.terms.methods[method].open_to(&e.entry));
+        used.retain(|(_, e)| self.terms.methods[method].allows(&e.entry));
         let mut used: Vec<_> = used.into_iter().map(|(at, e)| (at, e, e.health(now, Some(method)))).collect();
         let most = used.iter().map(|(_, _, health)| *health).fold(f64::MIN_POSITIVE, f64::max);
         used.iter_mut().for_each(|(_, _, health)| *health /= most);
@@ -949,8 +949,8 @@
 
     /// Factor on the weight of an endpoint in the instance's own zone, by the price of crossing zones.
     fn zone_weight(&self, e: &Endpoint) -> f64 {
-        let price = (self.terms.crossing_price - CROSS_ZONE_PRICE_IGNORED).max(0.0);
-        if self.terms.home == Some(e.entry.zone) { 1.0 + OWN_ZONE_WEIGHT_GAIN * price } else { 1.0 }
+        let price = (self.terms.cross_zone_price - CROSS_ZONE_PRICE_IGNORED).max(0.0);
+        if self.terms.own_zone == Some(e.entry.zone) { 1.0 + OWN_ZONE_WEIGHT_GAIN * price } else { 1.0 }
     }
 
     fn decay_in_flight_mean(&mut self, now: Moment) {
@@ -968,7 +968,7 @@
         let (_, count, mean) = self.candidates(now, method, false);
         let limit = self.limit_in_subset();
         let at_once = mean >= limit + (limit / count).sqrt();
-        if self.terms.methods[method].is_placed() {
+        if self.terms.methods[method].has_placement() {
             return at_once;
         }
         let gap = now.since(std::mem::replace(&mut self.in_flight_mean_at, now)).secs();
@@ -1041,7 +1041,8 @@
         // Danger: the request may run twice outside the group that deduplicates it, or once that group's window has
         // passed since the first attempt that may have run.
         let remembered =
-            now.since(first.sent) + self.terms.up_in + self.terms.tick * DEDUP_MARGIN_TICKS < m.window;
+            now.since(first.sent) + self.terms.connect_timeout + self.terms.tick * DEDUP_MARGIN_TICKS
+                < m.window;
         let earlier = |w: &Attempt| self.endpoints[w.endpoint].as_ref().map(|e| &e.entry);
         let alike = |w: &Attempt| earlier(w).is_some_and(|earlier| m.group.same_group(earlier, &e.entry));
         match m.effect {
@@ -1053,14 +1054,14 @@
 
     /// Computes the traffic fractions, once every solve interval or when the list has changed.
     fn solve(&mut self, now: Moment) {
-        let over = self.sends.roll(now, self.terms.fall_window);
+        let over = self.sends.roll(now, self.terms.overload_window);
         for at in 0..if over || self.solved.is_none() { self.endpoints.len() } else { 0 } {
             let anew = self.endpoints[at].as_ref().filter(|e| over || e.new);
             let Some(gain) = anew.and_then(|e| self.credit(now, e).2) else { continue };
             let drawn = (COLD_CREDIT_FACTOR * gain + self.random.unit(), now);
             self.endpoints[at].iter_mut().for_each(|e| e.credit = drawn);
         }
-        self.outcomes.roll(now, self.terms.fall_window);
+        self.outcomes.roll(now, self.terms.overload_window);
         if self.solved.is_some_and(|at| now.since(at) < SOLVE_INTERVAL) {
             return;
         }
@@ -1123,10 +1124,10 @@
         let mut outside: Draw = weights.filter(|(at, _)| !self.subset.contains(at)).collect();
         let health = |at: &usize| self.endpoints[*at].as_ref().map_or(0.0, |e| e.health(now, None));
         // Danger: chance may leave a subset without any endpoint in the places that a method is bound to.
-        let placed = self.terms.methods.iter().filter(|m| m.is_placed()).map(|m| (Some(m), SUBSET_MIN));
+        let placed = self.terms.methods.iter().filter(|m| m.has_placement()).map(|m| (Some(m), SUBSET_MIN));
         for (method, wanted) in [(None, wanted)].into_iter().chain(placed) {
             let at = |at: &usize| self.endpoints[*at].as_ref();
-            let open = |e: &usize| method.is_none_or(|m| at(e).is_some_and(|e| m.open_to(&e.entry)));
+            let open = |e: &usize| method.is_none_or(|m| at(e).is_some_and(|e| m.allows(&e.entry)));
             let mut healthy = self.subset.iter().filter(|at| open(at)).map(health).sum::<f64>();
             let mut places: Draw = outside.extract_if(.., |(at, _)| open(at)).collect();
             while let Some(added) = self.random.weighted(&places).filter(|_| healthy < wanted) {
@@ -1177,8 +1178,8 @@
     /// The list reports the endpoint as gone, or no longer has it. Danger: where only drains are binding, this may be
     /// wrong and the endpoint still serve. Its outlier score is then set as if it were down, until it answers or
     /// refuses a connection.
-    fn list_as_gone(&mut self, now: Moment, drains_alone: bool) {
-        if !drains_alone || self.drained || !self.is_ready() {
+    fn list_as_gone(&mut self, now: Moment, only_drains_bind: bool) {
+        if !only_drains_bind || self.drained || !self.is_ready() {
             (self.entry.state, self.gone_at) = (EndpointState::Gone, now);
         } else if !std::mem::replace(&mut self.gone_unconfirmed, true) {
             self.outlier_score_at = now;
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,21 +1,21 @@
-//! Names to small indices, at the door: inside, requests and endpoints are numbers that are used again.
+//! Maps names to small indices: inside, requests and endpoints are indices that are reused.
 
 use std::collections::HashMap;
 
-/// What instances call an endpoint among themselves: a short hash of its name (FNV-1a).
+/// Short hash of a name (FNV-1a), by which instances refer to an endpoint among themselves.
 pub fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-/// The names of zones and kinds of machine, as settings and lists call them: a host has one of these, so that an index
-/// means the same in its terms and in its entries.
+/// The names of zones and kinds of machine in settings and lists. A host has one of these, so that an index means the
+/// same in its terms and in its list entries.
 #[derive(Default)]
 pub struct Places {
     pub zones: Names,
     pub kinds: Names,
 }
 
-/// Hands out the lowest-cost free index for a name and takes it back when the name is done with.
+/// Assigns an index to each name, and reuses it once the name is released.
 ///
 /// ```
 /// let mut names = appledyke::ids::Names::default();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of a load balancer for services that call services.
+//! The decisions of a load balancer for services that call services.
 //!
-//! A host feeds an instance ([`balancer::Balancer`]) what it hears and then pulls [`Decision`]s one by one until
-//! there is none. This file defines that interface; `balancer` holds every decision.
+//! A host reports events to an instance ([`balancer::Balancer`]) and then takes [`Decision`]s one by one until there
+//! is none. This file defines that interface; all decisions are made in `balancer`.
 
 pub mod balancer;
 pub mod ids;
@@ -18,7 +18,7 @@
 pub enum Outcome {
     Success,
     Error,
-    /// The endpoint found fault with the request itself, as any other would: it says nothing of the endpoint.
+    /// The endpoint rejected the request as faulty, as any other would: this says nothing of the endpoint.
     ClientError,
     Overloaded,
     Timeout,
@@ -42,7 +42,7 @@
         Outcome::NeverSent,
     ];
 
-    /// The field's name for it, for logs and metrics.
+    /// The name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Success => "success",
@@ -72,12 +72,11 @@
     Gone,
 }
 
-/// What the list says of an endpoint: indices of the host's own, but for `name_hash`, which is the same at every
-/// instance.
+/// An endpoint as discovery lists it. The indices are the host's own; `name_hash` is the same at every instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Entry {
     pub state: EndpointState,
-    /// When its process started; none if long ago.
+    /// When its process started; none if that is long ago.
     pub started: Option<Moment>,
     pub zone: usize,
     pub cell: u64,
@@ -85,32 +84,32 @@
     pub name_hash: u32,
 }
 
-/// What a request comes with.
+/// What is known of a request on arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestInfo {
     pub method: usize,
-    /// Until its client gives this try up.
+    /// Time until its client gives up this try.
     pub left: Span,
-    /// Its expected work on a usual core, where that is hinted.
+    /// Its expected work on a usual core, if the client sends a hint of it.
     pub work: Option<Span>,
-    /// What it is about: requests with one key belong together. A short hash of it, as [`ids::name_hash`] makes.
+    /// Hash of its key, by [`ids::name_hash`]: requests with the same key concern the same thing.
     pub key: Option<u32>,
 }
 
-/// Why a request is given up here.
+/// Why this instance gives up a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// The window of requests and accepts, of all or of one key, let it not through.
+    /// It was dropped by the drop chance from the window of requests and accepts, of all or of its key.
     Throttled,
-    /// Its time was over, or would have been.
+    /// Its deadline or latency budget has passed, or the answer would have come too late.
     TimeOver,
-    /// An attempt failed, and no further one is allowed.
+    /// An attempt failed, and no retry is allowed.
     NoRetry,
-    /// No endpoint that may be sent to had room within the short wait.
+    /// No endpoint that may take it had room within the longest wait in the queue.
     NoEndpoint,
-    /// Too many others waited for room that are worth more.
+    /// The queue was full of requests that are worth more.
     QueueFull,
-    /// All places for answers that clients read were taken.
+    /// Too many reply slots were taken by answers that clients read slowly.
     RepliesFull,
 }
 
@@ -138,29 +137,29 @@
     }
 }
 
-/// What the host is to do next. Indices are the host's own, as it passed them in.
+/// What the host has to do next. Indices are the host's own, as it passed them in.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Start the request's next attempt; its number follows from the order of sends. Abandon it at `give_up`.
+    /// Start the request's next attempt, which is numbered by the order of sends. It times out at `give_up`.
     Send { request: usize, endpoint: usize, give_up: Moment },
-    /// Final answer: rejected. The client may come back after the span.
+    /// Final answer: a rejection. The client may retry after `retry_after`.
     Reject { request: usize, retry_after: Option<Span>, reason: GiveUpReason },
-    /// Final answer: failed.
+    /// Final answer: a failure.
     Fail { request: usize, reason: GiveUpReason },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel { request: usize, attempt: usize },
-    /// RequestInfo the endpoint for its load; `probed` is to be called with what comes of it.
+    /// Probe the endpoint for its load, and call `probe_result` with the result.
     Probe { endpoint: usize },
-    /// Send these bytes to another instance of the tier, which is to hear them as `told`.
+    /// Send these bytes to another instance of the tier, which has to pass them to `apply_reports`.
     TellPeer { peer: usize, message: Vec<u8> },
     /// Close this instance's idle connections to the endpoint.
     CloseIdle { endpoint: usize },
-    /// Nothing more will be said of this request: its index may be used again.
+    /// No further decision concerns this request: its index may be used again.
     ForgetRequest { request: usize },
-    /// The endpoint is gone and nothing is out to it: its index may be used again.
+    /// The endpoint is gone and has no attempts in flight: its index may be used again.
     ForgetEndpoint { endpoint: usize },
     /// Call `wake` at this moment.
     Wake { at: Moment },
-    /// RequestInfo the list for all changes from now on.
+    /// Subscribe to all changes of the list from now on.
     Subscribe,
 }
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -1,4 +1,4 @@
-//! The terms that a deployment sets for an instance, decoded once at its start; only those that are read.
+//! The terms that a deployment sets for an instance, as far as they are used, decoded once at its start.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -14,7 +14,8 @@
     NonRetryable,
 }
 
-/// Which endpoints discard each other's repeats of a deduplicated request.
+/// Which endpoints deduplicate each other's requests: a repeat at an endpoint of the same group has no further
+/// effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     All,
@@ -23,7 +24,7 @@
 }
 
 impl Group {
-    /// Whether two endpoints are of one such group.
+    /// Whether two endpoints belong to the same group.
     pub fn same_group(self, one: &Entry, other: &Entry) -> bool {
         match self {
             Group::All => true,
@@ -38,25 +39,28 @@
     pub name: String,
     pub effect: Effect,
     pub group: Group,
+    /// How long a group remembers a request to deduplicate it.
     pub window: Span,
     pub latency_budget: Span,
     pub deadline: Span,
+    /// Worth of an answer past the latency budget, and of one within it.
     pub overdue_criticality: f64,
     pub criticality: f64,
-    /// The only zones and kinds of machine that it may be sent to, by the host's `Places`; none: any.
+    /// The only zones and kinds of machine that it may be sent to, as indices of the host's `Places`; none for any.
     pub zones: Option<Vec<usize>>,
     pub kinds: Option<Vec<usize>>,
 }
 
 impl Method {
-    /// Whether it may be sent to such an endpoint at all.
-    pub fn open_to(&self, entry: &Entry) -> bool {
-        let among = |open: &Option<Vec<usize>>, own| open.as_ref().is_none_or(|open| open.contains(&own));
+    /// Whether the method may be sent to this endpoint at all.
+    pub fn allows(&self, entry: &Entry) -> bool {
+        let among =
+            |allowed: &Option<Vec<usize>>, own| allowed.as_ref().is_none_or(|allowed| allowed.contains(&own));
         among(&self.zones, entry.zone) && among(&self.kinds, entry.kind)
     }
 
-    /// Whether it is bound to some places.
-    pub fn is_placed(&self) -> bool {
+    /// Whether the method is bound to certain zones or kinds of machine.
+    pub fn has_placement(&self) -> bool {
         self.zones.is_some() || self.kinds.is_some()
     }
 }
@@ -64,43 +68,51 @@
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
     pub tick: Span,
-    /// How many instances send to the same endpoints.
+    /// Number of instances that send to the same endpoints.
     pub instances: f64,
-    /// This instance's number among them, and whether they may send one another messages.
-    pub me: usize,
+    /// This instance's index among them.
+    pub instance_index: usize,
+    /// Whether they may send messages to one another.
     pub may_tell: bool,
-    /// Where endpoints tell probes, and only those, how many requests they hold: the place of that in a report.
+    /// If endpoints report their requests in flight to probes, and only to these: the position of that in a report.
     pub load_at: Option<usize>,
-    /// What one probe a request costs.
+    /// The cost of one probe for each request.
     pub probe_price: f64,
-    /// A place whose method is not offered any more is there for the requests that still hold it.
+    /// The methods at their places. Requests refer to these, so a method that is not offered any more keeps its place
+    /// as long as open requests use it.
     pub methods: Vec<Method>,
     pub offered: Vec<bool>,
     pub max_attempts: usize,
     pub may_cancel: bool,
     pub max_retry_after: Option<Span>,
-    /// Where the list answers only when asked: how soon an instance that has not asked counts as informed.
+    /// If changes of the list come only to instances that have subscribed: the time after which an instance counts as
+    /// informed even if it has not.
     pub ask_within: Option<Span>,
-    pub cold_start: f64,
-    pub cold_for: Span,
-    pub fall_window: Span,
-    /// How long a connection may take to come up; nought where connects take no time of their own.
-    pub up_in: Span,
-    /// The instance's own zone where that is told, and what it costs if as many attempts as first tries leave it.
-    pub home: Option<usize>,
-    pub crossing_price: f64,
-    /// How far the time left that a request comes with may be off, and the moment at which an endpoint started, either way.
-    pub left_doubt: Span,
-    pub start_doubt: Span,
-    /// Whether an endpoint that has gone without having drained may still be sent to.
-    pub drains_alone: bool,
-    /// How many answers the instance can hold while clients read them, where that is limited.
+    /// The part of its full capacity that an endpoint has when it starts, and the time until it is warm.
+    pub cold_capacity: f64,
+    pub warm_up_time: Span,
+    /// Window of time over which the sends to an endpoint are counted against its cold capacity.
+    pub overload_window: Span,
+    /// How long a connect may take; zero if connects take no time of their own.
+    pub connect_timeout: Span,
+    /// The instance's own zone, if that is known.
+    pub own_zone: Option<usize>,
+    /// The cost if as many attempts go to other zones as there are first tries.
+    pub cross_zone_price: f64,
+    /// Largest error, either way, of the time left with which a request arrives.
+    pub time_left_error: Span,
+    /// Largest error, either way, of the time at which an endpoint is said to have started.
+    pub start_time_error: Span,
+    /// Whether only drains are binding: an endpoint that is gone without having drained may still be sent to.
+    pub only_drains_bind: bool,
+    /// Most answers that the instance can hold while clients read them, if that is limited.
     pub reply_slots: Option<usize>,
 }
 
-/// The value of a load report that tells the requests in hand.
+/// The value of a load report with the requests in flight.
 const LOAD: &str = "outstanding";
 
+/// Settings by their paths.
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
@@ -133,14 +145,14 @@
         if self.0.contains_key(path) { self.flag(path) } else { Ok(default) }
     }
 
-    fn span_or_nought(&self, path: &str) -> Result<Span, String> {
+    fn span_or_zero(&self, path: &str) -> Result<Span, String> {
         self.or(path, 0).map(Span::from_nanos)
     }
 
-    /// The names in a list, where there is one: set apart by commas, or one to a path.
+    /// The names in a list, if there is one: separated by commas, or one at each path.
     fn names(&self, path: &str) -> Result<Option<Vec<&str>>, String> {
-        let counted = self.0.contains_key(format!("{path}.count").as_str());
-        let names = if counted {
+        let by_path = self.0.contains_key(format!("{path}.count").as_str());
+        let names = if by_path {
             (0..self.count(path)?)
                 .map(|at| self.text(&format!("{path}.{at}")))
                 .collect::<Result<Vec<_>, _>>()?
@@ -148,7 +160,7 @@
             let Some(text) = self.0.get(path) else { return Ok(None) };
             text.split(',').collect()
         };
-        // Danger: a list without a name would bind to nothing, or be taken for one that does not bind.
+        // Danger: a list without any name would bind the method to no place, or be taken for no binding at all.
         if names.is_empty() || names.contains(&"") {
             return Err(format!("setting {path} names no place, or an empty one"));
         }
@@ -207,46 +219,46 @@
 }
 
 impl Terms {
-    /// The requests in hand that a load report tells of: a row of values, set apart by commas.
+    /// The requests in flight by a load report, which is a row of values separated by commas.
     pub fn load(&self, report: &str) -> Option<f64> {
         let value = report.split(',').nth(self.load_at?)?;
         value.trim().parse().ok().filter(|load: &f64| load.is_finite())
     }
 
-    /// The part of its full capacity that an endpoint has at least, so long after it is said to have started. Danger:
-    /// one that has started later than that is colder.
+    /// The least part of its full capacity that an endpoint has, this long after it is said to have started. Danger:
+    /// an endpoint that has really started later is colder, so the error of the start time is taken off.
     pub fn warm_part(&self, up: Span) -> f64 {
-        let up = Some(up.less(self.start_doubt)).filter(|up| *up < self.cold_for);
-        let rise = |up: Span| (1.0 - self.cold_start) * (up.secs() / self.cold_for.secs().max(1e-9));
-        up.map_or(1.0, |up| self.cold_start + rise(up))
+        let up = Some(up.less(self.start_time_error)).filter(|up| *up < self.warm_up_time);
+        let warmed = |up: Span| (1.0 - self.cold_capacity) * (up.secs() / self.warm_up_time.secs().max(1e-9));
+        up.map_or(1.0, |up| self.cold_capacity + warmed(up))
     }
 
-    /// The place of the method that clients mean by a name now.
+    /// The place of the method that is offered under a name.
     pub fn place(&self, name: &str) -> Option<usize> {
         (0..self.methods.len()).find(|at| self.offered[*at] && self.methods[*at].name == name)
     }
 
-    /// These terms after others: a method that has stayed as it was keeps its place, one that is still held by requests keeps
-    /// its too but is not offered any more, and each other takes a free place or one more. Returned with each of these
-    /// goes the place that its name had before.
+    /// These terms as the successors of others. A method that has not changed keeps its place, and so does one that open
+    /// requests still use, though it is not offered any more; every other method takes a free place or a new one. These
+    /// places are returned, each with the place that the method's name had before.
     pub fn after(
         mut self,
         before: &Terms,
         held: impl Fn(usize) -> bool,
     ) -> (Terms, Vec<(usize, Option<usize>)>) {
-        let came = std::mem::replace(&mut self.methods, before.methods.clone());
-        self.offered = (0..self.methods.len())
-            .map(|at| before.offered[at] && came.contains(&self.methods[at]))
-            .collect();
-        // Danger: a place that one takes before another's name has left it would lose what was learnt there.
-        let last: Vec<_> = came.iter().map(|method| before.place(&method.name)).collect();
+        let new = std::mem::replace(&mut self.methods, before.methods.clone());
+        self.offered =
+            (0..self.methods.len()).map(|at| before.offered[at] && new.contains(&self.methods[at])).collect();
+        // Danger: if a method took the place that another method's name still has, what was learnt there would be
+        // lost.
+        let previous: Vec<_> = new.iter().map(|method| before.place(&method.name)).collect();
         let mut places = Vec::new();
-        for method in came {
+        for method in new {
             let own = before.place(&method.name);
             if own.is_some_and(|at| before.methods[at] == method) {
                 continue;
             }
-            let may_take = |at: &usize| own == Some(*at) || !last.contains(&Some(*at));
+            let may_take = |at: &usize| own == Some(*at) || !previous.contains(&Some(*at));
             let free = (0..self.methods.len()).filter(|at| !self.offered[*at] && !held(*at)).find(may_take);
             let place = free.unwrap_or(self.methods.len());
             places.push((place, own));
@@ -260,7 +272,8 @@
         (self, places)
     }
 
-    /// These terms with their methods at the places where others have theirs; one that these lack stays as it is there.
+    /// These terms with each method at the place that its name has in others; a method that these lack is taken from
+    /// there.
     pub fn aligned(mut self, others: &Terms) -> Terms {
         let own = |(method, offered): (&Method, &bool)| {
             let own = self.methods.iter().find(|own| *offered && own.name == method.name);
@@ -271,15 +284,15 @@
         self
     }
 
-    /// Reads the terms from path and value pairs; paths that it does not know are passed over. Zones and kinds that
-    /// methods are bound to get their indices in the host's places.
+    /// Reads the terms from pairs of path and value, and ignores unknown paths. Zones and kinds of machine that
+    /// methods are bound to get their indices from the host's places.
     pub fn decode<'a>(
         pairs: impl Iterator<Item = (&'a str, &'a str)>,
         places: &mut Places,
     ) -> Result<Terms, String> {
         let p = Pairs(pairs.collect());
         let methods = (0..p.count("methods")?).map(|i| p.method(&format!("methods.{i}"), places));
-        let asked = p.text("discovery")? == "subscribe";
+        let subscribes = p.text("discovery")? == "subscribe";
         let retry_after = p.flag("ceilings.retryAfter")?;
         let (me, instances) = (p.or("me", 0)?, p.read::<f64>("nInstances")?.max(1.0));
         if me as f64 >= instances {
@@ -288,7 +301,7 @@
         Ok(Terms {
             tick: p.span("tickNs")?,
             instances,
-            me,
+            instance_index: me,
             may_tell: p.flag_or("ceilings.mayTell", false)?,
             probe_price: p.or("deductions.probe", 0.0)?,
             load_at: p.load_at()?,
@@ -297,16 +310,16 @@
             max_attempts: p.read("ceilings.mostWriteOuts")?,
             may_cancel: p.flag("ceilings.cancel")?,
             max_retry_after: if retry_after { Some(p.span("ceilings.maxRetryAfterNs")?) } else { None },
-            ask_within: if asked { Some(p.span("rules.askWithinNs")?) } else { None },
-            cold_start: p.read("rules.startCapacity")?,
-            cold_for: p.span("rules.coldNs")?,
-            fall_window: p.span("rules.overloadForNs")?,
-            up_in: p.span_or_nought("ceilings.connectTimeoutNs")?,
-            home: p.0.get("zone").map(|zone| places.zones.index(zone)),
-            crossing_price: p.or("deductions.crossZone", 0.0)?,
-            left_doubt: p.span_or_nought("rules.deadlineDriftNs")?,
-            start_doubt: p.span_or_nought("rules.stampDoubtNs")?,
-            drains_alone: p.flag_or("rules.drainBindsAlone", false)?,
+            ask_within: if subscribes { Some(p.span("rules.askWithinNs")?) } else { None },
+            cold_capacity: p.read("rules.startCapacity")?,
+            warm_up_time: p.span("rules.coldNs")?,
+            overload_window: p.span("rules.overloadForNs")?,
+            connect_timeout: p.span_or_zero("ceilings.connectTimeoutNs")?,
+            own_zone: p.0.get("zone").map(|zone| places.zones.index(zone)),
+            cross_zone_price: p.or("deductions.crossZone", 0.0)?,
+            time_left_error: p.span_or_zero("rules.deadlineDriftNs")?,
+            start_time_error: p.span_or_zero("rules.stampDoubtNs")?,
+            only_drains_bind: p.flag_or("rules.drainBindsAlone", false)?,
             reply_slots: p
                 .text("ceilings.replySlots")
                 .ok()
@@ -320,7 +333,7 @@
 mod tests {
     use super::*;
 
-    /// Terms with these methods, each with a criticality.
+    /// Terms with these methods, given by name and criticality.
     fn terms(methods: &[(&str, f64)]) -> Terms {
         let method = |(name, criticality): &(&str, f64)| Method {
             name: name.to_string(),
@@ -338,7 +351,7 @@
         Terms { offered: vec![true; methods.len()], methods, ..Terms::default() }
     }
 
-    /// Decoded from a plain row of settings and these.
+    /// Terms decoded from a minimal set of settings and these.
     fn decoded(more: &[(&str, &str)], places: &mut Places) -> Result<Terms, String> {
         let plain = "nInstances=1 tickNs=1 discovery=automatic ceilings.cancel=true ceilings.retryAfter=false \
             ceilings.mostWriteOuts=3 rules.startCapacity=0.25 rules.coldNs=8 rules.overloadForNs=1 methods.count=1 \
@@ -349,7 +362,7 @@
     }
 
     #[test]
-    fn places_are_read_from_a_row_or_one_to_a_path_with_the_indices_of_the_host() {
+    fn placement_lists_are_read_from_one_path_or_several_with_the_indices_of_the_host() {
         let mut places = Places::default();
         places.zones.index("attic");
         let row = [("methods.0.confinedTo", "cellar,attic")];
@@ -364,13 +377,13 @@
         let listed = decoded(&listed, &mut places).unwrap();
         let entry = |zone, kind| Entry { zone, kind, ..Entry::default() };
         assert_eq!((places.kinds.find("large"), places.kinds.index("small")), (Some(0), 1));
-        let open = [(0, 0), (0, 1), (1, 0)].map(|(zone, kind)| listed.methods[0].open_to(&entry(zone, kind)));
+        let open = [(0, 0), (0, 1), (1, 0)].map(|(zone, kind)| listed.methods[0].allows(&entry(zone, kind)));
         assert_eq!(open, [true, false, false]);
-        assert!(decoded(&[], &mut places).unwrap().methods[0].open_to(&entry(7, 7)));
+        assert!(decoded(&[], &mut places).unwrap().methods[0].allows(&entry(7, 7)));
     }
 
     #[test]
-    fn a_setting_that_cannot_be_meant_is_refused_by_its_key() {
+    fn an_invalid_setting_is_rejected_with_its_path() {
         for (path, value) in [
             ("methods.0.confinedTo", ""),
             ("methods.0.skusOpen", "large,"),
@@ -387,19 +400,19 @@
     }
 
     #[test]
-    fn a_method_that_has_changed_takes_a_place_of_its_own_and_held_ones_stay() {
+    fn a_changed_method_takes_a_new_place_and_places_in_use_stay() {
         let first = terms(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
-        // The same again: nothing moves.
+        // The same methods again: none moves.
         let (same, places) = terms(&[("c", 1.0), ("a", 1.0), ("b", 1.0)]).after(&first, |_| true);
         assert_eq!((places.as_slice(), same.methods == first.methods), (&[][..], true));
-        // One dropped, one changed, one new, and requests hold the first place.
+        // One method removed, one changed, one new, while requests use the first place.
         let (second, places) = terms(&[("d", 1.0), ("a", 2.0), ("c", 1.0)]).after(&first, |at| at == 0);
         assert_eq!(places, [(1, None), (3, Some(0))]);
         let at = |terms: &Terms, name: &str| terms.place(name);
         let found = ["a", "b", "c", "d"].map(|name| at(&second, name));
         assert_eq!(found, [Some(3), None, Some(2), Some(1)]);
         assert_eq!((second.methods[0].name.as_str(), second.methods[0].criticality), ("a", 1.0));
-        // What both leave is used again, but none takes a place before its name has moved on.
+        // Places that are free by now are reused, but not one that another method's name still has.
         let (third, places) = terms(&[("e", 1.0), ("d", 2.0), ("a", 3.0)]).after(&second, |_| false);
         assert_eq!(
             (places.as_slice(), third.methods.len()),
@@ -408,7 +421,7 @@
     }
 
     #[test]
-    fn a_thousand_changes_take_no_more_places_than_requests_hold() {
+    fn a_thousand_changes_take_no_more_places_than_are_in_use() {
         let mut now = terms(&[("a", 0.0), ("b", 0.0)]);
         for round in 1..1000 {
             let held = |at: usize| at == round % 3;
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,4 @@
-//! Points in time and lengths of time, as two types that cannot be mixed up.
+//! Points in time and durations, as two types that cannot be confused.
 
 use std::ops::{Add, Mul};
 
@@ -26,7 +26,7 @@
         self.0
     }
 
-    /// The time that has passed since `earlier`; nothing if that lies ahead.
+    /// The time that has passed since `earlier`; zero if that lies in the future.
     pub const fn since(self, earlier: Moment) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -51,7 +51,7 @@
         self.0 as f64 / 1e9
     }
 
-    /// This span less `other`; nothing if `other` is the longer one.
+    /// This span less `other`; zero if `other` is longer.
     pub const fn less(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
