--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use appledyke::balancer::Balancer;
-use appledyke::news::AttemptReport;
+use appledyke::reports::AttemptReport;
 use appledyke::terms::{Effect, Terms};
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, EndpointState, Entry, GiveUpReason, Outcome, RequestInfo};
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use appledyke::ids::{self, Names};
-use appledyke::news::AttemptReport as Ended;
+use appledyke::reports::AttemptReport as Ended;
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, EndpointState, Entry, Outcome};
 use appledyke_fleet::evidence::{self, Cursor, Evidence, Passed, Seen};
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use appledyke::ids::{self, Names, Places};
-use appledyke::news::AttemptReport;
+use appledyke::reports::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, EndpointState as EndpointStanding, Entry, Outcome, RequestInfo};
--- a/crates/sidecar/src/watch.rs
+++ b/crates/sidecar/src/watch.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use appledyke::balancer::Balancer;
-use appledyke::news::AttemptReport;
+use appledyke::reports::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::Moment;
 use appledyke::{Decision, Entry, Outcome, RequestInfo};
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -8,7 +8,7 @@
 
 use appledyke::balancer::Balancer;
 use appledyke::ids::{self, Names, Places};
-use appledyke::news::AttemptReport;
+use appledyke::reports::AttemptReport;
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -21,7 +21,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use crate::known::{Attempt, Endpoint, Request};
-use crate::news::AttemptReport;
+use crate::reports::AttemptReport;
 use crate::stats::{
     MethodStats, Random, Rate, RollingWindow, Slope, UsualLatencies, half_life_decay, mean, smoothed,
     token_bucket_level,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod balancer;
 pub mod ids;
 mod known;
-pub mod news;
+pub mod reports;
 pub mod stats;
 pub mod terms;
 pub mod units;
--- a/src/news.rs
+++ b/src/reports.rs
@@ -20,7 +20,7 @@
 /// How an attempt at an endpoint ended.
 ///
 /// ```
-/// use appledyke::{Outcome, news::AttemptReport};
+/// use appledyke::{Outcome, reports::AttemptReport};
 /// let report = AttemptReport { name_hash: 7, method: 2, outcome: Outcome::Timeout, part: 0.25, load: Some(-0.5) };
 /// let mut message = Vec::new();
 /// report.write(&mut message);
