--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,5 +1,5 @@
-//! Reads batches of events as lines, hands each decoded field straight to the instance it is for, and writes
-//! that instance's decisions out. Nothing is decided here.
+//! Reads batches of events as lines, decodes each event and passes it to the instance that it is for, and writes the
+//! decisions of these instances. Nothing is decided here.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -23,13 +23,15 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u64, Instance>,
-    /// The lines of each numbered list, as they came.
+    /// The lines of each numbered list, as received.
     lists: BTreeMap<u64, Vec<String>>,
-    /// Instances with an event in this batch, in the order of the first.
+    /// Instances with an event in this batch, in the order of their first one.
     touched: Vec<u64>,
     now: Moment,
-    who: Option<u64>,
-    marks: u64,
+    /// The instance that the next events are for.
+    current: Option<u64>,
+    /// The mark of the last wake that was requested.
+    last_mark: u64,
 }
 
 /// The name=value pairs of one line.
@@ -77,12 +79,12 @@
     })
 }
 
-/// Bytes as hex digits, or `-` if there are none.
-fn bytes(hex: &str) -> Result<Vec<u8>, String> {
-    let wrong = || format!("field blob has the unreadable value '{hex}'");
+/// Decodes hex digits; `-` stands for no bytes.
+fn hex_bytes(hex: &str) -> Result<Vec<u8>, String> {
+    let invalid = || format!("field blob has the unreadable value '{hex}'");
     let hex = if hex == "-" { "" } else { hex };
     let pairs = hex.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).unwrap_or(""));
-    pairs.map(|pair| u8::from_str_radix(pair, 16).map_err(|_| wrong())).collect()
+    pairs.map(|pair| u8::from_str_radix(pair, 16).map_err(|_| invalid())).collect()
 }
 
 impl Instance {
@@ -98,7 +100,7 @@
         let name = fields.text("service")?;
         let method = self.balancer.terms().methods.iter().position(|m| m.name == name);
         let method = method.ok_or_else(|| format!("unknown method '{name}'"))?;
-        // Danger: by a clock that is ahead, less than nothing may seem left.
+        // Danger: if the local clock is ahead, the time left may be negative.
         let left = Span::from_nanos(fields.read::<i64>("leftNs")?.max(0) as u64);
         let request = self.requests.index(fields.text("requestId")?);
         let work = fields.find("costGuessNs").map(|_| fields.read("costGuessNs")).transpose()?;
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    fn write_decisions(&mut self, now: Moment, marks: &mut u64, out: &mut impl Write) -> io::Result<()> {
+    fn write_decisions(&mut self, now: Moment, last_mark: &mut u64, out: &mut impl Write) -> io::Result<()> {
         while let Some(decision) = self.balancer.next_decision(now) {
             match decision {
                 Decision::Send { request, endpoint, give_up } => {
@@ -181,8 +183,8 @@
                 Decision::ForgetRequest { request } => self.requests.release(request),
                 Decision::ForgetEndpoint { endpoint } => self.endpoints.release(endpoint),
                 Decision::Wake { at } => {
-                    *marks += 1;
-                    writeln!(out, "defer mark={marks} momentNs={}", at.nanos())?;
+                    *last_mark += 1;
+                    writeln!(out, "defer mark={last_mark} momentNs={}", at.nanos())?;
                 }
                 Decision::Probe { endpoint } => {
                     writeln!(out, "check endpoint={}", self.endpoints.name(endpoint))?
@@ -206,10 +208,10 @@
     fn event(&mut self, word: &str, fields: Fields) -> Result<(), String> {
         let now = self.now;
         if word == "instance" {
-            self.who = Some(fields.read("who")?);
+            self.current = Some(fields.read("who")?);
             return Ok(());
         }
-        let who = self.who.ok_or_else(|| format!("'{word}' comes before any 'instance'"))?;
+        let who = self.current.ok_or_else(|| format!("'{word}' comes before any 'instance'"))?;
         if word == "begin" {
             self.instances.insert(who, Instance::begin(now, fields)?);
         }
@@ -222,7 +224,7 @@
             "begin" => {}
             "neighbour_says" => instance.balancer.apply_reports(
                 now,
-                AttemptReport::read(&bytes(fields.text("blob")?)?),
+                AttemptReport::read(&hex_bytes(fields.text("blob")?)?),
                 false,
             ),
             "health_result" => instance.probe_result(now, fields)?,
@@ -259,14 +261,14 @@
         for who in std::mem::take(&mut self.touched) {
             if let Some(instance) = self.instances.get_mut(&who) {
                 writeln!(out, "context who={who}")?;
-                instance.write_decisions(self.now, &mut self.marks, out)?;
+                instance.write_decisions(self.now, &mut self.last_mark, out)?;
             }
         }
         writeln!(out, "yield serial={serial}")?;
         out.flush()
     }
 
-    /// Answers batches until the input ends; what is wrong with it, and where, comes back as an error.
+    /// Answers batches until the input ends. Returns what is wrong with the input, and at which line, as an error.
     fn run(&mut self, input: impl BufRead, out: &mut impl Write) -> Result<(), String> {
         let mut serial = None;
         let mut list: Option<(u64, usize)> = None;
@@ -288,7 +290,7 @@
                 ("turn", None) => {
                     self.now = Moment::from_nanos(fields.read("wallNs").map_err(at)?);
                     serial = Some(fields.read("serial").map_err(at)?);
-                    self.who = None;
+                    self.current = None;
                 }
                 (_, None) => return Err(at(format!("'{word}' comes before 'turn'"))),
                 ("end", Some(open)) => {
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The host on its own wire: a good batch byte for byte, and one plain line for each kind of malformed input.
+//! The line protocol of the host: the answers to valid batches byte for byte, and an error message for each kind of
+//! malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,7 +17,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // A host that has found a fault stops reading, so the rest of the input may find nobody.
+    // The host stops reading at the first error, so writing the rest of the input may fail.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn names_what_is_malformed() {
+fn reports_what_is_malformed() {
     let turn = "turn wallNs=1 serial=1\n";
     let begun = format!("{turn}instance who=3\n{BEGIN}\n");
     let cases = [
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,5 @@
-//! Two toy endpoints and a list of them, to try the sidecar with `examples/sidecar.json`. Each answers after
-//! a while of its own and says who it is. Not for more than that: it knows just enough of HTTP.
+//! Two toy endpoints and a discovery service that lists them, to try the sidecar with `examples/sidecar.json`. Each
+//! endpoint answers with its name after its own delay. It supports only as much of HTTP as that needs.
 
 use std::io::{BufRead, BufReader, Read, Result, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,10 +9,11 @@
 const LIST_AT: &str = "127.0.0.1:8500";
 /// Name, address, and milliseconds until an answer.
 const ENDPOINTS: [(&str, &str, u64); 2] = [("quick", "127.0.0.1:5001", 20), ("slow", "127.0.0.1:5002", 80)];
-/// Between two empty lines of a watch that has no news.
-const BEAT: Duration = Duration::from_secs(2);
+/// Time between two empty lines on a watch without changes.
+const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// Reads a head and the body that its Content-Length announces. Returns the first line, or none at the end.
+/// Reads a request with the body that its Content-Length announces. Returns the first line, or none at the end of
+/// input.
 fn read_request(reader: &mut impl BufRead) -> Result<Option<String>> {
     let (mut first, mut length) = (String::new(), 0);
     loop {
@@ -35,18 +36,18 @@
     Ok(Some(first))
 }
 
-fn endpoint(stream: &TcpStream, name: &str, takes: Duration) -> Result<()> {
+fn endpoint(stream: &TcpStream, name: &str, delay: Duration) -> Result<()> {
     let mut reader = BufReader::new(stream);
     while let Some(request) = read_request(&mut reader)? {
         println!("{name}: {request}");
-        sleep(takes);
+        sleep(delay);
         let body = format!("{name} answers {request}\n");
         write!(&mut &*stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
     }
     Ok(())
 }
 
-/// Answers one watch: all endpoints at once, then a beat.
+/// Answers one watch: all endpoints at once, then a regular heartbeat.
 fn list(mut stream: &TcpStream) -> Result<()> {
     let call = read_request(&mut BufReader::new(stream))?;
     println!("list: {}", call.unwrap_or_default());
@@ -59,7 +60,7 @@
     let line = format!("{{\"index\":1,\"snapshot\":true,\"endpoints\":[{entries}]}}\n");
     write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\n", line.len())?;
     loop {
-        sleep(BEAT);
+        sleep(HEARTBEAT);
         stream.write_all(b"1\r\n\n\r\n")?;
     }
 }
@@ -69,7 +70,7 @@
     spawn(move || {
         for stream in listener.incoming().flatten() {
             let serve = serve.clone();
-            // Who hangs up ends only its own connection.
+            // An error, such as a client that disconnects, ends only its own connection.
             spawn(move || serve(&stream));
         }
     });
@@ -77,12 +78,12 @@
 }
 
 fn main() -> Result<()> {
-    for (name, at, takes) in ENDPOINTS {
-        listen(at, move |stream| endpoint(stream, name, Duration::from_millis(takes)))?;
+    for (name, at, delay) in ENDPOINTS {
+        listen(at, move |stream| endpoint(stream, name, Duration::from_millis(delay)))?;
     }
     listen(LIST_AT, list)?;
     println!("list at {LIST_AT}, endpoints {ENDPOINTS:?}; end with Ctrl-C");
     loop {
-        sleep(BEAT);
+        sleep(HEARTBEAT);
     }
 }
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,4 +1,4 @@
-//! What must pass before work lands, with a stand-in for cargo: which tests the list of known red ones passes over.
+//! The checks before a merge (`.ci/run`), with a stub for cargo: which tests the list of known red tests skips.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -6,8 +6,8 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Knows the tests that the file `tests` has, a name and a verdict a line, and picks as the test programs do. What it ran it
-/// writes to `ran`, a line for each call.
+/// A stub for cargo. It reads the tests from the file `tests`, a name and a result in each line, and selects among them as
+/// test programs do. The names of those that it ran go to the file `ran`, one line for each call.
 const CARGO: &str = r#"#!/bin/sh
 [ "$1" = test ] || exit 0
 exact= only= skip= word= there=
@@ -44,7 +44,7 @@
 exit $code
 "#;
 
-/// A folder with the script, the stand-in first on the path, and a list of known red tests if there is one.
+/// A folder with the script, the stub for cargo, and the list of known red tests, if there is one.
 struct Tree(PathBuf);
 
 impl Tree {
@@ -69,8 +69,8 @@
         Command::new("bash").arg(self.0.join(".ci/run")).env("PATH", path).output().unwrap()
     }
 
-    /// What the last call of the tests ran.
-    fn ran(&self) -> String {
+    /// The tests that the last call ran.
+    fn last_run(&self) -> String {
         let ran = fs::read_to_string(self.0.join("ran")).unwrap_or_default();
         ran.lines().last().unwrap_or_default().trim().to_string()
     }
@@ -82,54 +82,57 @@
     }
 }
 
-/// Whether it passes, what its whole run took in, and what it said.
-fn ci(red: Option<&str>, tests: &str) -> (bool, String, String) {
+/// Whether the checks pass, the tests that the last call ran, and the output.
+fn run_checks(red: Option<&str>, tests: &str) -> (bool, String, String) {
     let tree = Tree::new(red, tests);
     let done = tree.run();
-    let said = String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned();
-    (done.status.success(), tree.ran(), said)
+    let output = String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned();
+    (done.status.success(), tree.last_run(), output)
 }
 
-const WELL: &str = "one ok\none_more ok\ntwo ok\n";
+const ALL_PASS: &str = "one ok\none_more ok\ntwo ok\n";
 const ONE_FAILS: &str = "one FAILED\none_more ok\ntwo ok\n";
 const ALL_FAIL: &str = "one FAILED\none_more FAILED\ntwo FAILED\n";
 
 #[test]
-fn without_known_red_tests_all_run_and_one_that_fails_is_told() {
-    // Danger: the name of a blank line, an empty word, was in that of every test, and all of them were passed over.
+fn without_known_red_tests_all_run_and_a_failure_is_reported() {
+    // Danger: a blank line was taken for an empty name, which is part of every name, and all tests were skipped.
     for red in [None, Some(""), Some("\n"), Some("  \n\t\n\n")] {
-        let (passes, ran, said) = ci(red, WELL);
-        assert!(passes && ran == "one one_more two" && !said.contains("Known red"), "{red:?}: {ran}\n{said}");
+        let (passes, ran, output) = run_checks(red, ALL_PASS);
+        assert!(
+            passes && ran == "one one_more two" && !output.contains("Known red"),
+            "{red:?}: {ran}\n{output}"
+        );
         for tests in [ONE_FAILS, ALL_FAIL] {
-            let (passes, ran, said) = ci(red, tests);
-            assert!(!passes && ran == "one one_more two", "{red:?}: {ran}\n{said}");
+            let (passes, ran, output) = run_checks(red, tests);
+            assert!(!passes && ran == "one one_more two", "{red:?}: {ran}\n{output}");
         }
     }
 }
 
 #[test]
-fn a_known_red_test_alone_is_passed_over_and_told() {
-    // Danger: a last line without an end was not read, and another test was passed over whose name has this one in it.
+fn only_a_known_red_test_is_skipped_and_reported() {
+    // Danger: a last line without a newline was not read, and a test whose name contains a listed name was skipped too.
     for red in
         ["one (file.rs): cause; issue 1\n", "one (file.rs): cause; issue 1", "\n one (file.rs): cause\n\n"]
     {
-        let (passes, ran, said) = ci(Some(red), ONE_FAILS);
-        assert!(passes && ran == "one_more two", "{red:?}: {ran}\n{said}");
-        assert!(said.contains(&format!("Known red, passed over:\n{red}")), "{said}");
-        let (passes, ran, said) = ci(Some(red), ALL_FAIL);
-        assert!(!passes && ran == "one_more two", "{red:?}: {ran}\n{said}");
+        let (passes, ran, output) = run_checks(Some(red), ONE_FAILS);
+        assert!(passes && ran == "one_more two", "{red:?}: {ran}\n{output}");
+        assert!(output.contains(&format!("Known red, passed over:\n{red}")), "{output}");
+        let (passes, ran, output) = run_checks(Some(red), ALL_FAIL);
+        assert!(!passes && ran == "one_more two", "{red:?}: {ran}\n{output}");
     }
 }
 
 #[test]
-fn one_that_is_not_red_or_no_test_or_one_too_many_fails() {
+fn an_entry_that_passes_or_is_no_test_and_too_many_entries_fail() {
     for (red, why) in [
         ("two (file.rs): cause\n", "two is not red any more"),
         ("on (file.rs): cause\n", "on is not red any more, or no test"),
         ("one (file.rs): cause\ntwo (file.rs): cause\n", "two is not red any more"),
         ("a b\nc d\ne f\ng h\n", "4 lines; three at most"),
     ] {
-        let (passes, _, said) = ci(Some(red), ONE_FAILS);
-        assert!(!passes && said.contains(why), "{red:?}: {said}");
+        let (passes, _, output) = run_checks(Some(red), ONE_FAILS);
+        assert!(!passes && output.contains(why), "{red:?}: {output}");
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What a started endpoint is sent while it is cold, by instances that can't tell each other anything.
+//! What instances that cannot report to each other send to a started endpoint while it is cold.
 
 use std::collections::VecDeque;
 
@@ -8,20 +8,20 @@
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
 
-/// When the endpoint that is cold has started; it is for 7 s, from two fifths up.
+/// When the cold endpoint starts. It takes 7 s to warm up, from two fifths of its capacity.
 const STARTED: u64 = 9000;
 
 fn at(ms: u64) -> Moment {
     Moment::default() + Span::from_millis(ms)
 }
 
-/// One instance before some endpoints, each of which answers after 20 ms.
+/// One instance that sends to some endpoints, each of which answers after 20 ms.
 struct Instance {
     balancer: Balancer,
     endpoints: usize,
-    /// The first of these is cold.
+    /// The index of the first cold endpoint.
     first_cold: usize,
-    out: VecDeque<(Moment, usize)>,
+    in_flight: VecDeque<(Moment, usize)>,
     requests: usize,
     /// Sends by endpoint since the start.
     sent: Vec<usize>,
@@ -40,14 +40,16 @@
         let terms = Terms::decode(plain.chain([("nInstances", instances.as_str())]), &mut Places::default());
         let balancer = Balancer::new(at(0), terms.expect("readable terms"), seed);
         let (endpoints, first_cold, sent) = (warm + cold, warm, vec![0; warm + cold]);
-        let out = VecDeque::new();
-        let mut instance = Instance { balancer, endpoints, first_cold, out, requests: 0, sent, rejected: 0 };
-        instance.lists(0);
+        let in_flight = VecDeque::new();
+        let mut instance =
+            Instance { balancer, endpoints, first_cold, in_flight, requests: 0, sent, rejected: 0 };
+        instance.pass_list(0);
         instance
     }
 
-    /// Before the start those that will be cold are listed as warm, if there are no others, or not at all.
-    fn lists(&mut self, ms: u64) {
+    /// Passes the list. Before `STARTED`, the endpoints that will be cold are listed as warm if there are no others,
+    /// and else not at all.
+    fn pass_list(&mut self, ms: u64) {
         self.balancer.list_begin(true);
         for endpoint in 0..self.endpoints {
             let started = (endpoint >= self.first_cold && ms >= STARTED).then(|| at(STARTED));
@@ -70,7 +72,7 @@
             match decision {
                 Decision::Send { request, endpoint, .. } => {
                     self.sent[endpoint] += usize::from(now >= at(STARTED));
-                    self.out.push_back((now + Span::from_millis(20), request));
+                    self.in_flight.push_back((now + Span::from_millis(20), request));
                 }
                 Decision::Reject { .. } | Decision::Fail { .. } => {
                     self.rejected += usize::from(now >= at(STARTED));
@@ -80,10 +82,10 @@
         }
     }
 
-    /// What has been answered by then is heard of, and so many requests come.
-    fn come(&mut self, ms: u64, requests: usize) {
-        while self.out.front().is_some_and(|(due, _)| *due <= at(ms))
-            && let Some((due, request)) = self.out.pop_front()
+    /// Reports the answers up to this time, then the arrival of so many requests.
+    fn arrive(&mut self, ms: u64, requests: usize) {
+        while self.in_flight.front().is_some_and(|(due, _)| *due <= at(ms))
+            && let Some((due, request)) = self.in_flight.pop_front()
         {
             self.balancer.outcome(due, request, 0, Outcome::Success, true);
             self.pull(due);
@@ -101,26 +103,27 @@
         }
     }
 
-    fn to_cold(&self) -> usize {
+    fn sent_to_cold(&self) -> usize {
         self.sent[self.first_cold..].iter().sum()
     }
 }
 
-/// Danger: instances that had been idle each kept a whole send for a cold endpoint, and took the first requests of a rush
-/// for the rate of all the time before; in one moment it got about as many as there were instances (276 of 300).
+/// Danger: idle instances each kept credit for one send to a cold endpoint, and took the first requests of a burst
+/// for the settled rate. At one moment the endpoint got about as many requests as there were instances (276 of 300).
 #[test]
-fn what_idle_instances_send_a_cold_endpoint_in_one_moment_is_their_part_of_a_window() {
-    // A request in two windows, by places, of which the cold one counts for its share; half as much again is drawn.
+fn idle_instances_send_a_cold_endpoint_at_one_moment_their_part_of_a_window() {
+    // Each instance gets a request in two windows, of which the cold endpoint gets its share of the capacity; the
+    // credit is half as much again.
     let (instances, share) = (300_u32, 0.4 + 0.6 * 3.0 / 7.0);
     let part = f64::from(instances) * 0.5 * share / (3.0 + share) * 1.5;
     for requests in [10, 40, 1] {
         let sent: usize = (0..instances)
             .map(|number| {
                 let mut instance = Instance::new(u64::from(number), 30, 3, 1);
-                (0..3).for_each(|turn| instance.come(3000 * turn + 5 * u64::from(number), 1));
-                instance.lists(STARTED);
-                (0..requests).for_each(|turn| instance.come(STARTED + 3000 + turn * 50 / requests, 1));
-                instance.to_cold()
+                (0..3).for_each(|turn| instance.arrive(3000 * turn + 5 * u64::from(number), 1));
+                instance.pass_list(STARTED);
+                (0..requests).for_each(|turn| instance.arrive(STARTED + 3000 + turn * 50 / requests, 1));
+                instance.sent_to_cold()
             })
             .sum();
         assert!(
@@ -131,8 +134,9 @@
     }
 }
 
-/// Danger: a send that is drawn for one window alone is lost if no request happens to be drawn for the endpoint then, and
-/// many instances with few requests each would leave it idle while it is cold (saved up: 0.41, 0.57 and 0.48).
+/// Danger: credit that lasts for one window is lost if no request is drawn for the endpoint within it, so many
+/// instances with few requests each would leave a cold endpoint idle (its share with saved credit: 0.41, 0.57 and
+/// 0.48).
 #[test]
 fn in_steady_traffic_a_cold_endpoint_gets_about_its_share_of_a_warm_one() {
     for (warm, every) in [(3, 300), (20, 300), (20, 1000)] {
@@ -143,28 +147,29 @@
             for turn in 0..(STARTED + 7000) / every {
                 let ms = every * turn + seed * 17 % every;
                 if ms >= STARTED && !std::mem::replace(&mut listed, true) {
-                    instance.lists(STARTED);
+                    instance.pass_list(STARTED);
                 }
-                instance.come(ms, 1);
+                instance.arrive(ms, 1);
             }
-            to_cold += instance.to_cold();
+            to_cold += instance.sent_to_cold();
             to_warm += instance.sent[..warm].iter().sum::<usize>();
         }
-        let fed = to_cold as f64 / (to_warm as f64 / warm as f64 * 0.7);
-        assert!((0.6..1.5).contains(&fed), "{warm} warm, a request in {every} ms: {fed} of its share");
+        let share = to_cold as f64 / (to_warm as f64 / warm as f64 * 0.7);
+        assert!((0.6..1.5).contains(&share), "{warm} warm, a request in {every} ms: {share} of its share");
     }
 }
 
-/// Danger: drawn a window ahead, what all endpoints may get would be less than what comes, and a rush after a release of
-/// all of them would be turned away. Each idle instance sends a whole one to each, and the more the more comes.
+/// Danger: credit that is drawn a window ahead would fall short of the traffic, and a burst after a release of all
+/// endpoints would be rejected. So each idle instance may send one request to each endpoint, and more as the traffic
+/// grows.
 #[test]
-fn where_all_are_cold_a_rush_is_sent_as_it_grows() {
-    let rush = |seed| {
+fn if_all_endpoints_are_cold_a_burst_is_sent_as_it_grows() {
+    let burst = |seed| {
         let mut instance = Instance::new(seed, 30, 0, 3);
-        (0..3).for_each(|turn| instance.come(3000 * turn + 10 * seed, 1));
-        instance.lists(STARTED);
-        (0..40).for_each(|turn| instance.come(STARTED + 3000 + 20 * turn, usize::from(turn < 30)));
-        instance.to_cold()
+        (0..3).for_each(|turn| instance.arrive(3000 * turn + 10 * seed, 1));
+        instance.pass_list(STARTED);
+        (0..40).for_each(|turn| instance.arrive(STARTED + 3000 + 20 * turn, usize::from(turn < 30)));
+        instance.sent_to_cold()
     };
-    assert!((0..60).map(rush).sum::<usize>() >= 150);
+    assert!((0..60).map(burst).sum::<usize>() >= 150);
 }
--- a/tests/first_call.rs
+++ b/tests/first_subscription.rs
@@ -1,4 +1,4 @@
-//! When an instance that has just started first wants a watch on discovery.
+//! When an instance first subscribes to discovery after its start.
 
 use appledyke::Decision;
 use appledyke::balancer::Balancer;
@@ -6,8 +6,8 @@
 use appledyke::terms::Terms;
 use appledyke::units::{Moment, Span};
 
-/// How long after its start an instance among so many first asks discovery, where it may go 10 s without asking.
-fn first_ask(instances: u32, seed: u64) -> Span {
+/// How long after its start one of so many instances first subscribes, where it has to within 10 s.
+fn first_subscription(instances: u32, seed: u64) -> Span {
     let plain = "tickNs=1000000 discovery=subscribe rules.askWithinNs=10000000000 ceilings.cancel=true \
         ceilings.retryAfter=false ceilings.mostWriteOuts=3 rules.startCapacity=0.4 rules.coldNs=7000000000 \
         rules.overloadForNs=1500000000 methods.count=1 methods.0.effect=retryable methods.0.group=all \
@@ -28,16 +28,17 @@
                 _ => {}
             }
         }
-        now = wake.expect("it wants to be woken");
+        now = wake.expect("a wake is scheduled");
         balancer.wake(now);
     }
 }
 
-/// Danger: a process starts with a list as old as it was down; what has changed since counts as told whether it has asked
-/// or not.
+/// Danger: a process starts with the list of when it went down, but counts as informed of the changes since then,
+/// even before it has subscribed.
 #[test]
-fn few_instances_ask_soon_after_their_start_and_many_spread_over_half_the_asking_time() {
-    let latest = |instances| (0..500).map(|seed| first_ask(instances, seed)).max().unwrap_or_default();
+fn few_instances_subscribe_soon_after_their_start_and_many_spread_over_half_the_stated_time() {
+    let latest =
+        |instances| (0..500).map(|seed| first_subscription(instances, seed)).max().unwrap_or_default();
     assert!(latest(1) <= Span::from_millis(100));
     assert!(latest(10) <= Span::from_millis(1000));
     let many = latest(300);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,18 +1,17 @@
-//! Plays every file of `tests/scenarios` on the module alone. The notation, one step a line:
+//! Plays every file of `tests/scenarios` against the balancer alone. The notation has one step in a line:
 //!
-//! `terms PATH=VALUE ..`                       terms other than the usual ones below, before any other step
-//! `MS list|delta NAME[:STATE[:ZONE[:CELL[:STARTED_MS|-[:KIND]]]]] ..`   what the list says; `NAME*COUNT` for many
+//! `terms PATH=VALUE ..`                       terms other than the defaults below, before any other step
+//! `MS list|delta NAME[:STATE[:ZONE[:CELL[:STARTED_MS|-[:KIND]]]]] ..`   a complete list or changes; `NAME*COUNT` for many
 //! `MS arrival REQ METHOD LEFT_MS [key=KEY] [work=MS]`, `MS answer REQ WRITE_OUT OUTCOME`, `MS hangup REQ`, `MS wake`,
-//! `MS list-failed`, `MS probed NAME LOAD|none`, `MS told NAME[*COUNT] METHOD PARTS [OUTCOME]` (a peer
-//! was answered, after so many ten-thousandths of the budget; so many times)
+//! `MS list-failed`, `MS probed NAME LOAD|none`, `MS told NAME[*COUNT] METHOD PARTS [OUTCOME]` (a peer reports COUNT
+//! attempts, each of which took PARTS ten-thousandths of the latency budget)
 //! `MS flood COUNT METHOD GAP_MS OUTCOME [key=KEY] [work=MS] [NAME=TOOK_MS[:OUTCOME] ..]`  requests one by one, each attempt
-//!                                             answered at once or after what its endpoint takes; decisions
-//!                                             are counted
+//!                                             answered at once or after the time that its endpoint takes; the
+//!                                             decisions are counted
 //! `expect DECISION`                           the next decision, word for word; `any` stands for any word
-//! `count NAME|nack|fail LEAST MOST`           what the last flood counted
+//! `count NAME|nack|fail LEAST MOST`           the range of what the last flood counted
 //!
-//! Each decision must be expected, but for `forget`. Between two steps the module is pulled until
-//! it has no more.
+//! Each decision has to be expected, except `ForgetRequest` and `ForgetEndpoint`. After each step all decisions are taken.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,7 +22,7 @@
 use appledyke::units::{Moment, Span};
 use appledyke::{Decision, EndpointState, Entry, Outcome, RequestInfo};
 
-const USUAL: &str = "nInstances=2 tickNs=1000000 discovery=automatic ceilings.cancel=true \
+const DEFAULTS: &str = "nInstances=2 tickNs=1000000 discovery=automatic ceilings.cancel=true \
     ceilings.retryAfter=true ceilings.maxRetryAfterNs=50000000 ceilings.mostWriteOuts=3 \
     rules.askWithinNs=10000000000 rules.startCapacity=0.25 rules.coldNs=8000000000 rules.overloadForNs=1000000000 methods.count=0";
 const METHODS: [(&str, &str); 4] = [
@@ -33,10 +32,10 @@
     ("once", "fragile all 0.5"),
 ];
 
-/// The time left that a flood's requests come with: the length of a usual try, under the whole deadline of 5 s.
+/// The time left with which the requests of a flood arrive: that of a usual try, within the whole deadline of 5 s.
 const FLOOD_LEFT: &str = "3000";
 
-struct Play {
+struct Player {
     balancer: Balancer,
     requests: Names,
     endpoints: Names,
@@ -60,11 +59,11 @@
         pairs
             .extend(values.iter().chain(&figures).map(|(k, v)| (format!("methods.{at}.{k}"), v.to_string())));
     }
-    for pair in USUAL.split_whitespace().chain(["methods.count=4"]).chain(overrides.split_whitespace()) {
+    for pair in DEFAULTS.split_whitespace().chain(["methods.count=4"]).chain(overrides.split_whitespace()) {
         let (path, value) = pair.split_once('=').expect("PATH=VALUE");
         pairs.insert(path.to_string(), value.to_string());
     }
-    Terms::decode(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str())), places).expect("readable terms")
+    Terms::decode(pairs.iter().map(|(k, v)| (k.as_str(), v.as_str())), places).expect("valid terms")
 }
 
 fn outcome(word: &str) -> Outcome {
@@ -82,19 +81,19 @@
 }
 
 fn millis(word: &str) -> u64 {
-    word.parse().unwrap_or_else(|_| panic!("'{word}' is no number of milliseconds"))
+    word.parse().unwrap_or_else(|_| panic!("'{word}' is not a number"))
 }
 
 fn moment(ms: u64) -> Moment {
     Moment::from_nanos(ms * 1_000_000)
 }
 
-impl Play {
-    fn new(overrides: &str) -> Play {
+impl Player {
+    fn new(overrides: &str) -> Player {
         let (mut places, cells) = (Places::default(), Names::default());
         let balancer = Balancer::new(moment(0), terms(overrides, &mut places), 7);
         let (requests, endpoints) = (Names::default(), Names::default());
-        Play {
+        Player {
             balancer,
             requests,
             endpoints,
@@ -105,9 +104,9 @@
         }
     }
 
-    fn pull(&mut self, now: u64) {
+    fn take_decisions(&mut self, now: u64) {
         while let Some(decision) = self.balancer.next_decision(moment(now)) {
-            let said = match decision {
+            let text = match decision {
                 Decision::Send { request, endpoint, give_up } => {
                     let give_up = give_up.nanos() / 1_000_000;
                     format!(
@@ -126,8 +125,8 @@
                 }
                 Decision::Wake { at } => format!("wake {}", at.nanos() / 1_000_000),
                 Decision::Probe { endpoint } => format!("probe {}", self.endpoints.name(endpoint)),
-                Decision::TellPeer { peer, message: news } => {
-                    let hex = news.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+                Decision::TellPeer { peer, message } => {
+                    let hex = message.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
                     format!("tell {peer} {hex}")
                 }
                 Decision::CloseIdle { endpoint } => format!("close {}", self.endpoints.name(endpoint)),
@@ -141,7 +140,7 @@
                     continue;
                 }
             };
-            self.pending.push_back(said);
+            self.pending.push_back(text);
         }
     }
 
@@ -172,14 +171,14 @@
         self.balancer.list_end(moment(now));
     }
 
-    /// What a request tells of itself: its key, its work in milliseconds.
-    fn arrival(&mut self, now: u64, request: &str, method: &str, left: &str, tells: &[&str]) {
-        let told = |what: &str| tells.iter().find_map(|word| word.strip_prefix(what));
+    /// An arrival; `hints` are the request's key and its work in milliseconds.
+    fn arrival(&mut self, now: u64, request: &str, method: &str, left: &str, hints: &[&str]) {
+        let hint = |what: &str| hints.iter().find_map(|word| word.strip_prefix(what));
         let method = METHODS.iter().position(|(name, _)| *name == method).expect("a known method");
         let request = self.requests.index(request);
         let left = Span::from_millis(millis(left));
         let (key, work) =
-            (told("key=").map(ids::name_hash), told("work=").map(|ms| Span::from_millis(millis(ms))));
+            (hint("key=").map(ids::name_hash), hint("work=").map(|ms| Span::from_millis(millis(ms))));
         self.balancer.arrival(moment(now), request, RequestInfo { method, left, work, key });
     }
 
@@ -198,10 +197,10 @@
         for number in 0..millis(count) {
             let request = format!("flood{number}");
             self.arrival(now, &request, method, FLOOD_LEFT, takes);
-            self.pull(now);
+            self.take_decisions(now);
             let mut attempts = 0;
-            while let Some(said) = self.pending.pop_front() {
-                let words: Vec<&str> = said.split(' ').collect();
+            while let Some(text) = self.pending.pop_front() {
+                let words: Vec<&str> = text.split(' ').collect();
                 let counted = if words[0] == "send" { words[2] } else { words[0] };
                 *self.counts.entry(counted.to_string()).or_default() += 1;
                 if words[0] == "send" {
@@ -211,7 +210,7 @@
                     now += millis(took);
                     self.answer(now, &request, attempts, outcome);
                     attempts += 1;
-                    self.pull(now);
+                    self.take_decisions(now);
                 }
             }
             now += millis(gap);
@@ -222,11 +221,11 @@
         let words: Vec<&str> = line.split_whitespace().collect();
         match words[..] {
             ["expect", ref wanted @ ..] => {
-                let said = self.pending.pop_front().unwrap_or("nothing".to_string());
-                let got: Vec<&str> = said.split(' ').collect();
+                let text = self.pending.pop_front().unwrap_or("nothing".to_string());
+                let got: Vec<&str> = text.split(' ').collect();
                 let same =
                     got.len() == wanted.len() && got.iter().zip(wanted).all(|(g, w)| g == w || *w == "any");
-                return if same { Ok(()) } else { Err(format!("the module decides: {said}")) };
+                return if same { Ok(()) } else { Err(format!("the balancer decides: {text}")) };
             }
             ["count", name, least, most] => {
                 let count = self.counts.get(name).copied().unwrap_or(0) as u64;
@@ -235,21 +234,21 @@
             }
             _ => {}
         }
-        if let Some(said) = self.pending.front() {
-            return Err(format!("before this the module decides, unexpected: {said}"));
+        if let Some(text) = self.pending.front() {
+            return Err(format!("unexpected decision before this step: {text}"));
         }
         let now = millis(words[0]);
         match words[1..] {
             ["list", ref entries @ ..] => self.list(now, true, entries),
             ["delta", ref entries @ ..] => self.list(now, false, entries),
-            ["arrival", request, method, left, ref tells @ ..] => {
-                self.arrival(now, request, method, left, tells)
+            ["arrival", request, method, left, ref hints @ ..] => {
+                self.arrival(now, request, method, left, hints)
             }
             ["answer", request, attempt, outcome] => {
                 self.answer(now, request, millis(attempt) as usize, outcome)
             }
             ["hangup", request] => {
-                self.balancer.client_disconnected(self.requests.find(request).expect("an open req"))
+                self.balancer.client_disconnected(self.requests.find(request).expect("an open request"))
             }
             ["wake"] => self.balancer.wake(moment(now)),
             ["probed", name, load] => {
@@ -261,17 +260,17 @@
                 let (name_hash, part) = (ids::name_hash(name), millis(part) as f64 / 1e4);
                 let (outcome, method) =
                     (word.first().map_or(Outcome::Success, |word| outcome(word)), millis(method) as usize);
-                let mut news = Vec::new();
-                AttemptReport { name_hash, method, outcome, part, load: None }.write(&mut news);
+                let mut message = Vec::new();
+                AttemptReport { name_hash, method, outcome, part, load: None }.write(&mut message);
                 (0..millis(count)).for_each(|_| {
-                    self.balancer.apply_reports(moment(now), AttemptReport::read(&news), false)
+                    self.balancer.apply_reports(moment(now), AttemptReport::read(&message), false)
                 });
             }
             ["list-failed"] => self.balancer.list_failed(moment(now)),
             ["flood", ref words @ ..] => self.flood(now, words),
             _ => return Err("not in the notation".to_string()),
         }
-        self.pull(now);
+        self.take_decisions(now);
         Ok(())
     }
 }
@@ -286,12 +285,12 @@
     for file in files {
         let text = std::fs::read_to_string(&file).unwrap() + "expect nothing\n";
         let overrides: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("terms ")).collect();
-        let mut play = Play::new(&overrides.join(" "));
-        play.pull(0);
+        let mut player = Player::new(&overrides.join(" "));
+        player.take_decisions(0);
         let steps = text.lines().enumerate();
         let steps = steps.filter(|(_, l)| !(l.is_empty() || l.starts_with('#') || l.starts_with("terms ")));
         for (number, line) in steps {
-            if let Err(what) = play.step(line) {
+            if let Err(what) = player.step(line) {
                 wrong.push(format!("{}:{}: '{line}': {what}", file.display(), number + 1));
                 break;
             }
@@ -300,36 +299,41 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// All decisions in a row of requests with mixed endings, over a list that changes, under the usual terms and these.
+/// All decisions on a series of requests with mixed outcomes while the list changes, under the default terms and these.
 fn decisions(overrides: &str) -> Vec<String> {
-    let mut play = Play::new(overrides);
-    let mut said = Vec::new();
-    play.list(0, true, &["a", "b:ready:z1", "c:ready:z1:c1:-:k1", "d:ready:z0:c1"]);
+    let mut player = Player::new(overrides);
+    let mut decided = Vec::new();
+    player.list(0, true, &["a", "b:ready:z1", "c:ready:z1:c1:-:k1", "d:ready:z0:c1"]);
     for number in 0..600 {
         let now = 10 + 7 * number;
         if number == 300 {
-            play.list(now, false, &["a:draining", "b:gone", &format!("e:ready:z0:c0:{now}")]);
+            player.list(now, false, &["a:draining", "b:gone", &format!("e:ready:z0:c0:{now}")]);
         }
         let method = METHODS[number as usize % METHODS.len()].0;
-        play.arrival(now, &format!("r{number}"), method, FLOOD_LEFT, &[]);
-        play.pull(now);
-        let ended = ["satisfied", "errored", "satisfied", "saturated", "overdue", "satisfied", "refused"];
+        player.arrival(now, &format!("r{number}"), method, FLOOD_LEFT, &[]);
+        player.take_decisions(now);
+        let outcomes = ["satisfied", "errored", "satisfied", "saturated", "overdue", "satisfied", "refused"];
         for step in 0.. {
-            let sent = play.pending.iter().any(|said| said.starts_with("send"));
-            said.extend(play.pending.drain(..));
+            let sent = player.pending.iter().any(|decision| decision.starts_with("send"));
+            decided.extend(player.pending.drain(..));
             if !sent {
                 break;
             }
-            play.answer(now + 1, &format!("r{number}"), step, ended[(number as usize + step) % ended.len()]);
-            play.pull(now + 1);
+            player.answer(
+                now + 1,
+                &format!("r{number}"),
+                step,
+                outcomes[(number as usize + step) % outcomes.len()],
+            );
+            player.take_decisions(now + 1);
         }
     }
-    said
+    decided
 }
 
-/// Danger: a deployment that states none of the later settings would be decided for otherwise than before.
+/// Danger: settings added later could change the decisions for a deployment that does not have them.
 #[test]
-fn settings_that_are_left_out_decide_as_their_neutral_values() {
+fn omitted_settings_decide_as_their_neutral_values() {
     let neutral = "rules.deadlineDriftNs=0 rules.stampDoubtNs=0 rules.drainBindsAlone=false deductions.crossZone=0 zone=z0";
     assert_eq!(decisions(""), decisions(neutral));
     for other in ["methods.0.confinedTo=z1", "methods.0.skusOpen=k1", "rules.drainBindsAlone=true"] {
--- a/tests/retune.rs
+++ b/tests/update_terms.rs
@@ -1,4 +1,4 @@
-//! Settings that come in the course of a run.
+//! Terms that are updated during a run.
 
 use appledyke::balancer::Balancer;
 use appledyke::ids::Places;
@@ -20,7 +20,7 @@
     Terms::decode(plain.chain(changes.iter().copied()), &mut Places::default()).expect("readable terms")
 }
 
-/// What a choice decides of some requests before six endpoints, of which one is cold.
+/// The decisions on some requests with six endpoints, one of which is cold.
 fn decisions(mut balancer: Balancer) -> Vec<Decision> {
     balancer.list_begin(true);
     for endpoint in 0..6 {
@@ -31,11 +31,11 @@
     }
     balancer.list_end(at(0));
     let mut decided = Vec::new();
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for request in 0..600 {
         let now = at(10 * (request as u64 + 1));
-        while out.front().is_some_and(|(due, _)| *due <= now)
-            && let Some((_, request)) = out.pop_front()
+        while in_flight.front().is_some_and(|(due, _)| *due <= now)
+            && let Some((_, request)) = in_flight.pop_front()
         {
             balancer.outcome(now, request, 0, Outcome::Success, true);
         }
@@ -47,7 +47,9 @@
         );
         while let Some(decision) = balancer.next_decision(now) {
             match decision {
-                Decision::Send { request, .. } => out.push_back((now + Span::from_millis(200), request)),
+                Decision::Send { request, .. } => {
+                    in_flight.push_back((now + Span::from_millis(200), request))
+                }
                 Decision::Probe { endpoint } => balancer.probe_result(now, endpoint, Some(endpoint as f64)),
                 _ => {}
             }
@@ -57,32 +59,33 @@
     decided
 }
 
-/// Danger: one that kept figures of the settings before would push cold endpoints over by those of another time, hold what
-/// it may send, and ask for loads that are not to be asked for.
+/// Danger: an instance that kept values derived from the old terms would overload cold endpoints, queue requests that
+/// it may send, and probe for loads where probes are off.
 #[test]
-fn settings_that_come_later_hold_as_if_they_had_been_there_from_the_start() {
+fn updated_terms_decide_as_if_they_had_held_from_the_start() {
     for changes in [
         &[("rules.overloadForNs", "500000000")][..],
         &[("nInstances", "40")],
         &[("ceilings.probes", "true"), ("reporting.source", "on_probe"), ("reporting.names", "outstanding")],
     ] {
         let fresh = || decisions(Balancer::new(at(0), terms(changes), 7));
-        let mut retuned = Balancer::new(at(0), terms(&[]), 7);
-        let before = retuned.terms().clone();
+        let mut updated = Balancer::new(at(0), terms(&[]), 7);
+        let before = updated.terms().clone();
         let (after, places) = terms(changes).after(&before, |_| false);
-        retuned.update_terms(after, &places);
-        let (fresh, retuned) = (fresh(), decisions(retuned));
+        updated.update_terms(after, &places);
+        let (fresh, updated) = (fresh(), decisions(updated));
         assert!(fresh != decisions(Balancer::new(at(0), terms(&[]), 7)), "{changes:?} changes something");
-        let differs = fresh.iter().zip(&retuned).position(|(one, other)| one != other);
-        assert_eq!((differs, fresh.len()), (None, retuned.len()), "{changes:?}");
+        let differs = fresh.iter().zip(&updated).position(|(one, other)| one != other);
+        assert_eq!((differs, fresh.len()), (None, updated.len()), "{changes:?}");
     }
 }
 
-/// Danger: a repeat that waits for its connect arrives after the group has forgotten the first, and runs twice.
+/// Danger: a retry that waits for its connect could arrive after the deduplication window of the group has passed,
+/// and run a second time.
 #[test]
-fn a_repeat_that_could_connect_only_after_its_group_forgets_is_not_sent() {
-    let repeats = |connects: &str, failed_at: u64| {
-        let mut balancer = Balancer::new(at(0), terms(&[("ceilings.connectTimeoutNs", connects)]), 7);
+fn a_retry_that_could_connect_only_after_the_deduplication_window_is_not_sent() {
+    let retries = |connect_timeout: &str, failed_at: u64| {
+        let mut balancer = Balancer::new(at(0), terms(&[("ceilings.connectTimeoutNs", connect_timeout)]), 7);
         balancer.list_begin(true);
         for endpoint in 0..2 {
             balancer.list_entry(at(0), endpoint, Entry { name_hash: endpoint as u32, ..Entry::default() });
@@ -94,7 +97,7 @@
         std::iter::from_fn(|| balancer.next_decision(at(failed_at)))
             .any(|d| matches!(d, Decision::Send { .. }))
     };
-    // Remembered for 2 s from the first.
-    assert!(repeats("0", 1900) && repeats("200000000", 1700));
-    assert!(!repeats("200000000", 1900) && !repeats("0", 2000));
+    // The window is 2 s from the first attempt.
+    assert!(retries("0", 1900) && retries("200000000", 1700));
+    assert!(!retries("200000000", 1900) && !retries("0", 2000));
 }
