--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -203,7 +203,7 @@
         let text = |name| http::only(request.headers, name);
         let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
         let name = text("X-Lane")?.unwrap_or(first);
-        let method = terms.place(name).filter(|_| name == first).ok_or(Bad(404))?;
+        let method = terms.method_index(name).filter(|_| name == first).ok_or(Bad(404))?;
         let m = &terms.methods[method];
         if (verb == "GET") != (m.effect == Effect::Retryable) {
             return Err(Bad(405));
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -318,11 +318,11 @@
         &self.terms
     }
 
-    /// Applies new terms to requests that arrive from now on. Methods that open requests use have kept their places.
-    /// For each place with another method, `places` has the place that the method's name had before, if any; what was
-    /// learnt there is carried over.
-    pub fn update_terms(&mut self, terms: Terms, places: &[(usize, Option<usize>)]) {
-        for (to, from) in places {
+    /// Applies new terms to requests that arrive from now on. Methods that open requests use have kept their indices.
+    /// `moved` has each index that now has another method, with the index that the method's name had before, if any;
+    /// what was learnt there is carried over.
+    pub fn update_terms(&mut self, terms: Terms, moved: &[(usize, Option<usize>)]) {
+        for (to, from) in moved {
             self.method_stats.resize(terms.methods.len(), MethodStats::default());
             self.method_stats[*to] = MethodStats::default();
             self.usual_latency.replace_method(*to, *from);
@@ -371,13 +371,13 @@
 
     pub fn outcome(&mut self, now: Moment, request: usize, attempt: usize, outcome: Outcome, closed: bool) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
-        let Some(w) = r.attempts.get_mut(attempt).filter(|w| w.ended.is_none()) else { return };
-        w.ended = Some(outcome);
+        let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.ended.is_none()) else { return };
+        a.ended = Some(outcome);
         r.closed |= closed;
         let (endpoint, method, load_deviation, key, client_reading) =
-            (w.endpoint, r.method, w.load_deviation, r.key, w.client_reading);
+            (a.endpoint, r.method, a.load_deviation, r.key, a.client_reading);
         let part =
-            now.since(w.sent).secs() / r.size / self.terms.methods[method].latency_budget.secs().max(1e-6);
+            now.since(a.sent).secs() / r.size / self.terms.methods[method].latency_budget.secs().max(1e-6);
         let too_late = outcome == Outcome::Timeout && now >= r.useful_until(&self.terms);
         self.due.push_back(request);
         self.recheck_queue = true;
@@ -412,18 +412,18 @@
         let Some(slots) = self.terms.reply_slots else { return };
         let mut reading = Vec::new();
         for (at, r) in self.requests.iter_mut().enumerate().filter_map(|(at, r)| Some((at, r.as_mut()?))) {
-            let out = r.attempts.last_mut().filter(|w| w.ended.is_none() && !r.streaming);
-            let Some(w) = out else { continue };
-            let Some(e) = self.endpoints[w.endpoint].as_mut() else { continue };
+            let out = r.attempts.last_mut().filter(|a| a.ended.is_none() && !r.streaming);
+            let Some(a) = out else { continue };
+            let Some(e) = self.endpoints[a.endpoint].as_mut() else { continue };
             let usual = self.usual_latency.mean_of(r.method).unwrap_or(f64::MAX)
                 * r.size
                 * e.latency.unwrap_or(1.0).max(1.0);
-            let age = now.since(w.sent);
-            if !w.client_reading && !e.client_reading && age.secs() > READING_AGE_FACTOR * usual {
-                (w.client_reading, e.client_reading) = (true, true);
+            let age = now.since(a.sent);
+            if !a.client_reading && !e.client_reading && age.secs() > READING_AGE_FACTOR * usual {
+                (a.client_reading, e.client_reading) = (true, true);
                 e.in_flight -= 1;
             }
-            if w.client_reading && !r.closed {
+            if a.client_reading && !r.closed {
                 reading.push((age, at));
             }
         }
@@ -529,7 +529,7 @@
     pub fn partly_forwarded(&mut self, now: Moment, request: usize) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
         (r.max_attempts, r.deadline, r.arrived) = (r.attempts.len(), r.deadline + now.since(r.arrived), now);
-        r.attempts.last_mut().into_iter().for_each(|w| w.sent = now);
+        r.attempts.last_mut().into_iter().for_each(|a| a.sent = now);
     }
 
     /// A probe has ended; `load` is the number of requests in flight that the endpoint reported, if it did.
@@ -563,7 +563,7 @@
     pub fn set_actual_attempt(&mut self, now: Moment, request: usize, endpoint: Option<usize>) {
         let Some(Some(r)) = self.requests.get_mut(request) else { return };
         (r.admitted, r.probed) = (true, Vec::new());
-        if let Some(Attempt { endpoint, client_reading, .. }) = r.attempts.pop_if(|w| w.ended.is_none()) {
+        if let Some(Attempt { endpoint, client_reading, .. }) = r.attempts.pop_if(|a| a.ended.is_none()) {
             self.endpoints[endpoint].iter_mut().for_each(|e| e.attempt_ended(client_reading));
         }
         if let Some(endpoint) = endpoint.filter(|at| self.endpoints[*at].is_some()) {
@@ -676,7 +676,7 @@
             return self.cancel_and_forget(request);
         }
         let over = now >= r.useful_until(&self.terms);
-        let out = r.attempts.last().filter(|w| w.ended.is_none()).map(|w| w.endpoint);
+        let out = r.attempts.last().filter(|a| a.ended.is_none()).map(|a| a.endpoint);
         if r.streaming || out.is_some() && !(r.cancel_when_late && over) {
             return;
         }
@@ -815,8 +815,8 @@
         };
         let of = |r: &Request| if r.nested { f64::MAX } else { method_worth(r.method) };
         let worth = |request: &usize| self.requests[*request].as_ref().map_or(0.0, of);
-        let place = self.queue.partition_point(|queued| worth(queued) >= worth(&request));
-        self.queue.insert(place, request);
+        let position = self.queue.partition_point(|queued| worth(queued) >= worth(&request));
+        self.queue.insert(position, request);
         // Danger: a queue longer than what is sent within the longest wait only delays rejections.
         if self.queue.len() as f64 > (self.sends.in_second() * wait.secs()).max(QUEUE_MIN) {
             let last = self.queue.pop().expect("just filled");
@@ -859,7 +859,7 @@
     /// Cancels the attempts in flight of a closed request, or forgets the request once no outcome is outstanding.
     fn cancel_and_forget(&mut self, request: usize) {
         let Some(r) = self.requests[request].as_ref() else { return };
-        let out = r.attempts.iter().enumerate().filter(|(_, w)| w.ended.is_none());
+        let out = r.attempts.iter().enumerate().filter(|(_, a)| a.ended.is_none());
         let cancels = out.map(|(attempt, _)| Decision::Cancel { request, attempt }).collect::<Vec<_>>();
         if !cancels.is_empty() {
             return self.decisions.extend(cancels.into_iter().filter(|_| self.terms.may_cancel));
@@ -918,12 +918,12 @@
     fn credit(&self, now: Moment, e: &Endpoint) -> (f64, f64, Option<f64>) {
         let share = |e: &Endpoint| e.warm_up_share(now, &self.terms);
         let kept = if share(e) < 1.0 { self.subset_endpoints() } else { return (1.0, 0.0, None) };
-        let places = kept.iter().map(|(_, e)| share(e) * e.health(now, None)).sum::<f64>().max(1.0);
+        let capacity = kept.iter().map(|(_, e)| share(e) * e.health(now, None)).sum::<f64>().max(1.0);
         if kept.iter().any(|(_, e)| share(e) >= 1.0) {
-            let burst = self.sends.excess(now, COLD_BURST_SENDS * places) / places * share(e);
-            return (e.credit.0, burst, Some(self.sends.settled() / places * share(e)));
+            let burst = self.sends.excess(now, COLD_BURST_SENDS * capacity) / capacity * share(e);
+            return (e.credit.0, burst, Some(self.sends.settled() / capacity * share(e)));
         }
-        let gain = (self.sends.in_window() / places).max(COLD_SENDS_MIN / self.terms.instances) * share(e);
+        let gain = (self.sends.in_window() / capacity).max(COLD_SENDS_MIN / self.terms.instances) * share(e);
         (token_bucket_level(e.credit, now, gain, self.terms.overload_window), 0.0, None)
     }
 
@@ -1004,13 +1004,13 @@
         let expects =
             |e: &Endpoint, weight: f64| (1.0 + slope * self.load_deviation(e).unwrap_or(0.0)) / weight;
         let weight = |e: &Endpoint, health: f64| {
-            let place = e.warm_up_share(now, &self.terms) * health;
-            (place, e.fraction * self.usual_latency.relative_speed(e.entry.kind, r.method) * place)
+            let capacity = e.warm_up_share(now, &self.terms) * health;
+            (capacity, e.fraction * self.usual_latency.relative_speed(e.entry.kind, r.method) * capacity)
         };
         let usual: f64 = used.iter().filter(|_| probed).map(|(_, e, t)| expects(e, weight(e, *t).1)).sum();
         let usual = usual / (used.len() as f64).max(1.0);
         for (endpoint, e, health) in used {
-            let (share, (place, weight)) = (e.warm_up_share(now, &self.terms), weight(e, health));
+            let (share, (capacity, weight)) = (e.warm_up_share(now, &self.terms), weight(e, health));
             let (credit, burst, gain) = self.credit(now, e);
             let (full, busy) = if probed {
                 let late =
@@ -1020,7 +1020,8 @@
                 // Danger: in a burst only endpoints that are down stay below the mean in flight, and would get all
                 // requests. So each further attempt has to fit into the room that the endpoint's health leaves.
                 let home = (self.zone_weight(e) * healths / home).min(OWN_ZONE_ROOM_MAX);
-                let room = place * home * IN_FLIGHT_FACTOR * mean + health * (1.0 + share * IN_FLIGHT_SLACK);
+                let room =
+                    capacity * home * IN_FLIGHT_FACTOR * mean + health * (1.0 + share * IN_FLIGHT_SLACK);
                 let full = e.in_flight as f64 >= (limit * share).max(1.0);
                 (full && !r.nested, takes(e) > FIT_PREFERRED * left || e.in_flight as f64 + 1.0 > room)
             };
@@ -1028,7 +1029,7 @@
                 continue;
             }
             let weight = weight * self.zone_weight(e) / gain.unwrap_or(1.0).clamp(COLD_GAIN_MIN, 1.0);
-            let tried = if r.attempts.iter().any(|w| w.endpoint == endpoint) { TRIED_WEIGHT } else { 1.0 };
+            let tried = if r.attempts.iter().any(|a| a.endpoint == endpoint) { TRIED_WEIGHT } else { 1.0 };
             if busy { &mut above } else { &mut open }.push((endpoint, weight * tried));
         }
         (open, above)
@@ -1036,15 +1037,15 @@
 
     /// Whether the request may go to this endpoint now without the risk that its effect happens twice.
     fn may_attempt(&self, now: Moment, r: &Request, m: &Method, e: &Endpoint) -> bool {
-        let may_have_run = || r.attempts.iter().filter(|w| !w.ended.is_some_and(Outcome::never_ran));
+        let may_have_run = || r.attempts.iter().filter(|a| !a.ended.is_some_and(Outcome::never_ran));
         let Some(first) = may_have_run().next() else { return true };
         // Danger: the request may run twice outside the group that deduplicates it, or once that group's window has
         // passed since the first attempt that may have run.
         let remembered =
             now.since(first.sent) + self.terms.connect_timeout + self.terms.tick * DEDUP_MARGIN_TICKS
                 < m.window;
-        let earlier = |w: &Attempt| self.endpoints[w.endpoint].as_ref().map(|e| &e.entry);
-        let alike = |w: &Attempt| earlier(w).is_some_and(|earlier| m.group.same_group(earlier, &e.entry));
+        let earlier = |a: &Attempt| self.endpoints[a.endpoint].as_ref().map(|e| &e.entry);
+        let alike = |a: &Attempt| earlier(a).is_some_and(|earlier| m.group.same_group(earlier, &e.entry));
         match m.effect {
             Effect::Retryable => true,
             Effect::NonRetryable => false,
@@ -1056,8 +1057,8 @@
     fn solve(&mut self, now: Moment) {
         let over = self.sends.roll(now, self.terms.overload_window);
         for at in 0..if over || self.solved.is_none() { self.endpoints.len() } else { 0 } {
-            let anew = self.endpoints[at].as_ref().filter(|e| over || e.new);
-            let Some(gain) = anew.and_then(|e| self.credit(now, e).2) else { continue };
+            let renewed = self.endpoints[at].as_ref().filter(|e| over || e.new);
+            let Some(gain) = renewed.and_then(|e| self.credit(now, e).2) else { continue };
             let drawn = (COLD_CREDIT_FACTOR * gain + self.random.unit(), now);
             self.endpoints[at].iter_mut().for_each(|e| e.credit = drawn);
         }
@@ -1071,8 +1072,8 @@
         let mut ages = vec![0.0_f64; self.endpoints.len()];
         for r in self.requests.iter().flatten() {
             let usual = self.usual_latency.mean_of(r.method).unwrap_or(f64::MAX);
-            for w in r.attempts.iter().filter(|w| w.ended.is_none() && !w.client_reading) {
-                ages[w.endpoint] = ages[w.endpoint].max(now.since(w.sent).secs() / (usual * r.size));
+            for a in r.attempts.iter().filter(|a| a.ended.is_none() && !a.client_reading) {
+                ages[a.endpoint] = ages[a.endpoint].max(now.since(a.sent).secs() / (usual * r.size));
             }
         }
         self.keys.retain(|_, window| window.sums(now).0 > 0.0);
@@ -1085,7 +1086,7 @@
             e.fraction = e.latency.map_or(mean, |_| e.fraction);
             let over =
                 e.entry.state == EndpointState::Gone && e.in_flight == 0 && e.gone_at + GONE_RETENTION < now;
-            if over && !self.requests.iter().flatten().any(|r| r.attempts.iter().any(|w| w.endpoint == at)) {
+            if over && !self.requests.iter().flatten().any(|r| r.attempts.iter().any(|a| a.endpoint == at)) {
                 self.by_name_hash.remove(&e.entry.name_hash);
                 *slot = None;
                 self.decisions.push_back(Decision::ForgetEndpoint { endpoint: at });
@@ -1129,21 +1130,21 @@
             let at = |at: &usize| self.endpoints[*at].as_ref();
             let open = |e: &usize| method.is_none_or(|m| at(e).is_some_and(|e| m.allows(&e.entry)));
             let mut healthy = self.subset.iter().filter(|at| open(at)).map(health).sum::<f64>();
-            let mut places: Draw = outside.extract_if(.., |(at, _)| open(at)).collect();
-            while let Some(added) = self.random.weighted(&places).filter(|_| healthy < wanted) {
+            let mut pool: Draw = outside.extract_if(.., |(at, _)| open(at)).collect();
+            while let Some(added) = self.random.weighted(&pool).filter(|_| healthy < wanted) {
                 self.subset.push(added);
-                places.retain(|(at, _)| *at != added);
+                pool.retain(|(at, _)| *at != added);
                 healthy += health(&added);
             }
-            outside.append(&mut places);
+            outside.append(&mut pool);
         }
     }
 
     /// Removes the endpoint of the subset that serves worst.
     fn drop_worst_of_subset(&mut self, now: Moment) {
-        let good = |e: &Endpoint| e.fraction * e.health(now, None);
-        let good = |place: &usize| self.endpoints[self.subset[*place]].as_ref().map_or(0.0, good);
-        if let Some(worst) = (0..self.subset.len()).min_by(|a, b| good(a).total_cmp(&good(b))) {
+        let quality = |e: &Endpoint| e.fraction * e.health(now, None);
+        let quality = |at: &usize| self.endpoints[self.subset[*at]].as_ref().map_or(0.0, quality);
+        if let Some(worst) = (0..self.subset.len()).min_by(|a, b| quality(a).total_cmp(&quality(b))) {
             let removed = self.subset.swap_remove(worst);
             self.close_idle(removed);
         }
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -298,12 +298,12 @@
         *self.0.get(kind)?.get(method)?
     }
 
-    /// Puts another method at a place, with the latencies of the place it had before, or none.
-    pub fn replace_method(&mut self, place: usize, from: Option<usize>) {
+    /// Puts another method at an index, with the latencies of the index it had before, or none.
+    pub fn replace_method(&mut self, index: usize, from: Option<usize>) {
         for methods in &mut self.0 {
             let latency = from.and_then(|from| *methods.get(from)?);
-            methods.resize(methods.len().max(place + 1), None);
-            methods[place] = latency;
+            methods.resize(methods.len().max(index + 1), None);
+            methods[index] = latency;
         }
     }
 
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -78,8 +78,8 @@
     pub load_at: Option<usize>,
     /// The cost of one probe for each request.
     pub probe_price: f64,
-    /// The methods at their places. Requests refer to these, so a method that is not offered any more keeps its place
-    /// as long as open requests use it.
+    /// The methods by their indices. Requests refer to these, so a method that is not offered any more keeps its
+    /// index as long as open requests use it.
     pub methods: Vec<Method>,
     pub offered: Vec<bool>,
     pub max_attempts: usize,
@@ -233,46 +233,46 @@
         up.map_or(1.0, |up| self.cold_capacity + warmed(up))
     }
 
-    /// The place of the method that is offered under a name.
-    pub fn place(&self, name: &str) -> Option<usize> {
+    /// The index of the method that is offered under a name.
+    pub fn method_index(&self, name: &str) -> Option<usize> {
         (0..self.methods.len()).find(|at| self.offered[*at] && self.methods[*at].name == name)
     }
 
-    /// These terms as the successors of others. A method that has not changed keeps its place, and so does one that open
-    /// requests still use, though it is not offered any more; every other method takes a free place or a new one. These
-    /// places are returned, each with the place that the method's name had before.
+    /// These terms as the successors of others. A method that has not changed keeps its index, and so does one that
+    /// open requests still use, though it is not offered any more; every other method takes a free index or a new
+    /// one. These indices are returned, each with the one that the method's name had before.
     pub fn after(
         mut self,
         before: &Terms,
-        held: impl Fn(usize) -> bool,
+        in_use: impl Fn(usize) -> bool,
     ) -> (Terms, Vec<(usize, Option<usize>)>) {
         let new = std::mem::replace(&mut self.methods, before.methods.clone());
         self.offered =
             (0..self.methods.len()).map(|at| before.offered[at] && new.contains(&self.methods[at])).collect();
-        // Danger: if a method took the place that another method's name still has, what was learnt there would be
+        // Danger: if a method took the index that another method's name still has, what was learnt there would be
         // lost.
-        let previous: Vec<_> = new.iter().map(|method| before.place(&method.name)).collect();
-        let mut places = Vec::new();
+        let previous: Vec<_> = new.iter().map(|method| before.method_index(&method.name)).collect();
+        let mut moved = Vec::new();
         for method in new {
-            let own = before.place(&method.name);
+            let own = before.method_index(&method.name);
             if own.is_some_and(|at| before.methods[at] == method) {
                 continue;
             }
             let may_take = |at: &usize| own == Some(*at) || !previous.contains(&Some(*at));
-            let free = (0..self.methods.len()).filter(|at| !self.offered[*at] && !held(*at)).find(may_take);
-            let place = free.unwrap_or(self.methods.len());
-            places.push((place, own));
-            if place == self.methods.len() {
+            let free = (0..self.methods.len()).filter(|at| !self.offered[*at] && !in_use(*at)).find(may_take);
+            let index = free.unwrap_or(self.methods.len());
+            moved.push((index, own));
+            if index == self.methods.len() {
                 self.methods.push(method);
                 self.offered.push(true);
             } else {
-                (self.methods[place], self.offered[place]) = (method, true);
+                (self.methods[index], self.offered[index]) = (method, true);
             }
         }
-        (self, places)
+        (self, moved)
     }
 
-    /// These terms with each method at the place that its name has in others; a method that these lack is taken from
+    /// These terms with each method at the index that its name has in others; a method that these lack is taken from
     /// there.
     pub fn aligned(mut self, others: &Terms) -> Terms {
         let own = |(method, offered): (&Method, &bool)| {
@@ -400,28 +400,28 @@
     }
 
     #[test]
-    fn a_changed_method_takes_a_new_place_and_places_in_use_stay() {
+    fn a_changed_method_takes_a_new_index_and_indices_in_use_stay() {
         let first = terms(&[("a", 1.0), ("b", 1.0), ("c", 1.0)]);
         // The same methods again: none moves.
-        let (same, places) = terms(&[("c", 1.0), ("a", 1.0), ("b", 1.0)]).after(&first, |_| true);
-        assert_eq!((places.as_slice(), same.methods == first.methods), (&[][..], true));
-        // One method removed, one changed, one new, while requests use the first place.
-        let (second, places) = terms(&[("d", 1.0), ("a", 2.0), ("c", 1.0)]).after(&first, |at| at == 0);
-        assert_eq!(places, [(1, None), (3, Some(0))]);
-        let at = |terms: &Terms, name: &str| terms.place(name);
+        let (same, moved) = terms(&[("c", 1.0), ("a", 1.0), ("b", 1.0)]).after(&first, |_| true);
+        assert_eq!((moved.as_slice(), same.methods == first.methods), (&[][..], true));
+        // One method removed, one changed, one new, while requests use the first index.
+        let (second, moved) = terms(&[("d", 1.0), ("a", 2.0), ("c", 1.0)]).after(&first, |at| at == 0);
+        assert_eq!(moved, [(1, None), (3, Some(0))]);
+        let at = |terms: &Terms, name: &str| terms.method_index(name);
         let found = ["a", "b", "c", "d"].map(|name| at(&second, name));
         assert_eq!(found, [Some(3), None, Some(2), Some(1)]);
         assert_eq!((second.methods[0].name.as_str(), second.methods[0].criticality), ("a", 1.0));
-        // Places that are free by now are reused, but not one that another method's name still has.
-        let (third, places) = terms(&[("e", 1.0), ("d", 2.0), ("a", 3.0)]).after(&second, |_| false);
+        // Indices that are free by now are reused, but not one that another method's name still has.
+        let (third, moved) = terms(&[("e", 1.0), ("d", 2.0), ("a", 3.0)]).after(&second, |_| false);
         assert_eq!(
-            (places.as_slice(), third.methods.len()),
+            (moved.as_slice(), third.methods.len()),
             (&[(0, None), (1, Some(1)), (2, Some(3))][..], 4)
         );
     }
 
     #[test]
-    fn a_thousand_changes_take_no_more_places_than_are_in_use() {
+    fn a_thousand_changes_take_no_more_indices_than_are_in_use() {
         let mut now = terms(&[("a", 0.0), ("b", 0.0)]);
         for round in 1..1000 {
             let held = |at: usize| at == round % 3;
