--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -63,7 +63,8 @@
 
 /// Added to the score for a failure.
 const OUTLIER_STEP: f64 = 1.0;
-/// Added for a refused or broken connection or an attempt that timed out: then mostly all requests fail.
+/// Added for a refused or broken connection, or a timeout past the time up to which the answer was of use: then mostly
+/// all requests fail.
 const OUTLIER_STEP_DOWN: f64 = 4.0;
 /// Part of a step that is added for the other methods; all of it if connections fail, as then mostly all methods do.
 const OUTLIER_OTHER_METHODS: f64 = 0.5;
