--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica.
+//! One replica: elections, replication, reads, changes of the voter set, joining and rejoining.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,73 +9,77 @@
     Batch, Body, Content, Entry, HardState, Id, Index, Message, PersistedState, Position, Snapshot, Term,
 };
 
-/// Entries of one message: what a slow link must carry before it says that the leader lives.
-const ENTRIES_MOST: usize = 64;
-/// Bytes of commands in one message, if it has more than one: a frame must hold it.
-const BYTES_MOST: usize = 1 << 20;
-/// Beats until a snapshot that was not answered is sent once more: it is long, and a second copy delays the first.
-const SNAPSHOT_BEATS: u32 = 20;
-/// Elections without a leader until one that holds less than others had when it returned asks anew: whoever held more may
-/// have lost it since, uncommitted.
-const STUCK_ELECTIONS: u32 = 4;
-/// Beats between two tries of one that returns or joins: it is heard by all who are there within one.
-const TRY_BEATS: u32 = 1;
-/// Entries that a joining replica may lack when it becomes a voter: a few messages' worth, as more would hold up
-/// commits that need it.
-const JOIN_GAP: Index = 2 * ENTRIES_MOST as Index;
-
-/// How a replica is set up.
+/// Entries in one message. A slow link carries a whole message before the follower hears the leader again.
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
+/// Bytes of commands in a message of more than one entry, so that a message fits in a frame.
+const MAX_BYTES_PER_MESSAGE: usize = 1 << 20;
+/// Heartbeats before an unanswered snapshot is sent again. A snapshot is large, and a second copy delays the first.
+const SNAPSHOT_RESEND_HEARTBEATS: u32 = 20;
+/// Election timeouts without a leader before a replica whose log ends before `min_vote_position` rejoins again: whoever
+/// held the later entries may have lost them since, if they were not committed.
+const ELECTIONS_BEFORE_REJOIN: u32 = 4;
+/// Heartbeats between two requests to join or rejoin. All reachable replicas answer within one heartbeat.
+const RETRY_HEARTBEATS: u32 = 1;
+/// Entries that a learner may lack when it becomes a voter. A few messages carry that many; a longer gap would delay
+/// the commits that need the new voter.
+const MAX_JOIN_LAG: Index = 2 * MAX_ENTRIES_PER_MESSAGE as Index;
+
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub id: Id,
-    /// All places that operators have configured, this one too.
+    /// All replica ids that operators have configured, including this replica's.
     pub replica_ids: BTreeSet<u16>,
-    /// Ticks without a leader until a replica stands for election: this many, and up to as many again by chance.
+    /// The least election timeout in ticks. Each timeout is drawn at random between this and twice this.
     pub election_ticks: u32,
-    /// Ticks between a leader's signs of life.
+    /// Ticks between a leader's heartbeats.
     pub heartbeat_ticks: u32,
-    /// Entries that a snapshot covers and that are kept all the same, for replicas a little behind.
+    /// Entries that are kept although a snapshot covers them, for followers that are slightly behind.
     pub trailing_entries: Index,
-    /// Danger: an operator's word that the folder is the latest that this replica had. Without it one that returns asks
-    /// the others first.
+    /// Danger: with this set the replica skips the rejoin protocol. An operator sets it to vouch that the folder is the
+    /// latest that this replica wrote; with an older copy the replica could forget votes and acknowledged entries.
     pub trust_folder: bool,
 }
 
+/// The role of a replica. Operators see the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Asks the others how far it had come, and neither votes nor acknowledges until it knows.
+    /// The replica may have lost part of its log, as after a restart, and asks the others for their last positions.
+    /// Until enough have answered it neither votes nor acknowledges.
     Returning,
-    /// Not a voter: it has nothing yet, or was taken out.
+    /// Not a voter: it has not joined yet, or was removed from the voters.
     Outside,
     Follower,
     Candidate,
     Leader,
-    /// It has lost what it had acknowledged: it must come back as another life.
+    /// The replica no longer holds entries that it had acknowledged. Its replica id must continue with a new
+    /// incarnation.
     Lost,
 }
 
-/// Why a replica takes no proposal or read.
+/// Why a replica rejects a proposal, a read or a leadership transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaError {
-    /// Another may be the leader.
+    /// The id is that of the leader, where it is known.
     NotLeader(Option<Id>),
-    /// Leadership is being handed over.
+    /// A leadership transfer is in progress.
     TransferringLeadership,
-    /// An earlier change of voters is not committed, or this one changes more than one.
+    /// An earlier change of voters is not committed yet, the change is not of exactly one voter, or the target of a
+    /// transfer is not another voter.
     VoterChangeRefused,
 }
 
-/// What the host is to do next: persist the batch and say so, then send, apply and answer.
+/// What the host must do next: persist the batch and call `Replica::mark_durable`, then send the messages, apply the
+/// committed entries and answer the reads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
     pub batch: Option<Batch>,
     pub messages: Vec<Message>,
-    /// The host's state is this from now on.
+    /// A snapshot that replaces the host's state.
     pub install: Option<Snapshot>,
     pub committed: Vec<Entry>,
-    /// Reads that may be answered, by their tickets, once all that is committed here is applied.
+    /// Tickets of reads that may be answered once `committed` is applied.
     pub reads: Vec<u64>,
-    /// Reads that this replica can't answer any more.
+    /// Tickets of reads that this replica can no longer answer.
     pub failed_reads: Vec<u64>,
 }
 
@@ -85,159 +89,173 @@
     }
 }
 
+/// The leader's view of another replica.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     match_index: Index,
-    next: Index,
-    /// The latest round that it has answered.
-    round: u64,
-    /// Ticks since it was heard.
-    silent: u32,
-    /// It has acknowledged something since the last beat.
-    moved: bool,
-    /// Beats until a snapshot may be sent again.
-    snapshot_in: u32,
+    next_index: Index,
+    /// The latest read round that the peer has acknowledged.
+    acked_round: u64,
+    ticks_since_heard: u32,
+    /// `match_index` has grown since the last heartbeat.
+    advanced: bool,
+    /// Heartbeats until a snapshot may be sent again.
+    snapshot_resend_in: u32,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Lead {
+struct LeaderState {
     peers: BTreeMap<Id, Peer>,
-    /// Those that ask to join.
-    joining: BTreeSet<Id>,
-    since_beat: u32,
-    round: u64,
-    /// Reads, and the round that must have been answered by a majority.
-    reads: VecDeque<(u64, u64)>,
-    /// Reads that wait until so much is given to the host.
-    ready: VecDeque<(u64, Index)>,
-    /// Its own first entry: until that is committed it does not know what is.
-    first: Index,
-    /// To whom it hands over, and for how many ticks it still tries.
-    hands_over: Option<(Id, u32)>,
+    /// Replicas that asked to join and are not voters yet.
+    learners: BTreeSet<Id>,
+    ticks_since_heartbeat: u32,
+    read_round: u64,
+    /// Tickets of reads, each with the read round that a majority must acknowledge.
+    pending_reads: VecDeque<(u64, u64)>,
+    /// Tickets of reads, each with the index up to which the host must have received committed entries.
+    confirmed_reads: VecDeque<(u64, Index)>,
+    /// The index of the first entry of this leader's term. Until it is committed the leader does not know which of the
+    /// earlier entries are.
+    first_index: Index,
+    /// The target of a leadership transfer, and the ticks until the transfer is given up.
+    transfer: Option<(Id, u32)>,
 }
 
+/// Candidates hold the ids of those that granted a vote or pre-vote.
 #[derive(Clone, Debug)]
-enum Part {
+enum RoleState {
     Follower,
-    Pre(BTreeSet<Id>),
+    PreCandidate(BTreeSet<Id>),
     Candidate(BTreeSet<Id>),
-    Leader(Lead),
+    Leader(LeaderState),
+}
+
+/// How an election starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CampaignType {
+    /// After an election timeout: a pre-vote first.
+    PreVote,
+    /// At the leader's request: without a pre-vote.
+    LeadershipTransfer,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Returning {
+struct Rejoin {
     nonce: u64,
-    /// By place: how far each has come.
-    heard: BTreeMap<u16, Position>,
+    /// The last positions of those that have answered, by replica id.
+    positions: BTreeMap<u16, Position>,
     term: Term,
-    tries_in: u32,
+    retry_in: u32,
 }
 
 pub struct Replica {
     settings: Settings,
-    chance: Rand64,
+    rng: Rand64,
     hard_state: HardState,
     log: Log,
     commit_index: Index,
-    /// Up to where committed entries were given to the host.
-    given: Index,
-    /// Up to where the own log is durable.
-    saved: Index,
-    part: Part,
+    /// The last committed entry that the host has received.
+    delivered_index: Index,
+    /// The last entry of this replica's log that is durable.
+    durable_index: Index,
+    role_state: RoleState,
     leader: Option<Id>,
-    since_heard: u32,
-    timeout: u32,
-    returning: Option<Returning>,
-    lost: bool,
-    joins_in: u32,
-    /// It has been a voter since it started.
-    admitted: bool,
-    /// A refusal to join, to be told once.
-    not_now: bool,
-    /// The end that others had when this one returned: no vote for less.
-    floor: Position,
-    /// Ticks without a leader while the own log ends before that.
-    stuck: u32,
-    /// Up to where others are known to have acknowledged what is committed.
-    acked: BTreeMap<Id, Index>,
-    unsaved: Batch,
-    numbers: u64,
-    durable: u64,
-    /// Batches that are on their way to the disk, and the end of the log in each.
-    under_way: VecDeque<(u64, Index)>,
-    /// Messages, and the batch that must be durable first.
-    held: VecDeque<(u64, Message)>,
-    fresh: Vec<Message>,
-    work: Ready,
+    /// Ticks since the leader was heard, a vote was granted or an election was started.
+    ticks_since_heard: u32,
+    election_timeout: u32,
+    rejoin: Option<Rejoin>,
+    /// Acknowledged entries are lost; the replica takes part in nothing any more.
+    acknowledged_lost: bool,
+    join_retry_in: u32,
+    /// The replica has been a voter at some time since it started.
+    was_voter: bool,
+    /// A request to join was refused; cleared when the host reads it.
+    join_refused: bool,
+    /// The greatest last position among the others when this replica rejoined. It neither campaigns with a log that ends before
+    /// this, nor votes for such a log.
+    min_vote_position: Position,
+    /// Ticks without a leader while this replica's log ends before `min_vote_position`.
+    ticks_behind: u32,
+    /// By replica, the last committed index that it is known to have acknowledged.
+    committed_acks: BTreeMap<Id, Index>,
+    pending_batch: Batch,
+    last_batch_number: u64,
+    durable_batch: u64,
+    /// Batches that the host has not yet reported durable, each with the last index of the log at that point.
+    batches_in_flight: VecDeque<(u64, Index)>,
+    /// Messages, each with the batch that must be durable before it is sent.
+    held_messages: VecDeque<(u64, Message)>,
+    new_messages: Vec<Message>,
+    ready: Ready,
 }
 
 impl Replica {
-    /// A replica with what its folder holds: nothing for one that is to join.
-    pub fn new(settings: Settings, seed: u64, kept: PersistedState) -> Replica {
-        let chance = Rand64::new(u128::from(seed));
-        let hard_state = kept.hard_state;
-        let log = Log::of(kept);
-        let given = log.snapshot.as_ref().map_or(0, |snapshot| snapshot.last_included.index);
-        let blank = log.last() == Position::default();
+    /// Starts a replica from what its folder holds. With an empty folder it asks to join.
+    pub fn new(settings: Settings, seed: u64, persisted: PersistedState) -> Replica {
+        let rng = Rand64::new(u128::from(seed));
+        let hard_state = persisted.hard_state;
+        let log = Log::new(persisted);
+        let delivered_index = log.snapshot.as_ref().map_or(0, |snapshot| snapshot.last_included.index);
+        let is_empty = log.last() == Position::default();
         let alone = settings.replica_ids.len() <= 1;
         let mut replica = Replica {
-            returning: (!blank && !settings.trust_folder && !alone).then(Returning::default),
-            commit_index: given,
-            given,
-            saved: log.last().index,
+            rejoin: (!is_empty && !settings.trust_folder && !alone).then(Rejoin::default),
+            commit_index: delivered_index,
+            delivered_index,
+            durable_index: log.last().index,
             settings,
-            chance,
+            rng,
             hard_state,
             log,
-            part: Part::Follower,
+            role_state: RoleState::Follower,
             leader: None,
-            since_heard: 0,
-            timeout: 0,
-            lost: false,
-            joins_in: 0,
-            admitted: false,
-            not_now: false,
-            floor: Position::default(),
-            stuck: 0,
-            acked: BTreeMap::new(),
-            unsaved: Batch::default(),
-            numbers: 0,
-            durable: 0,
-            under_way: VecDeque::new(),
-            held: VecDeque::new(),
-            fresh: Vec::new(),
-            work: Ready::default(),
+            ticks_since_heard: 0,
+            election_timeout: 0,
+            acknowledged_lost: false,
+            join_retry_in: 0,
+            was_voter: false,
+            join_refused: false,
+            min_vote_position: Position::default(),
+            ticks_behind: 0,
+            committed_acks: BTreeMap::new(),
+            pending_batch: Batch::default(),
+            last_batch_number: 0,
+            durable_batch: 0,
+            batches_in_flight: VecDeque::new(),
+            held_messages: VecDeque::new(),
+            new_messages: Vec::new(),
+            ready: Ready::default(),
         };
         if let Some(snapshot) = &replica.log.snapshot {
-            replica.work.install = Some(snapshot.clone());
+            replica.ready.install = Some(snapshot.clone());
         }
-        let nonce = replica.chance.rand_u64();
-        replica.returning.iter_mut().for_each(|returning| returning.nonce = nonce);
-        replica.draw_timeout();
+        let nonce = replica.rng.rand_u64();
+        replica.rejoin.iter_mut().for_each(|rejoin| rejoin.nonce = nonce);
+        replica.draw_election_timeout();
         replica
     }
 
-    /// What the folder of a fleet's first replica holds: it votes alone. To be made once, by an operator's word.
+    /// What the folder of a fleet's first replica holds, which is the only voter. An operator bootstraps a fleet once.
     pub fn bootstrap(id: Id) -> PersistedState {
-        let at = Position { term: 1, index: 1 };
-        let entries = vec![Entry { position: at, content: Content::Voters(BTreeSet::from([id])) }];
+        let position = Position { term: 1, index: 1 };
+        let entries = vec![Entry { position, content: Content::Voters(BTreeSet::from([id])) }];
         PersistedState { hard_state: HardState { term: 1, vote: Some(id) }, snapshot: None, entries }
     }
 
-    // What the host may ask.
+    // Queries.
 
     pub fn id(&self) -> Id {
         self.settings.id
     }
 
     pub fn role(&self) -> Role {
-        match &self.part {
-            _ if self.lost => Role::Lost,
-            _ if self.returning.is_some() => Role::Returning,
-            Part::Leader(_) => Role::Leader,
-            _ if !self.votes() => Role::Outside,
-            Part::Follower => Role::Follower,
-            Part::Pre(_) | Part::Candidate(_) => Role::Candidate,
+        match &self.role_state {
+            _ if self.acknowledged_lost => Role::Lost,
+            _ if self.rejoin.is_some() => Role::Returning,
+            RoleState::Leader(_) => Role::Leader,
+            _ if !self.is_voter() => Role::Outside,
+            RoleState::Follower => Role::Follower,
+            RoleState::PreCandidate(_) | RoleState::Candidate(_) => Role::Candidate,
         }
     }
 
@@ -261,7 +279,7 @@
         self.log.voters()
     }
 
-    /// The term of an entry that is held.
+    /// The term of an entry, if the log holds it.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         self.log.term(index)
     }
@@ -270,211 +288,228 @@
         self.log.entry(index)
     }
 
-    /// The first index of which the entry may not be held any more.
+    /// The position directly before the first entry that the log holds.
     pub fn base(&self) -> Position {
         self.log.base()
     }
 
-    /// As a leader: whom it hears, and up to where each holds its log.
+    /// The leader's peers, each with its match index and whether it was heard within an election timeout. Empty on
+    /// other replicas.
     pub fn peers(&self) -> Vec<(Id, Index, bool)> {
-        match &self.part {
-            Part::Leader(lead) => {
-                let heard = |peer: &Peer| peer.silent < self.settings.election_ticks;
-                lead.peers.iter().map(|(id, peer)| (*id, peer.match_index, heard(peer))).collect()
+        match &self.role_state {
+            RoleState::Leader(state) => {
+                let heard = |peer: &Peer| peer.ticks_since_heard < self.settings.election_ticks;
+                state.peers.iter().map(|(id, peer)| (*id, peer.match_index, heard(peer))).collect()
             }
             _ => Vec::new(),
         }
     }
 
-    /// Whether its request to join was refused since this was asked last, as another life of its place is heard.
+    /// Whether a request to join was refused since the last call, because another incarnation of the same replica id is
+    /// active.
     pub fn take_join_refusal(&mut self) -> bool {
-        std::mem::take(&mut self.not_now)
+        std::mem::take(&mut self.join_refused)
     }
 
-    // What it hears.
+    // Inputs.
 
     pub fn tick(&mut self) {
-        if self.lost {
+        if self.acknowledged_lost {
             return;
         }
-        if let Some(returning) = &mut self.returning {
-            returning.tries_in = returning.tries_in.saturating_sub(1);
-            if returning.tries_in == 0 {
-                returning.tries_in = TRY_BEATS * self.settings.heartbeat_ticks;
-                self.ask_how_far();
+        if let Some(rejoin) = &mut self.rejoin {
+            rejoin.retry_in = rejoin.retry_in.saturating_sub(1);
+            if rejoin.retry_in == 0 {
+                rejoin.retry_in = RETRY_HEARTBEATS * self.settings.heartbeat_ticks;
+                self.send_rejoin_requests();
             }
             return;
         }
-        if matches!(self.part, Part::Leader(_)) {
+        if matches!(self.role_state, RoleState::Leader(_)) {
             self.tick_leader();
             return;
         }
-        self.since_heard = self.since_heard.saturating_add(1);
-        if !self.votes() {
-            self.joins_in = self.joins_in.saturating_sub(1);
-            // One that was taken out while it ran stays out; who started without a vote asks for one, unless a leader
-            // brings it up already.
-            let unheard = self.log.voters().is_empty() || self.since_heard > self.settings.election_ticks;
-            if self.joins_in == 0 && !self.admitted && unheard {
-                self.joins_in = TRY_BEATS * self.settings.heartbeat_ticks;
-                self.tell_others(Body::JoinRequest);
+        self.ticks_since_heard = self.ticks_since_heard.saturating_add(1);
+        if !self.is_voter() {
+            self.join_retry_in = self.join_retry_in.saturating_sub(1);
+            // A replica that started as a non-voter asks to join, unless a leader already replicates to it. One that was
+            // removed from the voters since it started does not ask again.
+            let no_leader =
+                self.log.voters().is_empty() || self.ticks_since_heard > self.settings.election_ticks;
+            if self.join_retry_in == 0 && !self.was_voter && no_leader {
+                self.join_retry_in = RETRY_HEARTBEATS * self.settings.heartbeat_ticks;
+                self.send_to_all_replica_ids(Body::JoinRequest);
             }
-        } else if self.leader.is_none() && self.log.last() < self.floor {
-            self.stuck += 1;
-            if self.stuck >= STUCK_ELECTIONS * self.settings.election_ticks {
-                self.stuck = 0;
-                self.part = Part::Follower;
-                self.returning = Some(Returning { nonce: self.chance.rand_u64(), ..Returning::default() });
+        } else if self.leader.is_none() && self.log.last() < self.min_vote_position {
+            self.ticks_behind += 1;
+            if self.ticks_behind >= ELECTIONS_BEFORE_REJOIN * self.settings.election_ticks {
+                self.ticks_behind = 0;
+                self.role_state = RoleState::Follower;
+                self.rejoin = Some(Rejoin { nonce: self.rng.rand_u64(), ..Rejoin::default() });
             }
-        } else if self.since_heard >= self.timeout {
-            self.admitted = true;
+        } else if self.ticks_since_heard >= self.election_timeout {
+            self.was_voter = true;
             self.leader = None;
-            self.stand(false);
+            self.campaign(CampaignType::PreVote);
         }
     }
 
-    /// Proposes a command; it is committed once it comes out of `take` at this place, and will never be once another
-    /// entry does.
+    /// Proposes a command. It is committed once `take_ready` returns it at this position; if `take_ready` returns another
+    /// entry at this index, it never will be.
     ///
     /// # Errors
-    /// Why this replica takes none.
+    /// Why this replica rejects it.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<Position, ReplicaError> {
-        let Part::Leader(lead) = &self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
-        if lead.hands_over.is_some() {
+        let RoleState::Leader(state) = &self.role_state else {
+            return Err(ReplicaError::NotLeader(self.leader));
+        };
+        if state.transfer.is_some() {
             return Err(ReplicaError::TransferringLeadership);
         }
         Ok(self.append(Content::Command(command)))
     }
 
-    /// Proposes that one more votes, or one less.
+    /// Proposes a voter set with one voter added or removed.
     ///
     /// # Errors
-    /// Why this replica takes no such change now.
+    /// Why this replica rejects it.
     pub fn change_voters(&mut self, voters: BTreeSet<Id>) -> Result<Position, ReplicaError> {
-        let Part::Leader(lead) = &self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
-        if lead.hands_over.is_some() {
+        let RoleState::Leader(state) = &self.role_state else {
+            return Err(ReplicaError::NotLeader(self.leader));
+        };
+        if state.transfer.is_some() {
             return Err(ReplicaError::TransferringLeadership);
         }
-        let apart = self.log.voters().symmetric_difference(&voters).count();
-        // Danger: two changes under way at once, or one by a leader that does not know what is committed, make two
-        // majorities that have nobody in common.
-        if apart != 1
+        let changed = self.log.voters().symmetric_difference(&voters).count();
+        // Danger: two uncommitted changes at once, or a change by a leader that does not know yet what is committed, allow
+        // two majorities with no voter in common.
+        if changed != 1
             || voters.is_empty()
-            || self.log.voters_at() > self.commit_index
-            || self.commit_index < lead.first
+            || self.log.voters_index() > self.commit_index
+            || self.commit_index < state.first_index
         {
             return Err(ReplicaError::VoterChangeRefused);
         }
         Ok(self.append(Content::Voters(voters)))
     }
 
-    /// Asks for a read of all that was committed before now; `take` says when it may be answered.
+    /// Requests a read that sees everything committed before this call. `take_ready` returns the ticket once the read
+    /// may be answered.
     ///
     /// # Errors
-    /// Why this replica answers none.
+    /// Why this replica rejects it.
     pub fn request_read(&mut self, ticket: u64) -> Result<(), ReplicaError> {
-        let Part::Leader(lead) = &mut self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
-        // Danger: one that was stopped may lead no more, so that a majority has to answer after this moment.
-        lead.round += 1;
-        lead.reads.push_back((ticket, lead.round));
-        self.beat();
-        self.advance();
+        let RoleState::Leader(state) = &mut self.role_state else {
+            return Err(ReplicaError::NotLeader(self.leader));
+        };
+        // Danger: a process that was paused may have lost its leadership unnoticed, so a majority must acknowledge a round
+        // that starts now.
+        state.read_round += 1;
+        state.pending_reads.push_back((ticket, state.read_round));
+        self.send_heartbeats();
+        self.advance_commit_index();
         Ok(())
     }
 
-    /// Hands leadership to another voter once that holds all of the log.
+    /// Transfers leadership to another voter once its log equals this replica's.
     ///
     /// # Errors
-    /// Why it can't.
+    /// Why this replica rejects it.
     pub fn transfer_leadership(&mut self, to: Id) -> Result<(), ReplicaError> {
-        let election = self.settings.election_ticks;
-        let known = self.log.voters().contains(&to) && to != self.settings.id;
-        let Part::Leader(lead) = &mut self.part else { return Err(ReplicaError::NotLeader(self.leader)) };
-        if !known {
+        let election_ticks = self.settings.election_ticks;
+        let is_other_voter = self.log.voters().contains(&to) && to != self.settings.id;
+        let RoleState::Leader(state) = &mut self.role_state else {
+            return Err(ReplicaError::NotLeader(self.leader));
+        };
+        if !is_other_voter {
             return Err(ReplicaError::VoterChangeRefused);
         }
-        lead.hands_over = Some((to, election));
-        self.hand_over_further();
+        state.transfer = Some((to, election_ticks));
+        self.continue_leadership_transfer();
         Ok(())
     }
 
-    /// The host's state after all entries up to this index, which stands for them from now on. One that was given and
-    /// is no longer held, or not given yet, is passed over.
+    /// Takes a snapshot: `state` is the host's state after all entries up to `index`. The call does nothing if the host has
+    /// not received that entry yet, a snapshot covers it or the log no longer holds it.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) {
-        let older = self.log.snapshot.as_ref().is_some_and(|snapshot| snapshot.last_included.index >= index);
-        if older || index > self.given {
+        let covered =
+            self.log.snapshot.as_ref().is_some_and(|snapshot| snapshot.last_included.index >= index);
+        if covered || index > self.delivered_index {
             return;
         }
         let Some(term) = self.log.term(index) else { return };
-        let at = Position { term, index };
-        let snapshot = Snapshot { last_included: at, voters: self.log.voters_up_to(index), state };
+        let position = Position { term, index };
+        let snapshot = Snapshot { last_included: position, voters: self.log.voters_up_to(index), state };
         let compact_to = index.saturating_sub(self.settings.trailing_entries);
-        self.unsaved.snapshot = Some(snapshot.clone());
+        self.pending_batch.snapshot = Some(snapshot.clone());
         if compact_to > self.log.base().index {
-            self.unsaved.compact_to = Some(compact_to);
-            // What was to be added in this batch and is dropped at once need not be written.
-            self.unsaved.entries.retain(|entry| entry.position.index > compact_to);
+            self.pending_batch.compact_to = Some(compact_to);
+            // Entries of the pending batch that the snapshot makes unnecessary are not written.
+            self.pending_batch.entries.retain(|entry| entry.position.index > compact_to);
         }
         self.log.compact(snapshot, compact_to.max(self.log.base().index));
     }
 
-    /// This batch, and all before it, are on the disk.
+    /// Reports that this batch and all before it are durable.
     pub fn mark_durable(&mut self, number: u64) {
-        self.durable = self.durable.max(number);
-        while let Some((first, end)) = self.under_way.front().copied()
+        self.durable_batch = self.durable_batch.max(number);
+        while let Some((first, end)) = self.batches_in_flight.front().copied()
             && first <= number
         {
-            self.saved = end;
-            self.under_way.pop_front();
+            self.durable_index = end;
+            self.batches_in_flight.pop_front();
         }
-        self.advance();
+        self.advance_commit_index();
     }
 
     pub fn receive(&mut self, message: Message) {
         let Message { from, to, term, body } = message;
-        if self.lost
+        if self.acknowledged_lost
             || from == self.settings.id
             || ![self.settings.id, Id::any_incarnation(self.settings.replica_id())].contains(&to)
         {
             return;
         }
-        // What does not go by terms.
+        // Messages whose handling does not follow the terms.
         match body {
-            Body::RejoinRequest { nonce, last } => return self.tell_how_far(from, nonce, last),
+            Body::RejoinRequest { nonce, last } => return self.handle_rejoin_request(from, nonce, last),
             Body::RejoinResponse { nonce, last, lost } => {
-                return self.heard_how_far(from, term, nonce, last, lost);
+                return self.handle_rejoin_response(from, term, nonce, last, lost);
             }
-            // Danger: what it had acknowledged to a leader of an earlier term may have been taken back since.
+            // Danger: entries acknowledged to a leader of an earlier term may have been truncated since, so only a current
+            // term counts.
             Body::AcknowledgedLost { acknowledged } => {
-                self.lost |= acknowledged > self.log.last().index && term >= self.hard_state.term;
+                self.acknowledged_lost |=
+                    acknowledged > self.log.last().index && term >= self.hard_state.term;
                 return;
             }
             Body::JoinRefused => {
-                self.not_now = true;
+                self.join_refused = true;
                 return;
             }
-            // Danger: one that does not know what it has promised must promise nothing.
-            _ if self.returning.is_some() => return,
-            Body::JoinRequest => return self.asked_to_join(from),
+            // Danger: until it has rejoined, a replica does not know which votes and acknowledgements it gave before it
+            // restarted, so it gives none.
+            _ if self.rejoin.is_some() => return,
+            Body::JoinRequest => return self.handle_join_request(from),
             _ => {}
         }
         if term > self.hard_state.term {
             match body {
                 Body::PreVoteRequest { .. } | Body::PreVoteResponse { granted: true } => {}
-                // A leader that is heard is not to be unseated by one that does not hear it.
+                // A candidate that does not hear the leader must not depose one that this replica hears.
                 Body::VoteRequest { leadership_transfer: false, .. } if self.hears_leader() => return,
-                _ => self.follow(term, None),
+                _ => self.become_follower(term, None),
             }
         }
         let stale = term < self.hard_state.term;
         match body {
-            Body::PreVoteRequest { .. } if self.knows_as_out(from) => {
+            Body::PreVoteRequest { .. } if self.is_removed_voter(from) => {
                 self.send(from, self.hard_state.term, Body::AcknowledgedLost { acknowledged: Index::MAX });
             }
             Body::PreVoteRequest { last } => {
                 let granted = term > self.hard_state.term
                     && !self.hears_leader()
-                    && last >= self.floor.max(self.log.last());
+                    && last >= self.min_vote_position.max(self.log.last());
                 self.send(
                     from,
                     if granted { term } else { self.hard_state.term },
@@ -482,26 +517,26 @@
                 );
             }
             Body::PreVoteResponse { granted } => {
-                let own = term == self.hard_state.term + 1;
-                if let Part::Pre(votes) = &mut self.part
+                let of_this_campaign = term == self.hard_state.term + 1;
+                if let RoleState::PreCandidate(votes) = &mut self.role_state
                     && granted
-                    && own
+                    && of_this_campaign
                 {
                     votes.insert(from);
-                    self.count();
+                    self.count_votes();
                 }
             }
             Body::VoteRequest { .. } if stale => {
                 self.send(from, self.hard_state.term, Body::VoteResponse { granted: false })
             }
-            Body::VoteRequest { last, .. } => self.asked(from, last),
+            Body::VoteRequest { last, .. } => self.handle_vote_request(from, last),
             Body::VoteResponse { granted } => {
-                if let Part::Candidate(votes) = &mut self.part
+                if let RoleState::Candidate(votes) = &mut self.role_state
                     && granted
                     && !stale
                 {
                     votes.insert(from);
-                    self.count();
+                    self.count_votes();
                 }
             }
             Body::AppendRequest { round, .. } | Body::InstallSnapshot { round, .. } if stale => {
@@ -513,67 +548,71 @@
                 );
             }
             Body::AppendRequest { previous, entries, commit_index, round } => {
-                self.follow(term, Some(from));
-                let match_index = self.appended(previous, entries, commit_index);
+                self.become_follower(term, Some(from));
+                let match_index = self.handle_append(previous, entries, commit_index);
                 let last = self.log.last().index;
                 self.send(from, term, Body::AppendResponse { match_index, last, round });
             }
             Body::InstallSnapshot { snapshot, round } => {
-                self.follow(term, Some(from));
+                self.become_follower(term, Some(from));
                 let match_index = Some(snapshot.last_included.index.max(self.commit_index));
-                self.installed(snapshot);
+                self.install_snapshot(snapshot);
                 let last = self.log.last().index;
                 self.send(from, term, Body::AppendResponse { match_index, last, round });
             }
             Body::AppendResponse { match_index, last, round } if !stale => {
-                self.acknowledged(from, match_index, last, round)
+                self.handle_append_response(from, match_index, last, round)
+            }
+            Body::TimeoutNow if !stale && self.leader == Some(from) && self.is_voter() => {
+                self.campaign(CampaignType::LeadershipTransfer)
             }
-            Body::TimeoutNow if !stale && self.leader == Some(from) && self.votes() => self.stand(true),
             _ => {}
         }
     }
 
-    /// What is to be done now. Nothing that depends on a record is among it before that is durable.
+    /// Returns what the host must do now. Messages, entries and reads that depend on a batch are left out until the batch
+    /// is durable.
     pub fn take_ready(&mut self) -> Ready {
-        let mut work = std::mem::take(&mut self.work);
-        if !self.unsaved.is_empty() {
-            self.numbers += 1;
-            let batch = Batch { number: self.numbers, ..std::mem::take(&mut self.unsaved) };
-            self.under_way.push_back((batch.number, self.log.last().index));
-            work.batch = Some(batch);
+        let mut ready = std::mem::take(&mut self.ready);
+        if !self.pending_batch.is_empty() {
+            self.last_batch_number += 1;
+            let batch = Batch { number: self.last_batch_number, ..std::mem::take(&mut self.pending_batch) };
+            self.batches_in_flight.push_back((batch.number, self.log.last().index));
+            ready.batch = Some(batch);
         }
-        let fresh = std::mem::take(&mut self.fresh);
-        self.held.extend(fresh.into_iter().map(|message| (self.numbers, message)));
-        while let Some((number, _)) = self.held.front()
-            && *number <= self.durable
+        let new_messages = std::mem::take(&mut self.new_messages);
+        self.held_messages.extend(new_messages.into_iter().map(|message| (self.last_batch_number, message)));
+        while let Some((number, _)) = self.held_messages.front()
+            && *number <= self.durable_batch
         {
-            work.messages.extend(self.held.pop_front().map(|(_, message)| message));
+            ready.messages.extend(self.held_messages.pop_front().map(|(_, message)| message));
         }
-        let until = self.commit_index.min(self.saved);
-        while self.given < until
-            && let Some(entry) = self.log.entry(self.given + 1)
+        let deliver_to = self.commit_index.min(self.durable_index);
+        while self.delivered_index < deliver_to
+            && let Some(entry) = self.log.entry(self.delivered_index + 1)
         {
-            work.committed.push(entry.clone());
-            self.given += 1;
+            ready.committed.push(entry.clone());
+            self.delivered_index += 1;
         }
-        if let Part::Leader(lead) = &mut self.part {
-            // Danger: what others hold and this disk does not yet is committed, and not applied here.
-            while lead.ready.front().is_some_and(|(_, index)| *index <= self.given) {
-                work.reads.extend(lead.ready.pop_front().map(|(ticket, _)| ticket));
+        if let RoleState::Leader(state) = &mut self.role_state {
+            // Danger: an entry may be committed by the disks of others before it is durable here. The host has not applied
+            // it then, so a read waits for its delivery.
+            while state.confirmed_reads.front().is_some_and(|(_, index)| *index <= self.delivered_index) {
+                ready.reads.extend(state.confirmed_reads.pop_front().map(|(ticket, _)| ticket));
             }
         }
-        work
+        ready
     }
 
-    // Returning and joining.
+    // Rejoining and joining.
 
-    fn ask_how_far(&mut self) {
-        let (nonce, last) = (self.returning.as_ref().map_or(0, |r| r.nonce), self.log.last());
-        self.tell_others(Body::RejoinRequest { nonce, last });
+    fn send_rejoin_requests(&mut self) {
+        let (nonce, last) = (self.rejoin.as_ref().map_or(0, |r| r.nonce), self.log.last());
+        self.send_to_all_replica_ids(Body::RejoinRequest { nonce, last });
     }
 
-    /// To whoever is at the other places.
-    fn tell_others(&mut self, body: Body) {
+    /// Sends to every other configured replica id, whatever its incarnation.
+    fn send_to_all_replica_ids(&mut self, body: Body) {
         let own = self.settings.replica_id();
         for replica_id in self.settings.replica_ids.clone() {
             if replica_id != own {
@@ -582,85 +621,92 @@
         }
     }
 
-    fn tell_how_far(&mut self, from: Id, nonce: u64, last: Position) {
-        let known = self.acked.get(&from).copied().unwrap_or(0);
-        let lost = last.index < known || self.knows_as_out(from);
+    fn handle_rejoin_request(&mut self, from: Id, nonce: u64, last: Position) {
+        let known = self.committed_acks.get(&from).copied().unwrap_or(0);
+        let lost = last.index < known || self.is_removed_voter(from);
         self.send(from, self.hard_state.term, Body::RejoinResponse { nonce, last: self.log.last(), lost });
     }
 
-    /// As a leader that knows what is committed: this one votes no more, and another life may have followed it. Danger: one
-    /// that is behind would take a newcomer for one that was taken out.
-    fn knows_as_out(&self, id: Id) -> bool {
-        let Part::Leader(lead) = &self.part else { return false };
-        self.commit_index >= lead.first
-            && self.log.voters_at() <= self.commit_index
+    /// Whether this replica leads, knows what is committed, and `id` is neither a voter nor a peer: `id` was removed, and a
+    /// new incarnation may have replaced it. Danger: a replica that is behind could mistake a new voter for a removed one,
+    /// so only a leader that has committed an entry of its term decides.
+    fn is_removed_voter(&self, id: Id) -> bool {
+        let RoleState::Leader(state) = &self.role_state else { return false };
+        self.commit_index >= state.first_index
+            && self.log.voters_index() <= self.commit_index
             && !self.log.voters().contains(&id)
-            && !lead.peers.contains_key(&id)
+            && !state.peers.contains_key(&id)
     }
 
-    fn heard_how_far(&mut self, from: Id, term: Term, nonce: u64, last: Position, lost: bool) {
-        let all = self.settings.replica_ids.len();
-        let Some(returning) = self.returning.as_mut().filter(|returning| returning.nonce == nonce) else {
+    fn handle_rejoin_response(&mut self, from: Id, term: Term, nonce: u64, last: Position, lost: bool) {
+        let replica_count = self.settings.replica_ids.len();
+        let Some(rejoin) = self.rejoin.as_mut().filter(|rejoin| rejoin.nonce == nonce) else {
             return;
         };
         if lost && term >= self.hard_state.term {
-            self.lost = true;
+            self.acknowledged_lost = true;
             return;
         }
-        returning.heard.insert(from.replica_id, last);
-        returning.term = returning.term.max(term);
-        // Danger: this replica may have been one of any majority; so many others have one of each among them, which
-        // knows the term that it voted in and holds what it acknowledged.
-        if returning.heard.len() < all - (all / 2 + 1) + 1 {
+        rejoin.positions.insert(from.replica_id, last);
+        rejoin.term = rejoin.term.max(term);
+        // Danger: this replica may have been part of any majority. This many others include a member of each of those
+        // majorities, which knows the term that this replica voted in and holds the entries that it acknowledged.
+        if rejoin.positions.len() < replica_count - (replica_count / 2 + 1) + 1 {
             return;
         }
-        let (term, floor) = (returning.term, returning.heard.values().max().copied().unwrap_or_default());
-        self.returning = None;
-        self.floor = floor;
-        let own = self.hard_state.vote.filter(|_| self.hard_state.term >= term);
-        // Danger: a vote of this term may have been given and forgotten.
-        self.set_hard(HardState {
+        let (term, min_vote_position) =
+            (rejoin.term, rejoin.positions.values().max().copied().unwrap_or_default());
+        self.rejoin = None;
+        self.min_vote_position = min_vote_position;
+        let kept_vote = self.hard_state.vote.filter(|_| self.hard_state.term >= term);
+        // Danger: this replica may have voted in this term and lost the record, so it takes its vote as spent.
+        self.set_hard_state(HardState {
             term: self.hard_state.term.max(term),
-            vote: own.or(Some(self.settings.id)),
+            vote: kept_vote.or(Some(self.settings.id)),
         });
-        self.since_heard = 0;
-        self.draw_timeout();
+        self.ticks_since_heard = 0;
+        self.draw_election_timeout();
     }
 
-    fn asked_to_join(&mut self, from: Id) {
-        let election = self.settings.election_ticks;
-        let twin =
+    fn handle_join_request(&mut self, from: Id) {
+        let election_ticks = self.settings.election_ticks;
+        let other_incarnation =
             self.log.voters().iter().copied().find(|id| id.replica_id == from.replica_id && *id != from);
-        let own = self.settings.replica_id() == from.replica_id;
-        let Part::Leader(lead) = &mut self.part else { return };
-        let twin_heard =
-            twin.and_then(|twin| lead.peers.get(&twin)).is_some_and(|peer| peer.silent < election);
-        if own || twin_heard {
-            // Danger: a second process started by mistake would turn out the one that serves.
+        let is_own_replica_id = self.settings.replica_id() == from.replica_id;
+        let RoleState::Leader(state) = &mut self.role_state else { return };
+        let other_heard = other_incarnation
+            .and_then(|other_incarnation| state.peers.get(&other_incarnation))
+            .is_some_and(|peer| peer.ticks_since_heard < election_ticks);
+        if is_own_replica_id || other_heard {
+            // Danger: otherwise a second process, started by mistake, would displace the replica that is serving.
             return self.send(from, self.hard_state.term, Body::JoinRefused);
         }
-        if let Some(twin) = twin {
-            let voters = self.log.voters().iter().copied().filter(|id| *id != twin).collect();
+        if let Some(other_incarnation) = other_incarnation {
+            let voters = self.log.voters().iter().copied().filter(|id| *id != other_incarnation).collect();
             let _ = self.change_voters(voters);
             return;
         }
         let next = self.log.last().index + 1;
-        lead.joining.insert(from);
-        lead.peers.entry(from).or_insert_with(|| Peer { next, ..Peer::default() }).silent = 0;
-        self.admit_further();
+        state.learners.insert(from);
+        state
+            .peers
+            .entry(from)
+            .or_insert_with(|| Peer { next_index: next, ..Peer::default() })
+            .ticks_since_heard = 0;
+        self.promote_learner();
     }
 
-    /// A joining replica that has nearly all of the log becomes a voter.
-    fn admit_further(&mut self) {
+    /// Proposes as a voter a learner that lacks at most `MAX_JOIN_LAG` entries.
+    fn promote_learner(&mut self) {
         let last = self.log.last().index;
-        let Part::Leader(lead) = &self.part else { return };
-        let ready = lead.joining.iter().copied().find(|id| {
-            let match_index = lead.peers.get(id).map_or(0, |peer| peer.match_index);
-            match_index > 0 && match_index + JOIN_GAP >= last && !self.log.voters().contains(id)
+        let RoleState::Leader(state) = &self.role_state else { return };
+        let caught_up = state.learners.iter().copied().find(|id| {
+            let match_index = state.peers.get(id).map_or(0, |peer| peer.match_index);
+            match_index > 0 && match_index + MAX_JOIN_LAG >= last && !self.log.voters().contains(id)
         });
-        if let Some(id) = ready {
+        if let Some(id) = caught_up {
             let mut voters = self.log.voters().clone();
-            // Danger: a place that votes twice would count for two.
+            // Danger: two incarnations of one replica id would have two votes.
             if voters.iter().all(|voter| voter.replica_id != id.replica_id) {
                 voters.insert(id);
                 let _ = self.change_voters(voters);
@@ -670,364 +716,395 @@
 
     // Elections.
 
-    fn votes(&self) -> bool {
+    fn is_voter(&self) -> bool {
         self.log.voters().contains(&self.settings.id)
     }
 
     fn hears_leader(&self) -> bool {
-        matches!(self.part, Part::Leader(_))
-            || (self.leader.is_some() && self.since_heard < self.settings.election_ticks)
+        matches!(self.role_state, RoleState::Leader(_))
+            || (self.leader.is_some() && self.ticks_since_heard < self.settings.election_ticks)
     }
 
-    fn draw_timeout(&mut self) {
+    fn draw_election_timeout(&mut self) {
         let spread = u64::from(self.settings.election_ticks);
-        self.timeout = self.settings.election_ticks + self.chance.rand_range(0..spread.max(1)) as u32;
+        self.election_timeout = self.settings.election_ticks + self.rng.rand_range(0..spread.max(1)) as u32;
     }
 
-    fn set_hard(&mut self, hard_state: HardState) {
+    fn set_hard_state(&mut self, hard_state: HardState) {
         if self.hard_state != hard_state {
             self.hard_state = hard_state;
-            self.unsaved.hard_state = Some(hard_state);
+            self.pending_batch.hard_state = Some(hard_state);
         }
     }
 
-    fn follow(&mut self, term: Term, leader: Option<Id>) {
-        if let Part::Leader(lead) = std::mem::replace(&mut self.part, Part::Follower) {
-            let reads = lead.reads.iter().chain(&lead.ready).map(|(ticket, _)| *ticket);
-            self.work.failed_reads.extend(reads);
+    fn become_follower(&mut self, term: Term, leader: Option<Id>) {
+        if let RoleState::Leader(state) = std::mem::replace(&mut self.role_state, RoleState::Follower) {
+            let reads = state.pending_reads.iter().chain(&state.confirmed_reads).map(|(ticket, _)| *ticket);
+            self.ready.failed_reads.extend(reads);
         }
         if term > self.hard_state.term {
-            self.set_hard(HardState { term, vote: None });
+            self.set_hard_state(HardState { term, vote: None });
             self.leader = None;
         }
         if leader.is_some() {
             self.leader = leader;
-            (self.since_heard, self.stuck) = (0, 0);
-            self.draw_timeout();
+            (self.ticks_since_heard, self.ticks_behind) = (0, 0);
+            self.draw_election_timeout();
         }
     }
 
-    /// Stands for election: first only asks whether it would be heard, unless it was handed the leadership.
-    fn stand(&mut self, leadership_transfer: bool) {
-        self.since_heard = 0;
-        self.draw_timeout();
+    /// Starts an election: a pre-vote, or the election itself in a leadership transfer or with a single voter.
+    fn campaign(&mut self, campaign_type: CampaignType) {
+        self.ticks_since_heard = 0;
+        self.draw_election_timeout();
         let last = self.log.last();
-        if last < self.floor {
-            // Others hold what this one may have acknowledged and lost.
+        if last < self.min_vote_position {
+            // Others hold entries that this replica may have acknowledged and lost.
             return;
         }
         let own = BTreeSet::from([self.settings.id]);
+        let leadership_transfer = campaign_type == CampaignType::LeadershipTransfer;
         if leadership_transfer || self.log.voters().len() == 1 {
-            self.set_hard(HardState { term: self.hard_state.term + 1, vote: Some(self.settings.id) });
+            self.set_hard_state(HardState { term: self.hard_state.term + 1, vote: Some(self.settings.id) });
             self.leader = None;
-            self.part = Part::Candidate(own);
-            self.tell_voters(self.hard_state.term, &Body::VoteRequest { last, leadership_transfer });
+            self.role_state = RoleState::Candidate(own);
+            self.send_to_voters(self.hard_state.term, &Body::VoteRequest { last, leadership_transfer });
         } else {
-            self.part = Part::Pre(own);
-            self.tell_voters(self.hard_state.term + 1, &Body::PreVoteRequest { last });
+            self.role_state = RoleState::PreCandidate(own);
+            self.send_to_voters(self.hard_state.term + 1, &Body::PreVoteRequest { last });
         }
-        self.count();
+        self.count_votes();
     }
 
-    fn majority(&self, of: &BTreeSet<Id>) -> bool {
+    fn has_majority(&self, ids: &BTreeSet<Id>) -> bool {
         let voters = self.log.voters();
-        voters.intersection(of).count() > voters.len() / 2
+        voters.intersection(ids).count() > voters.len() / 2
     }
 
-    fn count(&mut self) {
-        match &self.part {
-            Part::Pre(votes) if self.majority(votes) => {
-                self.set_hard(HardState { term: self.hard_state.term + 1, vote: Some(self.settings.id) });
-                self.part = Part::Candidate(BTreeSet::from([self.settings.id]));
-                self.since_heard = 0;
+    fn count_votes(&mut self) {
+        match &self.role_state {
+            RoleState::PreCandidate(votes) if self.has_majority(votes) => {
+                self.set_hard_state(HardState {
+                    term: self.hard_state.term + 1,
+                    vote: Some(self.settings.id),
+                });
+                self.role_state = RoleState::Candidate(BTreeSet::from([self.settings.id]));
+                self.ticks_since_heard = 0;
                 let last = self.log.last();
-                self.tell_voters(
+                self.send_to_voters(
                     self.hard_state.term,
                     &Body::VoteRequest { last, leadership_transfer: false },
                 );
-                self.count();
+                self.count_votes();
             }
-            Part::Candidate(votes) if self.majority(votes) => self.lead(),
+            RoleState::Candidate(votes) if self.has_majority(votes) => self.become_leader(),
             _ => {}
         }
     }
 
-    fn asked(&mut self, from: Id, last: Position) {
-        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
-        let granted = free
-            && matches!(self.part, Part::Follower | Part::Pre(_))
+    fn handle_vote_request(&mut self, from: Id, last: Position) {
+        let vote_available = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = vote_available
+            && matches!(self.role_state, RoleState::Follower | RoleState::PreCandidate(_))
             && self.leader.is_none()
-            && last >= self.floor.max(self.log.last());
+            && last >= self.min_vote_position.max(self.log.last());
         if granted {
-            self.set_hard(HardState { vote: Some(from), ..self.hard_state });
-            self.since_heard = 0;
-            self.draw_timeout();
+            self.set_hard_state(HardState { vote: Some(from), ..self.hard_state });
+            self.ticks_since_heard = 0;
+            self.draw_election_timeout();
         }
         self.send(from, self.hard_state.term, Body::VoteResponse { granted });
     }
 
-    fn lead(&mut self) {
+    fn become_leader(&mut self) {
         self.leader = Some(self.settings.id);
         let next = self.log.last().index + 1;
         let others = self.log.voters().iter().filter(|id| **id != self.settings.id);
-        let peers = others.map(|id| (*id, Peer { next, ..Peer::default() })).collect();
-        self.part = Part::Leader(Lead { peers, first: next, ..Lead::default() });
+        let peers = others.map(|id| (*id, Peer { next_index: next, ..Peer::default() })).collect();
+        self.role_state =
+            RoleState::Leader(LeaderState { peers, first_index: next, ..LeaderState::default() });
         self.append(Content::Noop);
     }
 
-    // The leader's part.
+    // Leader.
 
     fn append(&mut self, content: Content) -> Position {
-        let at = Position { term: self.hard_state.term, index: self.log.last().index + 1 };
-        let entry = Entry { position: at, content };
-        self.unsaved.entries.push(entry.clone());
+        let position = Position { term: self.hard_state.term, index: self.log.last().index + 1 };
+        let entry = Entry { position, content };
+        self.pending_batch.entries.push(entry.clone());
         self.log.push(entry);
-        if let Part::Leader(lead) = &mut self.part {
+        if let RoleState::Leader(state) = &mut self.role_state {
             for id in self.log.voters() {
                 if *id != self.settings.id {
-                    lead.peers.entry(*id).or_insert_with(|| Peer { next: at.index, ..Peer::default() });
+                    state
+                        .peers
+                        .entry(*id)
+                        .or_insert_with(|| Peer { next_index: position.index, ..Peer::default() });
                 }
             }
         }
         self.replicate();
-        at
+        position
     }
 
     fn tick_leader(&mut self) {
-        let election = self.settings.election_ticks;
-        let Part::Leader(lead) = &mut self.part else { return };
-        lead.peers.values_mut().for_each(|peer| peer.silent = peer.silent.saturating_add(1));
-        lead.since_beat += 1;
-        if let Some((_, left)) = &mut lead.hands_over {
-            *left = left.saturating_sub(1);
-            if *left == 0 {
-                lead.hands_over = None;
+        let election_ticks = self.settings.election_ticks;
+        let RoleState::Leader(state) = &mut self.role_state else { return };
+        state
+            .peers
+            .values_mut()
+            .for_each(|peer| peer.ticks_since_heard = peer.ticks_since_heard.saturating_add(1));
+        state.ticks_since_heartbeat += 1;
+        if let Some((_, ticks_left)) = &mut state.transfer {
+            *ticks_left = ticks_left.saturating_sub(1);
+            if *ticks_left == 0 {
+                state.transfer = None;
             }
         }
-        let heard = lead.peers.iter().filter(|(_, peer)| peer.silent < election).map(|(id, _)| *id);
+        let heard =
+            state.peers.iter().filter(|(_, peer)| peer.ticks_since_heard < election_ticks).map(|(id, _)| *id);
         let heard: BTreeSet<Id> = heard.chain([self.settings.id]).collect();
-        if !self.majority(&heard) {
-            // Danger: one that is cut off with clients would keep them waiting for ever.
+        if !self.has_majority(&heard) {
+            // Danger: a leader cut off from the majority would otherwise keep its clients waiting for ever.
             self.leader = None;
-            return self.follow(self.hard_state.term, None);
+            return self.become_follower(self.hard_state.term, None);
         }
-        let Part::Leader(lead) = &mut self.part else { return };
+        let RoleState::Leader(state) = &mut self.role_state else { return };
         let voters = self.log.voters();
-        lead.joining.retain(|id| !voters.contains(id));
-        lead.peers.retain(|id, peer| voters.contains(id) || peer.silent < election * 2);
-        if lead.since_beat >= self.settings.heartbeat_ticks {
-            lead.since_beat = 0;
-            for peer in lead.peers.values_mut() {
-                peer.snapshot_in = peer.snapshot_in.saturating_sub(1);
-                // What was sent and not acknowledged since the last beat is taken for lost.
-                if !std::mem::take(&mut peer.moved) {
-                    peer.next = peer.match_index + 1;
+        state.learners.retain(|id| !voters.contains(id));
+        state.peers.retain(|id, peer| voters.contains(id) || peer.ticks_since_heard < election_ticks * 2);
+        if state.ticks_since_heartbeat >= self.settings.heartbeat_ticks {
+            state.ticks_since_heartbeat = 0;
+            for peer in state.peers.values_mut() {
+                peer.snapshot_resend_in = peer.snapshot_resend_in.saturating_sub(1);
+                // Entries that were sent and not acknowledged since the last heartbeat count as lost and are sent again.
+                if !std::mem::take(&mut peer.advanced) {
+                    peer.next_index = peer.match_index + 1;
                 }
             }
-            self.beat();
-            self.admit_further();
+            self.send_heartbeats();
+            self.promote_learner();
         }
     }
 
-    /// A sign of life to all, with what each lacks.
-    fn beat(&mut self) {
+    /// Sends an `AppendRequest` to every peer, also with no entries.
+    fn send_heartbeats(&mut self) {
         self.send_appends(true);
     }
 
-    /// What each lacks, to those that lack some.
+    /// Sends entries to the peers that lack some.
     fn replicate(&mut self) {
         self.send_appends(false);
     }
 
-    fn send_appends(&mut self, also_empty: bool) {
+    fn send_appends(&mut self, include_empty: bool) {
         let last = self.log.last().index;
-        let Part::Leader(lead) = &mut self.part else { return };
-        let mut out = Vec::new();
-        for (id, peer) in &mut lead.peers {
-            if peer.next <= self.log.base().index {
-                // It lacks what is held no more.
-                if let Some(snapshot) = self.log.snapshot.as_ref().filter(|_| peer.snapshot_in == 0) {
-                    peer.snapshot_in = SNAPSHOT_BEATS;
-                    out.push((*id, Body::InstallSnapshot { snapshot: snapshot.clone(), round: lead.round }));
+        let RoleState::Leader(state) = &mut self.role_state else { return };
+        let mut messages = Vec::new();
+        for (id, peer) in &mut state.peers {
+            if peer.next_index <= self.log.base().index {
+                // The peer lacks entries that the log no longer holds.
+                if let Some(snapshot) = self.log.snapshot.as_ref().filter(|_| peer.snapshot_resend_in == 0) {
+                    peer.snapshot_resend_in = SNAPSHOT_RESEND_HEARTBEATS;
+                    messages.push((
+                        *id,
+                        Body::InstallSnapshot { snapshot: snapshot.clone(), round: state.read_round },
+                    ));
                     continue;
                 }
             }
-            let previous = peer.next.clamp(self.log.base().index + 1, last + 1) - 1;
+            let previous = peer.next_index.clamp(self.log.base().index + 1, last + 1) - 1;
             let previous = Position { term: self.log.term(previous).unwrap_or_default(), index: previous };
-            let entries = self.log.from(previous.index + 1, ENTRIES_MOST, BYTES_MOST);
-            if entries.is_empty() && !also_empty {
+            let entries =
+                self.log.entries_from(previous.index + 1, MAX_ENTRIES_PER_MESSAGE, MAX_BYTES_PER_MESSAGE);
+            if entries.is_empty() && !include_empty {
                 continue;
             }
-            peer.next = previous.index + 1 + entries.len() as Index;
-            out.push((
+            peer.next_index = previous.index + 1 + entries.len() as Index;
+            messages.push((
                 *id,
-                Body::AppendRequest { previous, entries, commit_index: self.commit_index, round: lead.round },
+                Body::AppendRequest {
+                    previous,
+                    entries,
+                    commit_index: self.commit_index,
+                    round: state.read_round,
+                },
             ));
         }
         let term = self.hard_state.term;
-        out.into_iter().for_each(|(id, body)| self.send(id, term, body));
+        messages.into_iter().for_each(|(id, body)| self.send(id, term, body));
     }
 
-    fn acknowledged(&mut self, from: Id, match_index: Option<Index>, last: Index, round: u64) {
-        let Part::Leader(lead) = &mut self.part else { return };
-        let Some(peer) = lead.peers.get_mut(&from) else { return };
-        peer.silent = 0;
-        peer.round = peer.round.max(round);
-        let lacks = match match_index {
-            // An answer from before the leader's own entries may be of use, and is never more than was sent.
+    fn handle_append_response(&mut self, from: Id, match_index: Option<Index>, last: Index, round: u64) {
+        let RoleState::Leader(state) = &mut self.role_state else { return };
+        let Some(peer) = state.peers.get_mut(&from) else { return };
+        peer.ticks_since_heard = 0;
+        peer.acked_round = peer.acked_round.max(round);
+        let is_behind = match match_index {
+            // A response to a message from before this leader's own entries is still useful: its match index never exceeds what was sent.
             Some(match_index) => {
-                peer.moved |= match_index > peer.match_index;
+                peer.advanced |= match_index > peer.match_index;
                 peer.match_index = peer.match_index.max(match_index);
-                peer.next = peer.next.max(peer.match_index + 1);
-                peer.snapshot_in =
-                    if peer.match_index > self.log.base().index { 0 } else { peer.snapshot_in };
-                peer.next <= self.log.last().index
+                peer.next_index = peer.next_index.max(peer.match_index + 1);
+                peer.snapshot_resend_in =
+                    if peer.match_index > self.log.base().index { 0 } else { peer.snapshot_resend_in };
+                peer.next_index <= self.log.last().index
             }
             None if last < peer.match_index => {
-                // Answers of one life come in order or not at all: it holds less than it had acknowledged.
+                // Responses of one incarnation arrive in order or not at all, so the peer holds less than it had
+                // acknowledged.
                 let acknowledged = peer.match_index;
                 return self.send(from, self.hard_state.term, Body::AcknowledgedLost { acknowledged });
             }
             None => {
-                peer.next = (last + 1).min(peer.next.saturating_sub(1)).max(peer.match_index + 1);
+                peer.next_index = (last + 1).min(peer.next_index.saturating_sub(1)).max(peer.match_index + 1);
                 true
             }
         };
-        self.advance();
-        if lacks {
+        self.advance_commit_index();
+        if is_behind {
             self.replicate();
         }
-        self.admit_further();
-        self.hand_over_further();
+        self.promote_learner();
+        self.continue_leadership_transfer();
     }
 
-    fn hand_over_further(&mut self) {
+    fn continue_leadership_transfer(&mut self) {
         let last = self.log.last().index;
-        let Part::Leader(lead) = &self.part else { return };
-        if let Some((to, _)) = lead.hands_over
-            && lead.peers.get(&to).is_some_and(|peer| peer.match_index == last)
+        let RoleState::Leader(state) = &self.role_state else { return };
+        if let Some((to, _)) = state.transfer
+            && state.peers.get(&to).is_some_and(|peer| peer.match_index == last)
         {
             self.send(to, self.hard_state.term, Body::TimeoutNow);
         }
     }
 
-    /// Commits what a majority holds, and lets reads go that a majority has answered after.
-    fn advance(&mut self) {
-        let Part::Leader(lead) = &mut self.part else { return };
+    /// Commits what a majority holds, and confirms the reads whose round a majority has acknowledged.
+    fn advance_commit_index(&mut self) {
+        let RoleState::Leader(state) = &mut self.role_state else { return };
         let voters = self.log.voters();
-        let held = |id: &Id| {
+        let durable_on = |id: &Id| {
             if *id == self.settings.id {
-                self.saved
+                self.durable_index
             } else {
-                lead.peers.get(id).map_or(0, |peer| peer.match_index)
+                state.peers.get(id).map_or(0, |peer| peer.match_index)
             }
         };
-        let mut ends: Vec<Index> = voters.iter().map(held).collect();
-        ends.sort_unstable();
-        let end = ends.get(ends.len().saturating_sub(1) / 2).copied().unwrap_or(0);
-        // Danger: an entry of an earlier term that a majority holds may still be overwritten; only one of this term
-        // settles it.
-        let moved = end > self.commit_index && self.log.term(end) == Some(self.hard_state.term);
-        if moved {
-            self.commit_index = end;
+        let mut durable_indexes: Vec<Index> = voters.iter().map(durable_on).collect();
+        durable_indexes.sort_unstable();
+        let majority_index =
+            durable_indexes.get(durable_indexes.len().saturating_sub(1) / 2).copied().unwrap_or(0);
+        // Danger: an entry of an earlier term may still be overwritten although a majority holds it. It is committed only
+        // along with an entry of the current term.
+        let advanced =
+            majority_index > self.commit_index && self.log.term(majority_index) == Some(self.hard_state.term);
+        if advanced {
+            self.commit_index = majority_index;
         }
-        for (id, peer) in &lead.peers {
+        for (id, peer) in &state.peers {
             let known = peer.match_index.min(self.commit_index);
-            let acked = self.acked.entry(*id).or_default();
-            *acked = known.max(*acked);
+            let committed_acks = self.committed_acks.entry(*id).or_default();
+            *committed_acks = known.max(*committed_acks);
         }
-        if self.commit_index >= lead.first {
-            let rounds = |round: u64| {
+        if self.commit_index >= state.first_index {
+            let round_confirmed = |round: u64| {
                 let answered = |id: &&Id| {
-                    **id == self.settings.id || lead.peers.get(id).is_some_and(|peer| peer.round >= round)
+                    **id == self.settings.id
+                        || state.peers.get(id).is_some_and(|peer| peer.acked_round >= round)
                 };
                 voters.iter().filter(answered).count() > voters.len() / 2
             };
-            while let Some((ticket, round)) = lead.reads.front().copied()
-                && rounds(round)
+            while let Some((ticket, round)) = state.pending_reads.front().copied()
+                && round_confirmed(round)
             {
-                lead.ready.push_back((ticket, self.commit_index));
-                lead.reads.pop_front();
+                state.confirmed_reads.push_back((ticket, self.commit_index));
+                state.pending_reads.pop_front();
             }
         }
-        let out = !self.votes() && self.log.voters_at() <= self.commit_index;
-        if moved {
-            // Followers hear of it at once; clients of theirs wait for it.
-            self.beat();
+        let removed = !self.is_voter() && self.log.voters_index() <= self.commit_index;
+        if advanced {
+            // Followers learn the new commit index at once, as their clients wait for it.
+            self.send_heartbeats();
         }
-        if out {
-            // It has led its own removal to the end.
+        if removed {
+            // The entry that removes this leader from the voters is committed.
             self.leader = None;
-            self.follow(self.hard_state.term, None);
+            self.become_follower(self.hard_state.term, None);
         }
     }
 
-    // The follower's part.
+    // Follower.
 
-    fn appended(&mut self, previous: Position, entries: Vec<Entry>, commit_index: Index) -> Option<Index> {
+    fn handle_append(
+        &mut self,
+        previous: Position,
+        entries: Vec<Entry>,
+        commit_index: Index,
+    ) -> Option<Index> {
         let base = self.log.base().index;
         if previous.index >= base && self.log.term(previous.index) != Some(previous.term) {
             return None;
         }
         let end = previous.index + entries.len() as Index;
         for entry in entries {
-            // What stands at or before the base is committed, so the same.
+            // Entries up to the base are committed and so equal to the leader's.
             if entry.position.index <= base {
                 continue;
             }
             match self.log.term(entry.position.index) {
                 Some(term) if term == entry.position.term => continue,
-                Some(_) => self.cut(entry.position.index),
+                Some(_) => self.truncate_log(entry.position.index),
                 None => {}
             }
-            self.unsaved.entries.push(entry.clone());
+            self.pending_batch.entries.push(entry.clone());
             self.log.push(entry);
         }
-        self.admitted |= self.votes();
+        self.was_voter |= self.is_voter();
         self.commit_index = self.commit_index.max(commit_index.min(end));
         Some(end)
     }
 
-    fn cut(&mut self, from: Index) {
+    fn truncate_log(&mut self, from: Index) {
         assert!(from > self.commit_index, "an entry at or before the commit index is overwritten: {from}");
-        self.log.cut(from);
-        self.unsaved.entries.retain(|entry| entry.position.index < from);
-        self.unsaved.truncate_from =
-            Some(self.unsaved.truncate_from.map_or(from, |earlier| earlier.min(from)));
-        self.saved = self.saved.min(from - 1);
-        self.under_way.iter_mut().for_each(|(_, end)| *end = (*end).min(from - 1));
+        self.log.truncate(from);
+        self.pending_batch.entries.retain(|entry| entry.position.index < from);
+        self.pending_batch.truncate_from =
+            Some(self.pending_batch.truncate_from.map_or(from, |earlier| earlier.min(from)));
+        self.durable_index = self.durable_index.min(from - 1);
+        self.batches_in_flight.iter_mut().for_each(|(_, end)| *end = (*end).min(from - 1));
     }
 
-    fn installed(&mut self, snapshot: Snapshot) {
-        let at = snapshot.last_included;
-        if at.index <= self.commit_index {
+    fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let last_included = snapshot.last_included;
+        if last_included.index <= self.commit_index {
             return;
         }
-        if self.log.term(at.index) == Some(at.term) {
-            // It holds these entries, and learns here that they are committed.
-            self.commit_index = at.index;
+        if self.log.term(last_included.index) == Some(last_included.term) {
+            // The log already holds these entries; the snapshot shows that they are committed.
+            self.commit_index = last_included.index;
             return;
         }
-        self.unsaved.entries.clear();
-        self.unsaved.truncate_from = Some(0);
-        self.unsaved.snapshot = Some(snapshot.clone());
+        self.pending_batch.entries.clear();
+        self.pending_batch.truncate_from = Some(0);
+        self.pending_batch.snapshot = Some(snapshot.clone());
         self.log.install(snapshot.clone());
-        self.under_way.iter_mut().for_each(|(_, end)| *end = 0);
-        (self.commit_index, self.given, self.saved) = (at.index, at.index, 0);
-        self.work.committed.clear();
-        self.work.install = Some(snapshot);
+        self.batches_in_flight.iter_mut().for_each(|(_, end)| *end = 0);
+        (self.commit_index, self.delivered_index, self.durable_index) =
+            (last_included.index, last_included.index, 0);
+        self.ready.committed.clear();
+        self.ready.install = Some(snapshot);
     }
 
     // Sending.
 
-    fn tell_voters(&mut self, term: Term, body: &Body) {
+    fn send_to_voters(&mut self, term: Term, body: &Body) {
         let own = self.settings.id;
         let others: Vec<Id> = self.log.voters().iter().copied().filter(|id| *id != own).collect();
         others.into_iter().for_each(|id| self.send(id, term, body.clone()));
     }
 
     fn send(&mut self, to: Id, term: Term, body: Body) {
-        self.fresh.push(Message { from: self.settings.id, to, term, body });
+        self.new_messages.push(Message { from: self.settings.id, to, term, body });
     }
 }
 
--- a/crates/consensus/src/storage.rs
+++ b/crates/consensus/src/storage.rs
@@ -1,5 +1,5 @@
-//! How a replica's records lie under the ordered keys of a store: one key for what is hard, one for the snapshot, one for
-//! each entry. Only bytes are made here; the host writes them.
+//! The encoding of a replica's records in a store: one key for the hard state, one for the snapshot and one for each
+//! entry. This module only encodes and decodes; the host writes to the store.
 
 use appledyke_store::format::Change;
 use serde::Serialize;
@@ -12,25 +12,26 @@
 const ENTRY: &[u8] = b"entry.";
 
 fn key(index: Index) -> Vec<u8> {
-    // Big-endian, so that keys are ordered as the entries are.
+    // Big-endian, so that keys sort by index.
     [ENTRY, &index.to_be_bytes()].concat()
 }
 
 fn put(key: &[u8], value: &impl Serialize) -> Change {
-    let value = postcard::to_stdvec(value).expect("these records have no form that cannot be written");
+    let value = postcard::to_stdvec(value).expect("these records can always be encoded");
     Change::Put(key.to_vec(), value)
 }
 
-/// A batch as changes of the store, one atomic batch there too; `held` are the store's keys and values in order.
-pub fn changes<'a>(batch: &Batch, held: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Vec<Change> {
+/// The changes of the store for a batch, to be committed atomically. `stored` is the store's keys and values in order.
+pub fn changes<'a>(batch: &Batch, stored: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Vec<Change> {
     let mut changes = Vec::new();
-    let goes = |index: Index| {
+    let is_removed = |index: Index| {
         batch.truncate_from.is_some_and(|from| index >= from)
             || batch.compact_to.is_some_and(|to| index <= to)
     };
     if batch.truncate_from.is_some() || batch.compact_to.is_some() {
-        let entries = held.filter_map(|(key, _)| Some((key, index(key)?)));
-        changes.extend(entries.filter(|(_, at)| goes(*at)).map(|(key, _)| Change::Remove(key.to_vec())));
+        let entries = stored.filter_map(|(key, _)| Some((key, index(key)?)));
+        changes
+            .extend(entries.filter(|(_, at)| is_removed(*at)).map(|(key, _)| Change::Remove(key.to_vec())));
     }
     changes.extend(batch.hard_state.iter().map(|hard_state| put(HARD, hard_state)));
     changes.extend(batch.snapshot.iter().map(|snapshot| put(SNAPSHOT, snapshot)));
@@ -42,31 +43,31 @@
     Some(Index::from_be_bytes(key.strip_prefix(ENTRY)?.try_into().ok()?))
 }
 
-/// What a store holds of a replica. Other keys are passed over.
+/// Reads a replica's records from a store and ignores other keys.
 ///
 /// # Errors
-/// The key that can't be read, or the index at which entries are missing.
-pub fn load<'a>(held: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Result<PersistedState, String> {
+/// The key whose value cannot be decoded, or the first index at which an entry is missing.
+pub fn load<'a>(stored: impl Iterator<Item = (&'a [u8], &'a [u8])>) -> Result<PersistedState, String> {
     fn read<T: DeserializeOwned>(key: &[u8], value: &[u8]) -> Result<T, String> {
         postcard::from_bytes(value).map_err(|e| format!("{}: {e}", String::from_utf8_lossy(key)))
     }
-    let mut kept = PersistedState::default();
-    for (key, value) in held {
+    let mut persisted = PersistedState::default();
+    for (key, value) in stored {
         if key == HARD {
-            kept.hard_state = read::<HardState>(key, value)?;
+            persisted.hard_state = read::<HardState>(key, value)?;
         } else if key == SNAPSHOT {
-            kept.snapshot = Some(read::<Snapshot>(key, value)?);
+            persisted.snapshot = Some(read::<Snapshot>(key, value)?);
         } else if index(key).is_some() {
-            kept.entries.push(read::<Entry>(key, value)?);
+            persisted.entries.push(read::<Entry>(key, value)?);
         }
     }
-    let covered = kept.snapshot.as_ref().map_or(0, |snapshot| snapshot.last_included.index);
-    let first = kept.entries.first().map_or(covered + 1, |entry| entry.position.index);
-    let gap = kept.entries.iter().zip(first..).find(|(entry, index)| entry.position.index != *index);
+    let covered = persisted.snapshot.as_ref().map_or(0, |snapshot| snapshot.last_included.index);
+    let first = persisted.entries.first().map_or(covered + 1, |entry| entry.position.index);
+    let gap = persisted.entries.iter().zip(first..).find(|(entry, index)| entry.position.index != *index);
     let gap = gap.map(|(_, index)| index).or((first > covered + 1).then_some(covered + 1));
     match gap {
         Some(index) => Err(format!("entry {index}: missing")),
-        None => Ok(kept),
+        None => Ok(persisted),
     }
 }
 
@@ -82,7 +83,7 @@
     }
 
     #[test]
-    fn a_store_holds_what_the_batches_come_to() {
+    fn the_store_holds_the_result_of_all_batches() {
         let snapshot = Snapshot {
             last_included: Position { term: 2, index: 3 },
             voters: [Id { replica_id: 1, incarnation: 9 }].into(),
@@ -112,7 +113,7 @@
             assert_eq!(load(store.iter()).unwrap(), expected);
         }
         assert_eq!(expected.entries.len(), 2);
-        // Danger: a gap would be read as a shorter log.
+        // Danger: a gap must be an error; it must not be read as a shorter log.
         store.commit(&[Change::Remove(key(3))]).unwrap();
         assert_eq!(load(store.iter()).unwrap().entries.len(), 1);
         store.commit(&[Change::Remove(SNAPSHOT.to_vec())]).unwrap();
