--- a/crates/consensus/tests/histories.rs
+++ b/crates/consensus/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories of replicas on networks, disks and clocks that fail, with checks after each step. A failing seed is
-//! printed, and replays with APPLEDYKE_HISTORY=replicas:seed.
+//! Simulated histories of replicas with faults of networks, disks, processes and clocks, each determined by a seed, with
+//! checks of the protocol's guarantees. A failing test prints its seed; APPLEDYKE_HISTORY=replicas:seed replays it.
 
 mod world;
 
@@ -7,18 +7,18 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use world::{Tamper, World};
+use world::{InjectedBug, World};
 
-fn play(replicas: u16, seed: u64, tamper: Tamper) -> Result<u64, String> {
-    let played = catch_unwind(AssertUnwindSafe(|| World::new(replicas, seed, tamper).play()));
+fn play(replicas: u16, seed: u64, bug: InjectedBug) -> Result<u64, String> {
+    let played = catch_unwind(AssertUnwindSafe(|| World::new(replicas, seed, bug).play()));
     played.unwrap_or_else(|panic| {
         let said = panic.downcast_ref::<String>().cloned();
         Err(said.or_else(|| panic.downcast_ref::<&str>().map(ToString::to_string)).unwrap_or_default())
     })
 }
 
-/// The failures of these seeds, on all cores, and how many commands were committed.
-fn failures(replicas: u16, seeds: std::ops::Range<u64>, tamper: Tamper) -> (Vec<(u64, String)>, u64) {
+/// Runs these seeds on all cores. Returns the failures and the number of committed commands.
+fn failures(replicas: u16, seeds: std::ops::Range<u64>, bug: InjectedBug) -> (Vec<(u64, String)>, u64) {
     let (next, committed) = (AtomicU64::new(seeds.start), AtomicU64::new(0));
     let failed = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
@@ -30,7 +30,7 @@
                     if seed >= seeds.end {
                         return;
                     }
-                    match play(replicas, seed, tamper) {
+                    match play(replicas, seed, bug) {
                         Ok(count) => drop(committed.fetch_add(count, Ordering::Relaxed)),
                         Err(what) => failed.lock().unwrap().push((seed, what)),
                     }
@@ -44,20 +44,20 @@
 }
 
 #[test]
-fn thousands_of_histories_keep_every_promise() {
+fn thousands_of_histories_pass_all_checks() {
     if let Ok(wanted) = std::env::var("APPLEDYKE_HISTORY") {
         let (replicas, seed) = wanted.split_once(':').expect("replicas:seed");
         let (replicas, seed) = (replicas.parse().unwrap(), seed.parse().unwrap());
-        println!("{replicas}:{seed}: {:?}", World::new(replicas, seed, Tamper::None).play());
+        println!("{replicas}:{seed}: {:?}", World::new(replicas, seed, InjectedBug::None).play());
         return;
     }
     for (replicas, seeds) in [(1, 0..50), (2, 0..150), (3, 0..1800), (5, 0..600)] {
         let count = seeds.end;
-        let (failed, committed) = failures(replicas, seeds, Tamper::None);
-        let told: Vec<String> =
+        let (failed, committed) = failures(replicas, seeds, InjectedBug::None);
+        let messages: Vec<String> =
             failed.iter().take(5).map(|(seed, what)| format!("{replicas}:{seed}: {what}")).collect();
-        assert!(failed.is_empty(), "{} histories failed:\n{}", failed.len(), told.join("\n"));
-        // They do something.
+        assert!(failed.is_empty(), "{} histories failed:\n{}", failed.len(), messages.join("\n"));
+        // The histories must make progress.
         assert!(committed > 20 * count, "{replicas} replicas: {committed} commands in {count} histories");
     }
 }
@@ -66,38 +66,38 @@
 fn a_seed_gives_the_same_history_each_time() {
     for seed in 0..5 {
         let trace = || {
-            let mut world = World::new(3, seed, Tamper::None);
+            let mut world = World::new(3, seed, InjectedBug::None);
             (world.play(), world.trace)
         };
         assert_eq!(trace(), trace(), "seed {seed}");
     }
 }
 
-/// Each check fails where the protocol is broken on purpose.
+/// Each check must find a bug that is added to the protocol.
 #[test]
-fn each_check_finds_the_fault_that_it_is_there_for() {
-    for (tamper, check) in [
-        (Tamper::ForgedVotes, "one leader a term"),
-        (Tamper::ForgottenVotes, "one leader a term"),
-        (Tamper::ChangedEntry, "log matching"),
-        (Tamper::AnyLog, "leader completeness"),
-        (Tamper::OldCopiesTrusted, "leader completeness"),
-        (Tamper::EarlyDurable, "leader completeness"),
-        (Tamper::OtherApplied, "state machine safety"),
-        (Tamper::EagerReads, "linearizable"),
-        (Tamper::NoVotes, "progress"),
-        (Tamper::WrongApply, "one state"),
+fn each_check_finds_the_bug_that_it_is_for() {
+    for (bug, check) in [
+        (InjectedBug::ForgedVotes, "election safety"),
+        (InjectedBug::ForgottenVotes, "election safety"),
+        (InjectedBug::ChangedEntry, "log matching"),
+        (InjectedBug::ForgedLastPosition, "leader completeness"),
+        (InjectedBug::OldFolderTrusted, "leader completeness"),
+        (InjectedBug::EarlyDurability, "leader completeness"),
+        (InjectedBug::ReplacedCommand, "state machine safety"),
+        (InjectedBug::UnconfirmedReads, "linearizable"),
+        (InjectedBug::DroppedVotes, "progress"),
+        (InjectedBug::DoubleApply, "one state"),
     ] {
         let mut others = Vec::new();
         let found = (0..16).any(|block| {
-            let (failed, _) = failures(3, block * 64..(block + 1) * 64, tamper);
+            let (failed, _) = failures(3, block * 64..(block + 1) * 64, bug);
             let found = failed.iter().any(|(_, what)| what.starts_with(check));
             others.extend(failed.into_iter().map(|(_, what)| what));
             found
         });
         others.truncate(3);
         if !found {
-            panic!("{tamper:?} is not found by '{check}'; found: {others:?}");
+            panic!("{bug:?} is not found by '{check}'; found: {others:?}");
         }
     }
 }
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas on a network, disks and clocks that fail by a seed, and the checks.
+//! A simulation of replicas whose network, disks, processes and clocks fail as a seed determines, and the checks of the
+//! protocol's guarantees.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,151 +11,151 @@
 use appledyke_store::simulated_disk::{Files, SimulatedDisk};
 use oorandom::Rand64;
 
-/// Steps with faults, then steps in which all must come right again.
-const ROUGH: u64 = 1200;
-const CALM: u64 = 1600;
-const ELECTION: u32 = 20;
-const BEAT: u32 = 5;
-/// Commands between two snapshots, and entries kept behind one.
-const COMPACT: usize = 12;
-const TAIL: Index = 4;
+/// Steps with faults, then steps without, after which all replicas must have recovered.
+const FAULT_STEPS: u64 = 1200;
+const RECOVERY_STEPS: u64 = 1600;
+const ELECTION_TICKS: u32 = 20;
+const HEARTBEAT_TICKS: u32 = 5;
+/// Entries between two snapshots, and entries kept although a snapshot covers them.
+const SNAPSHOT_INTERVAL: usize = 12;
+const TRAILING_ENTRIES: Index = 4;
 
-/// What is broken on purpose.
+/// A bug that the simulation adds to the protocol, to show that a check finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tamper {
+pub enum InjectedBug {
     None,
-    /// Votes that are denied arrive as given.
+    /// Denied votes arrive as granted.
     ForgedVotes,
-    /// A restart forgets term and vote.
+    /// A restart loses the term and the vote.
     ForgottenVotes,
-    /// An entry reaches one place with other content.
+    /// Entries reach one replica with altered commands.
     ChangedEntry,
-    /// Candidates claim the longest log.
-    AnyLog,
-    /// Old copies of a folder vote under their old identity.
-    OldCopiesTrusted,
-    /// Records count as durable before they are written.
-    EarlyDurable,
-    /// A leader answers reads by itself.
-    EagerReads,
-    /// No vote arrives once the faults are over.
-    NoVotes,
-    /// One place is given another command than the one that was committed.
-    OtherApplied,
-    /// One place applies a command twice.
-    WrongApply,
+    /// Candidates claim the greatest possible last position.
+    ForgedLastPosition,
+    /// A replica with an old copy of its folder votes under its old identity.
+    OldFolderTrusted,
+    /// Batches are reported durable before they are written.
+    EarlyDurability,
+    /// A leader answers reads without confirmation by a majority.
+    UnconfirmedReads,
+    /// All votes are lost once the faults are over.
+    DroppedVotes,
+    /// One replica applies another command than the committed one.
+    ReplacedCommand,
+    /// One replica applies some commands twice.
+    DoubleApply,
 }
 
 #[derive(Clone, Default)]
-struct Machine {
+struct StateMachine {
     applied: Index,
-    list: Vec<u64>,
+    commands: Vec<u64>,
 }
 
-impl Machine {
-    fn bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(&(self.applied, &self.list)).unwrap()
+impl StateMachine {
+    fn encode(&self) -> Vec<u8> {
+        postcard::to_stdvec(&(self.applied, &self.commands)).unwrap()
     }
 
-    fn of(snapshot: &Snapshot) -> Machine {
-        let (applied, list) = postcard::from_bytes(&snapshot.state).unwrap();
-        Machine { applied, list }
+    fn from_snapshot(snapshot: &Snapshot) -> StateMachine {
+        let (applied, commands) = postcard::from_bytes(&snapshot.state).unwrap();
+        StateMachine { applied, commands }
     }
 }
 
 struct Running {
     replica: Replica,
     store: Store<SimulatedDisk>,
-    /// Batches on their way to the disk, and when each is there.
+    /// Batches that are not written yet, each with the step at which it will be.
     queue: VecDeque<(u64, Batch)>,
-    machine: Machine,
-    since_snapshot: usize,
+    machine: StateMachine,
+    entries_since_snapshot: usize,
 }
 
 struct Node {
     id: Id,
     disk: SimulatedDisk,
     running: Option<Running>,
-    /// Ticks a step, and what is left of one.
-    rate: f64,
-    part: f64,
-    stopped_until: u64,
-    back_at: u64,
-    copies: Vec<(Files, Id)>,
+    /// Ticks in a step, and the fraction of a tick that is left over.
+    clock_rate: f64,
+    clock_fraction: f64,
+    paused_until: u64,
+    restart_at: u64,
+    backups: Vec<(Files, Id)>,
 }
 
-/// A client's operation: when it began and was answered, by a count of events.
+/// A client's operation. `started` and `completed` are positions in the sequence of client events.
 #[derive(Clone, Copy)]
 struct Operation {
-    began: u64,
-    answered: Option<u64>,
-    /// Whom it was told to, and the life and the start of that replica.
-    to: (usize, Id, u64),
-    /// A read: how much it saw.
-    saw: Option<usize>,
-    reads: bool,
+    started: u64,
+    completed: Option<u64>,
+    /// The node that received it, with its identity and the number of its start.
+    target: (usize, Id, u64),
+    /// For a read, the number of commands that it observed.
+    observed: Option<usize>,
+    is_read: bool,
 }
 
 pub struct World {
-    tamper: Tamper,
-    chance: Rand64,
+    bug: InjectedBug,
+    rng: Rand64,
     now: u64,
     events: u64,
     nodes: Vec<Node>,
     starts: Vec<u64>,
-    net: BTreeMap<(u64, u64), Message>,
-    sent: u64,
-    cut: Vec<Vec<bool>>,
-    loss: f64,
-    /// The place whose folder was put back or emptied, how far it had come and how far all had: until it is there again
-    /// no other is struck so.
-    wounded: Option<(usize, Position, Index)>,
+    network: BTreeMap<(u64, u64), Message>,
+    messages_sent: u64,
+    blocked_links: Vec<Vec<bool>>,
+    loss_rate: f64,
+    /// The node whose folder was emptied or restored from an old copy, its last position and the commit index then. No other
+    /// folder is damaged until this node has caught up to both.
+    damaged: Option<(usize, Position, Index)>,
     leaders: BTreeMap<Term, Id>,
     committed: Vec<Entry>,
     operations: Vec<Operation>,
-    lives: u64,
-    calm: bool,
-    /// Clients ask for nothing.
-    quiet: bool,
+    last_incarnation: u64,
+    faults_off: bool,
+    /// Clients send no operations.
+    clients_paused: bool,
     pub trace: Vec<(u64, Id, Index)>,
 }
 
 impl World {
-    pub fn new(replicas: u16, seed: u64, tamper: Tamper) -> World {
-        let chance = Rand64::new(u128::from(seed));
+    pub fn new(replicas: u16, seed: u64, bug: InjectedBug) -> World {
+        let rng = Rand64::new(u128::from(seed));
         let count = usize::from(replicas);
         let mut world = World {
-            tamper,
-            chance,
+            bug,
+            rng,
             now: 0,
             events: 0,
             nodes: Vec::new(),
             starts: vec![0; count],
-            net: BTreeMap::new(),
-            sent: 0,
-            cut: vec![vec![false; count]; count],
-            loss: 0.0,
-            wounded: None,
+            network: BTreeMap::new(),
+            messages_sent: 0,
+            blocked_links: vec![vec![false; count]; count],
+            loss_rate: 0.0,
+            damaged: None,
             leaders: BTreeMap::new(),
             committed: Vec::new(),
             operations: Vec::new(),
-            lives: u64::from(replicas),
-            calm: true,
-            quiet: false,
+            last_incarnation: u64::from(replicas),
+            faults_off: true,
+            clients_paused: false,
             trace: Vec::new(),
         };
         for at in 0..count {
             let id = Id { replica_id: at as u16 + 1, incarnation: at as u64 + 1 };
-            let rate = 0.7 + 0.6 * world.chance.rand_float();
+            let clock_rate = 0.7 + 0.6 * world.rng.rand_float();
             let node = Node {
                 id,
                 disk: SimulatedDisk::default(),
                 running: None,
-                rate,
-                part: 0.0,
-                stopped_until: 0,
-                back_at: 0,
-                copies: Vec::new(),
+                clock_rate,
+                clock_fraction: 0.0,
+                paused_until: 0,
+                restart_at: 0,
+                backups: Vec::new(),
             };
             world.nodes.push(node);
         }
@@ -169,79 +170,81 @@
     }
 
     fn range(&mut self, to: u64) -> u64 {
-        self.chance.rand_range(0..to.max(1))
+        self.rng.rand_range(0..to.max(1))
     }
 
-    fn by_chance(&mut self, part: f64) -> bool {
-        self.chance.rand_float() < part
+    fn happens(&mut self, probability: f64) -> bool {
+        self.rng.rand_float() < probability
     }
 
     fn start(&mut self, at: usize) {
-        let seed = self.chance.rand_u64();
+        let seed = self.rng.rand_u64();
         let replica_ids = (1..=self.nodes.len() as u16).collect();
         let trust_folder =
-            [Tamper::OldCopiesTrusted, Tamper::ForgottenVotes, Tamper::EarlyDurable].contains(&self.tamper);
+            [InjectedBug::OldFolderTrusted, InjectedBug::ForgottenVotes, InjectedBug::EarlyDurability]
+                .contains(&self.bug);
         let node = &mut self.nodes[at];
         let (store, report) = Store::open(node.disk.clone()).unwrap();
         assert!(report.missing_from.is_none());
         let mut kept = storage::load(store.iter()).unwrap();
-        if self.tamper == Tamper::ForgottenVotes {
+        if self.bug == InjectedBug::ForgottenVotes {
             kept.hard_state = Default::default();
         }
         let settings = Settings {
             id: node.id,
             replica_ids,
-            election_ticks: ELECTION,
-            heartbeat_ticks: BEAT,
-            trailing_entries: TAIL,
+            election_ticks: ELECTION_TICKS,
+            heartbeat_ticks: HEARTBEAT_TICKS,
+            trailing_entries: TRAILING_ENTRIES,
             trust_folder,
         };
         let replica = Replica::new(settings, seed, kept);
-        let machine = Machine::default();
-        node.running = Some(Running { replica, store, queue: VecDeque::new(), machine, since_snapshot: 0 });
+        let machine = StateMachine::default();
+        node.running =
+            Some(Running { replica, store, queue: VecDeque::new(), machine, entries_since_snapshot: 0 });
         self.starts[at] += 1;
     }
 
-    /// Plays all; the number of commands that were committed.
+    /// Runs the whole history. Returns the number of committed commands.
     pub fn play(&mut self) -> Result<u64, String> {
-        // All come in first.
-        self.run(CALM / 2)?;
-        self.calm = false;
-        self.run(ROUGH)?;
-        self.calm = true;
-        self.loss = 0.0;
-        self.cut.iter_mut().flatten().for_each(|cut| *cut = false);
-        self.nodes.iter_mut().for_each(|node| (node.stopped_until, node.back_at) = (0, 0));
-        self.run(CALM)?;
-        self.all_came_right()?;
+        // All replicas join before the first fault.
+        self.run(RECOVERY_STEPS / 2)?;
+        self.faults_off = false;
+        self.run(FAULT_STEPS)?;
+        self.faults_off = true;
+        self.loss_rate = 0.0;
+        self.blocked_links.iter_mut().flatten().for_each(|blocked| *blocked = false);
+        self.nodes.iter_mut().for_each(|node| (node.paused_until, node.restart_at) = (0, 0));
+        self.run(RECOVERY_STEPS)?;
+        self.check_recovery()?;
         Ok(self.committed.iter().filter(|entry| matches!(entry.content, Content::Command(_))).count() as u64)
     }
 
     fn run(&mut self, steps: u64) -> Result<(), String> {
         for _ in 0..steps {
             self.now += 1;
-            if !self.calm {
-                self.strike();
+            if !self.faults_off {
+                self.inject_faults();
             }
             for at in 0..self.nodes.len() {
-                if self.nodes[at].running.is_none() && self.nodes[at].back_at <= self.now {
+                if self.nodes[at].running.is_none() && self.nodes[at].restart_at <= self.now {
                     self.start(at);
                 }
-                if self.nodes[at].stopped_until > self.now {
+                if self.nodes[at].paused_until > self.now {
                     continue;
                 }
                 let node = &mut self.nodes[at];
-                node.part += node.rate;
-                while node.part >= 1.0 {
-                    node.part -= 1.0;
+                node.clock_fraction += node.clock_rate;
+                while node.clock_fraction >= 1.0 {
+                    node.clock_fraction -= 1.0;
                     node.running.iter_mut().for_each(|running| running.replica.tick());
                 }
-                self.write(at);
-                self.drain(at)?;
+                self.write_batches(at);
+                self.process_ready(at)?;
             }
             self.deliver()?;
-            self.clients();
-            self.mend();
+            self.run_client();
+            self.replace_lost_replicas();
             self.check_leaders()?;
             if self.now.is_multiple_of(64) {
                 self.check_logs()?;
@@ -253,55 +256,55 @@
 
     // Faults.
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         let count = self.nodes.len() as u64;
         let at = self.range(count) as usize;
-        if self.by_chance(0.006) {
-            self.kill(at);
+        if self.happens(0.006) {
+            self.crash(at);
         }
-        if self.by_chance(0.003) {
-            // Stopped for longer than an election, or shorter.
-            let time = self.range(u64::from(6 * ELECTION));
-            self.nodes[at].stopped_until = self.now + time;
+        if self.happens(0.003) {
+            // A pause may be shorter or longer than an election timeout.
+            let time = self.range(u64::from(6 * ELECTION_TICKS));
+            self.nodes[at].paused_until = self.now + time;
         }
-        if self.by_chance(0.01) {
+        if self.happens(0.01) {
             let (from, to) = (self.range(count) as usize, self.range(count) as usize);
-            self.cut[from][to] = true;
+            self.blocked_links[from][to] = true;
         }
-        if self.by_chance(0.004) {
-            let part = self.range(1 << count);
+        if self.happens(0.004) {
+            let side = self.range(1 << count);
             for from in 0..self.nodes.len() {
                 for to in 0..self.nodes.len() {
-                    self.cut[from][to] = (part >> from & 1) != (part >> to & 1);
+                    self.blocked_links[from][to] = (side >> from & 1) != (side >> to & 1);
                 }
             }
         }
-        if self.by_chance(0.012) {
-            self.cut.iter_mut().flatten().for_each(|cut| *cut = false);
-            self.loss = if self.by_chance(0.5) { 0.0 } else { 0.3 * self.chance.rand_float() };
+        if self.happens(0.012) {
+            self.blocked_links.iter_mut().flatten().for_each(|blocked| *blocked = false);
+            self.loss_rate = if self.happens(0.5) { 0.0 } else { 0.3 * self.rng.rand_float() };
         }
-        if self.by_chance(0.002) {
-            // All at once.
-            (0..self.nodes.len()).for_each(|at| self.kill(at));
+        if self.happens(0.002) {
+            // All nodes crash at once.
+            (0..self.nodes.len()).for_each(|at| self.crash(at));
         }
-        if self.by_chance(0.05) {
+        if self.happens(0.05) {
             let node = &mut self.nodes[at];
             if node.running.is_some() {
                 let files = node.disk.files_after_power_cut([0, 0]);
-                node.copies.push((files, node.id));
+                node.backups.push((files, node.id));
             }
         }
-        // Of two, none may lose what it had acknowledged.
-        if self.by_chance(0.006) && self.nodes.len() > 2 {
-            self.wound(at);
+        // With two replicas there is no majority without the damaged one, so neither folder may be damaged.
+        if self.happens(0.006) && self.nodes.len() > 2 {
+            self.damage_folder(at);
         }
     }
 
-    /// Power goes, at times in the middle of a write.
-    fn kill(&mut self, at: usize) {
+    /// A power cut, possibly in the middle of a write.
+    fn crash(&mut self, at: usize) {
         let (operation, kept) =
             (1 + self.range(4) as usize, [self.range(200) as usize, self.range(200) as usize]);
-        let back_at = self.now + 1 + self.range(120);
+        let restart_at = self.now + 1 + self.range(120);
         let node = &mut self.nodes[at];
         let Some(mut running) = node.running.take() else { return };
         if let Some((_, batch)) = running.queue.pop_front() {
@@ -312,41 +315,43 @@
         }
         let files = node.disk.files_after_power_cut(kept);
         node.disk = SimulatedDisk::with_files(files);
-        node.back_at = back_at;
+        node.restart_at = restart_at;
     }
 
-    /// The folder is emptied, or put back from an old copy. What its process had sent before is delivered or lost by then.
-    fn wound(&mut self, at: usize) {
-        let all_vote = (0..self.nodes.len()).all(|at| self.votes(at));
-        let Some(running) = self.nodes[at].running.as_ref().filter(|_| self.wounded.is_none() && all_vote)
+    /// Empties the folder or restores it from an old copy. Messages that the process sent before are dropped, since by the
+    /// time that an operator has replaced a folder they are delivered or lost.
+    fn damage_folder(&mut self, at: usize) {
+        let all_are_voters = (0..self.nodes.len()).all(|at| self.is_voter(at));
+        let Some(running) =
+            self.nodes[at].running.as_ref().filter(|_| self.damaged.is_none() && all_are_voters)
         else {
             return;
         };
-        self.wounded = Some((at, running.replica.last_position(), self.committed.len() as Index));
-        self.kill(at);
+        self.damaged = Some((at, running.replica.last_position(), self.committed.len() as Index));
+        self.crash(at);
         let own = self.nodes[at].id.replica_id;
-        self.net.retain(|_, message| message.from.replica_id != own);
-        let old = self.by_chance(0.5) || self.tamper == Tamper::OldCopiesTrusted;
-        let count = self.nodes[at].copies.len() as u64;
+        self.network.retain(|_, message| message.from.replica_id != own);
+        let old = self.happens(0.5) || self.bug == InjectedBug::OldFolderTrusted;
+        let count = self.nodes[at].backups.len() as u64;
         if old && count > 0 {
             let which = self.range(count) as usize;
-            let (files, id) = self.nodes[at].copies[which].clone();
+            let (files, id) = self.nodes[at].backups[which].clone();
             (self.nodes[at].disk, self.nodes[at].id) = (SimulatedDisk::with_files(files), id);
         } else {
-            self.another_life(at);
+            self.begin_new_incarnation(at);
         }
     }
 
-    fn another_life(&mut self, at: usize) {
-        self.lives += 1;
+    fn begin_new_incarnation(&mut self, at: usize) {
+        self.last_incarnation += 1;
         let node = &mut self.nodes[at];
         node.running = None;
         node.disk = SimulatedDisk::default();
-        node.id.incarnation = self.lives;
-        node.copies.clear();
+        node.id.incarnation = self.last_incarnation;
+        node.backups.clear();
     }
 
-    fn votes(&self, at: usize) -> bool {
+    fn is_voter(&self, at: usize) -> bool {
         let node = &self.nodes[at];
         node.running.as_ref().is_some_and(|running| {
             let role = running.replica.role();
@@ -354,44 +359,44 @@
         })
     }
 
-    /// Hosts bring a replica that has lost its state back as another life; a wound is over once its place has come as far
-    /// as it had been.
-    fn mend(&mut self) {
+    /// Gives replicas that have lost acknowledged entries a new incarnation, as hosts do. Clears `damaged` once that node has
+    /// caught up.
+    fn replace_lost_replicas(&mut self) {
         for at in 0..self.nodes.len() {
             let lost = self.nodes[at].running.as_ref().is_some_and(|r| r.replica.role() == Role::Lost);
             if lost {
-                self.another_life(at);
+                self.begin_new_incarnation(at);
             }
         }
-        if let Some((at, last, committed)) = self.wounded
-            && self.votes(at)
+        if let Some((at, last, committed)) = self.damaged
+            && self.is_voter(at)
         {
-            let running = self.nodes[at].running.as_ref().expect("it votes");
+            let running = self.nodes[at].running.as_ref().expect("a voter is running");
             if running.replica.last_position() >= last && running.replica.commit_index() >= committed {
-                self.wounded = None;
+                self.damaged = None;
             }
         }
     }
 
     // Disks, work and the network.
 
-    fn write(&mut self, at: usize) {
+    fn write_batches(&mut self, at: usize) {
         let now = self.now;
         let Some(running) = &mut self.nodes[at].running else { return };
-        while running.queue.front().is_some_and(|(there, _)| *there <= now) {
-            let (_, batch) = running.queue.pop_front().expect("looked");
+        while running.queue.front().is_some_and(|(written_at, _)| *written_at <= now) {
+            let (_, batch) = running.queue.pop_front().expect("the queue is not empty");
             let changes = storage::changes(&batch, running.store.iter());
-            running.store.commit(&changes).expect("no fault on this disk");
+            running.store.commit(&changes).expect("this disk has no faults");
             if running.store.log_length() > 20_000 {
-                running.store.compact().expect("no fault on this disk");
+                running.store.compact().expect("this disk has no faults");
             }
             running.replica.mark_durable(batch.number);
         }
     }
 
-    fn drain(&mut self, at: usize) -> Result<(), String> {
+    fn process_ready(&mut self, at: usize) -> Result<(), String> {
         loop {
-            let wait = if self.by_chance(0.7) { 0 } else { self.range(6) };
+            let write_delay = if self.happens(0.7) { 0 } else { self.range(6) };
             let Some(running) = &mut self.nodes[at].running else { return Ok(()) };
             let work = running.replica.take_ready();
             if work.is_empty() {
@@ -399,14 +404,14 @@
             }
             let Ready { batch, messages, install, committed, reads, failed_reads: _ } = work;
             if let Some(batch) = batch {
-                if self.tamper == Tamper::EarlyDurable {
+                if self.bug == InjectedBug::EarlyDurability {
                     running.replica.mark_durable(batch.number);
                 }
-                running.queue.push_back((self.now + wait, batch));
+                running.queue.push_back((self.now + write_delay, batch));
             }
             if let Some(snapshot) = install {
-                running.machine = Machine::of(&snapshot);
-                running.since_snapshot = 0;
+                running.machine = StateMachine::from_snapshot(&snapshot);
+                running.entries_since_snapshot = 0;
             }
             for entry in committed {
                 self.apply(at, entry)?;
@@ -414,21 +419,21 @@
             for ticket in reads {
                 self.answer_read(at, ticket as usize);
             }
-            messages.into_iter().for_each(|message| self.post(message));
-            self.write(at);
+            messages.into_iter().for_each(|message| self.apply_bug_and_send(message));
+            self.write_batches(at);
         }
     }
 
     fn apply(&mut self, at: usize, mut entry: Entry) -> Result<(), String> {
         let own = self.nodes[at].id;
         if let Content::Command(command) = &mut entry.content
-            && self.tamper == Tamper::OtherApplied
+            && self.bug == InjectedBug::ReplacedCommand
             && own.replica_id == 2
         {
             command[0] = 0;
         }
-        let twice = self.tamper == Tamper::WrongApply && own.replica_id == 2;
-        let running = self.nodes[at].running.as_mut().expect("it gave the entry");
+        let apply_twice = self.bug == InjectedBug::DoubleApply && own.replica_id == 2;
+        let running = self.nodes[at].running.as_mut().expect("a running replica returned the entry");
         let machine = &mut running.machine;
         let index = entry.position.index;
         if index != machine.applied + 1 {
@@ -438,22 +443,24 @@
         let mut done = None;
         if let Content::Command(command) = &entry.content {
             let number = u64::from_le_bytes(command[..].try_into().unwrap());
-            machine.list.push(number);
-            if twice && number % 7 == 0 {
-                machine.list.push(number);
+            machine.commands.push(number);
+            if apply_twice && number % 7 == 0 {
+                machine.commands.push(number);
             }
             done = Some(number as usize);
         }
-        running.since_snapshot += 1;
-        if running.since_snapshot >= COMPACT {
-            running.since_snapshot = 0;
-            let state = machine.bytes();
+        running.entries_since_snapshot += 1;
+        if running.entries_since_snapshot >= SNAPSHOT_INTERVAL {
+            running.entries_since_snapshot = 0;
+            let state = machine.encode();
             running.replica.compact(index, state);
         }
         self.trace.push((self.now, own, index));
         match self.committed.get(index as usize - 1) {
-            Some(there) if *there != entry => {
-                return Err(format!("state machine safety: {own} commits {entry:?}, another {there:?}"));
+            Some(present) if *present != entry => {
+                return Err(format!(
+                    "state machine safety: {own} commits {entry:?}, another replica {present:?}"
+                ));
             }
             Some(_) => {}
             None if self.committed.len() as Index + 1 == index => self.committed.push(entry),
@@ -462,65 +469,74 @@
         if let Some(number) = done {
             self.events += 1;
             let (operation, here) = (&mut self.operations[number], (at, own, self.starts[at]));
-            // Only whom it was told to can tell its client.
-            if operation.to == here && operation.answered.is_none() {
-                operation.answered = Some(self.events);
+            // Only the process that received the operation can answer its client.
+            if operation.target == here && operation.completed.is_none() {
+                operation.completed = Some(self.events);
             }
         }
         Ok(())
     }
 
-    fn post(&mut self, mut message: Message) {
-        match (self.tamper, &mut message.body) {
-            (Tamper::AnyLog, Body::VoteRequest { last, .. } | Body::PreVoteRequest { last }) => {
+    fn apply_bug_and_send(&mut self, mut message: Message) {
+        match (self.bug, &mut message.body) {
+            (
+                InjectedBug::ForgedLastPosition,
+                Body::VoteRequest { last, .. } | Body::PreVoteRequest { last },
+            ) => {
                 *last = Position { term: u64::MAX, index: u64::MAX };
             }
-            (Tamper::ChangedEntry, Body::AppendRequest { entries, .. }) if message.to.replica_id == 2 => {
+            (InjectedBug::ChangedEntry, Body::AppendRequest { entries, .. })
+                if message.to.replica_id == 2 =>
+            {
                 for entry in entries {
                     if let Content::Command(command) = &mut entry.content {
                         command[7] ^= 1;
                     }
                 }
             }
-            (Tamper::NoVotes, Body::VoteResponse { .. }) if self.calm && self.now > CALM => return,
-            (Tamper::ForgedVotes, Body::VoteResponse { granted }) => *granted = true,
+            (InjectedBug::DroppedVotes, Body::VoteResponse { .. })
+                if self.faults_off && self.now > RECOVERY_STEPS =>
+            {
+                return;
+            }
+            (InjectedBug::ForgedVotes, Body::VoteResponse { granted }) => *granted = true,
             _ => {}
         }
         self.send(message);
     }
 
     fn send(&mut self, message: Message) {
-        let copies = if !self.calm && self.by_chance(0.02) { 2 } else { 1 };
+        let copies = if !self.faults_off && self.happens(0.02) { 2 } else { 1 };
         for _ in 0..copies {
-            if self.loss > 0.0 && self.by_chance(self.loss) {
+            if self.loss_rate > 0.0 && self.happens(self.loss_rate) {
                 continue;
             }
-            let late = !self.calm && self.by_chance(0.02);
-            let delay = 1 + if late { self.range(60) } else { self.range(3) };
-            self.sent += 1;
-            self.net.insert((self.now + delay, self.sent), message.clone());
+            let is_late = !self.faults_off && self.happens(0.02);
+            let delay = 1 + if is_late { self.range(60) } else { self.range(3) };
+            self.messages_sent += 1;
+            self.network.insert((self.now + delay, self.messages_sent), message.clone());
         }
     }
 
     fn deliver(&mut self) -> Result<(), String> {
-        while let Some(((when, number), message)) = self.net.pop_first() {
+        while let Some(((when, number), message)) = self.network.pop_first() {
             if when > self.now {
-                self.net.insert((when, number), message);
+                self.network.insert((when, number), message);
                 return Ok(());
             }
             let (from, to) =
                 (usize::from(message.from.replica_id) - 1, usize::from(message.to.replica_id) - 1);
-            if self.cut[from][to] {
+            if self.blocked_links[from][to] {
                 continue;
             }
-            if self.nodes[to].stopped_until > self.now {
-                // A stopped process's kernel takes it; it is read once the process goes on.
-                self.net.insert((self.nodes[to].stopped_until, number), message);
+            if self.nodes[to].paused_until > self.now {
+                // The kernel buffers the message until the process resumes.
+                self.network.insert((self.nodes[to].paused_until, number), message);
                 continue;
             }
             if let Some(running) = &mut self.nodes[to].running {
                 running.replica.receive(message);
-                self.drain(to)?;
+                self.process_ready(to)?;
             }
         }
         Ok(())
@@ -528,41 +544,48 @@
 
     // Clients.
 
-    fn clients(&mut self) {
-        if self.quiet || !self.by_chance(0.15) {
+    fn run_client(&mut self) {
+        if self.clients_paused || !self.happens(0.15) {
             return;
         }
         let count = self.nodes.len() as u64;
         let at = self.range(count) as usize;
-        let reads = self.by_chance(0.4);
-        if self.nodes[at].stopped_until > self.now {
+        let is_read = self.happens(0.4);
+        if self.nodes[at].paused_until > self.now {
             return;
         }
         let (id, number) = (self.nodes[at].id, self.operations.len());
         let Some(running) = &mut self.nodes[at].running else { return };
-        let taken = if reads {
+        let accepted = if is_read {
             running.replica.request_read(number as u64).is_ok()
         } else {
             running.replica.propose((number as u64).to_le_bytes().to_vec()).is_ok()
         };
-        let eager = reads && self.tamper == Tamper::EagerReads && running.replica.role() == Role::Leader;
-        if taken {
+        let unconfirmed =
+            is_read && self.bug == InjectedBug::UnconfirmedReads && running.replica.role() == Role::Leader;
+        if accepted {
             self.events += 1;
-            let to = (at, id, self.starts[at]);
-            self.operations.push(Operation { began: self.events, answered: None, to, saw: None, reads });
-        }
-        if taken && eager {
+            let target = (at, id, self.starts[at]);
+            self.operations.push(Operation {
+                started: self.events,
+                completed: None,
+                target,
+                observed: None,
+                is_read,
+            });
+        }
+        if accepted && unconfirmed {
             self.answer_read(at, number);
         }
     }
 
     fn answer_read(&mut self, at: usize, number: usize) {
-        let list = self.nodes[at].running.as_ref().map_or(0, |running| running.machine.list.len());
+        let list = self.nodes[at].running.as_ref().map_or(0, |running| running.machine.commands.len());
         self.events += 1;
         let (id, start) = (self.nodes[at].id, self.starts[at]);
         let operation = &mut self.operations[number];
-        if operation.to == (at, id, start) && operation.answered.is_none() {
-            (operation.answered, operation.saw) = (Some(self.events), Some(list));
+        if operation.target == (at, id, start) && operation.completed.is_none() {
+            (operation.completed, operation.observed) = (Some(self.events), Some(list));
         }
     }
 
@@ -578,7 +601,7 @@
             match self.leaders.insert(replica.term(), node.id) {
                 Some(other) if other != node.id => {
                     return Err(format!(
-                        "one leader a term: {other} and {} lead term {}",
+                        "election safety: {other} and {} lead term {}",
                         node.id,
                         replica.term()
                     ));
@@ -625,54 +648,58 @@
         Ok(())
     }
 
-    /// Clients see one list that only grows, in the order of what they were told.
+    /// Linearizability: clients observe one list of commands that only grows, in an order that agrees with the times of
+    /// their operations.
     fn check_clients(&self) -> Result<(), String> {
-        let mut place = BTreeMap::new();
+        let mut order = BTreeMap::new();
         for entry in &self.committed {
             if let Content::Command(command) = &entry.content {
                 let number = u64::from_le_bytes(command[..].try_into().unwrap()) as usize;
-                if place.insert(number, place.len()).is_some() {
+                if order.insert(number, order.len()).is_some() {
                     return Err(format!("linearizable: command {number} took effect twice"));
                 }
             }
         }
-        // Each as the least and the most commands that may have taken effect before its end and its start.
+        // For each operation: its start and end, the least number of commands in effect at its end, and the most at its
+        // start.
         let mut points: Vec<(u64, u64, usize, usize)> = Vec::new();
         for (number, operation) in self.operations.iter().enumerate() {
-            let Some(answered) = operation.answered else { continue };
-            let (low, high) = match operation.saw {
-                Some(saw) => (saw, saw),
-                None if operation.reads => continue,
-                None => match place.get(&number) {
+            let Some(completed) = operation.completed else { continue };
+            let (low, high) = match operation.observed {
+                Some(observed) => (observed, observed),
+                None if operation.is_read => continue,
+                None => match order.get(&number) {
                     Some(at) => (at + 1, *at),
                     None => return Err(format!("nothing lost: command {number} was acknowledged")),
                 },
             };
-            points.push((operation.began, answered, low, high));
+            points.push((operation.started, completed, low, high));
         }
         let mut ends: Vec<(u64, usize)> = points.iter().map(|(_, end, low, _)| (*end, *low)).collect();
         ends.sort_unstable();
         points.sort_unstable();
         let (mut at, mut seen) = (0, 0);
-        for (began, _, _, high) in points {
-            while at < ends.len() && ends[at].0 < began {
+        for (started, _, _, high) in points {
+            while at < ends.len() && ends[at].0 < started {
                 seen = seen.max(ends[at].1);
                 at += 1;
             }
             if high < seen {
-                return Err(format!("linearizable: one sees {high} commands after another saw {seen}"));
+                return Err(format!(
+                    "linearizable: an operation observes at most {high} commands after another observed {seen}"
+                ));
             }
         }
         Ok(())
     }
 
-    fn all_came_right(&mut self) -> Result<(), String> {
-        self.quiet = true;
+    fn check_recovery(&mut self) -> Result<(), String> {
+        self.clients_paused = true;
         let before = self.committed.len();
         let leader = (0..self.nodes.len())
             .find(|at| self.nodes[*at].running.as_ref().is_some_and(|r| r.replica.role() == Role::Leader));
         let states = || {
-            let told = |node: &Node| match &node.running {
+            let status = |node: &Node| match &node.running {
                 Some(r) => format!(
                     "{} {:?} term {} last {:?} of {:?}",
                     node.id,
@@ -683,26 +710,32 @@
                 ),
                 None => format!("{} down", node.id),
             };
-            self.nodes.iter().map(told).collect::<Vec<_>>().join("; ")
+            self.nodes.iter().map(status).collect::<Vec<_>>().join("; ")
         };
-        let Some(leader) = leader else { return Err(format!("progress: nobody leads: {}", states())) };
+        let Some(leader) = leader else { return Err(format!("progress: no leader: {}", states())) };
         let number = self.operations.len();
-        let to = (leader, self.nodes[leader].id, self.starts[leader]);
-        self.operations.push(Operation { began: self.events, answered: None, to, saw: None, reads: false });
-        let running = self.nodes[leader].running.as_mut().expect("it leads");
+        let target = (leader, self.nodes[leader].id, self.starts[leader]);
+        self.operations.push(Operation {
+            started: self.events,
+            completed: None,
+            target,
+            observed: None,
+            is_read: false,
+        });
+        let running = self.nodes[leader].running.as_mut().expect("the leader is running");
         running
             .replica
             .propose((number as u64).to_le_bytes().to_vec())
             .map_err(|e| format!("progress: {e:?}"))?;
-        self.run(u64::from(10 * ELECTION))?;
-        if self.committed.len() <= before || self.operations[number].answered.is_none() {
+        self.run(u64::from(10 * ELECTION_TICKS))?;
+        if self.committed.len() <= before || self.operations[number].completed.is_none() {
             return Err("progress: a command is not committed".to_string());
         }
         let all = self.committed.len() as Index;
         let mut lists = Vec::new();
         for at in 0..self.nodes.len() {
-            let running = self.nodes[at].running.as_ref().ok_or("progress: one is down")?;
-            if !self.votes(at) || running.machine.applied != all {
+            let running = self.nodes[at].running.as_ref().ok_or("progress: a replica is down")?;
+            if !self.is_voter(at) || running.machine.applied != all {
                 return Err(format!(
                     "progress: {} is {:?} at {} of {all}",
                     self.nodes[at].id,
@@ -710,10 +743,10 @@
                     running.machine.applied
                 ));
             }
-            lists.push(&running.machine.list);
+            lists.push(&running.machine.commands);
         }
         if lists.iter().any(|list| *list != lists[0]) {
-            return Err("one state: machines differ".to_string());
+            return Err("one state: state machines differ".to_string());
         }
         Ok(())
     }
