--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,5 @@
-//! The narrow way to files: a real folder, or a stand-in that loses power.
+//! The file operations that the store needs, and their implementation on a real folder. `simulated_disk` has another,
+//! for tests.
 
 use std::fs::{File, OpenOptions};
 use std::io::{ErrorKind, Write};
@@ -6,16 +7,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskError {
-    /// Another process has the folder.
+    /// Another process holds the lock of the folder.
     Locked,
     Failed(String),
 }
 
-/// Files of one folder, by name.
+/// The files of one folder, by name.
 pub trait Disk {
     fn lock(&mut self) -> Result<(), DiskError>;
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DiskError>;
-    /// Makes an empty file, in place of one that is there.
+    /// Creates an empty file, or truncates an existing one.
     fn create(&mut self, name: &str) -> Result<(), DiskError>;
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError>;
     fn sync(&mut self, name: &str) -> Result<(), DiskError>;
@@ -23,7 +24,7 @@
     fn sync_folder(&mut self) -> Result<(), DiskError>;
 }
 
-/// A folder of the machine. The lock ends with this value.
+/// A folder of the file system. Dropping the value releases the lock.
 pub struct Folder {
     path: PathBuf,
     lock: Option<File>,
@@ -34,7 +35,7 @@
         Folder { path, lock: None }
     }
 
-    fn named(&self, name: &str) -> impl Fn(std::io::Error) -> DiskError {
+    fn error_at(&self, name: &str) -> impl Fn(std::io::Error) -> DiskError {
         let path = self.path.join(name).display().to_string();
         move |e| DiskError::Failed(format!("{path}: {e}"))
     }
@@ -42,13 +43,13 @@
 
 impl Disk for Folder {
     fn lock(&mut self) -> Result<(), DiskError> {
-        std::fs::create_dir_all(&self.path).map_err(self.named(""))?;
+        std::fs::create_dir_all(&self.path).map_err(self.error_at(""))?;
         let file = OpenOptions::new().create(true).append(true).open(self.path.join("lock"));
-        let file = file.map_err(self.named("lock"))?;
+        let file = file.map_err(self.error_at("lock"))?;
         match file.try_lock() {
             Ok(()) => self.lock = Some(file),
             Err(std::fs::TryLockError::WouldBlock) => return Err(DiskError::Locked),
-            Err(std::fs::TryLockError::Error(e)) => return Err(self.named("lock")(e)),
+            Err(std::fs::TryLockError::Error(e)) => return Err(self.error_at("lock")(e)),
         }
         Ok(())
     }
@@ -57,29 +58,29 @@
         match std::fs::read(self.path.join(name)) {
             Ok(bytes) => Ok(Some(bytes)),
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
-            Err(e) => Err(self.named(name)(e)),
+            Err(e) => Err(self.error_at(name)(e)),
         }
     }
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
-        File::create(self.path.join(name)).map(drop).map_err(self.named(name))
+        File::create(self.path.join(name)).map(drop).map_err(self.error_at(name))
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
         let file = OpenOptions::new().append(true).open(self.path.join(name));
-        file.and_then(|mut file| file.write_all(bytes)).map_err(self.named(name))
+        file.and_then(|mut file| file.write_all(bytes)).map_err(self.error_at(name))
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
         let file = File::open(self.path.join(name));
-        file.and_then(|file| file.sync_all()).map_err(self.named(name))
+        file.and_then(|file| file.sync_all()).map_err(self.error_at(name))
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        std::fs::rename(self.path.join(from), self.path.join(to)).map_err(self.named(from))
+        std::fs::rename(self.path.join(from), self.path.join(to)).map_err(self.error_at(from))
     }
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
-        File::open(&self.path).and_then(|folder| folder.sync_all()).map_err(self.named(""))
+        File::open(&self.path).and_then(|folder| folder.sync_all()).map_err(self.error_at(""))
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,6 +1,6 @@
-//! A small durable store of ordered keys. One writer; a batch is atomic, and acknowledged once `sync` has
-//! returned. Its log is kept twice, byte for byte, so that damage to one copy loses nothing; compaction writes
-//! the log anew as one batch. `docs/store.md` has what was weighed.
+//! A small durable key-value store with ordered keys and a single writer. A batch is atomic, and is acknowledged once
+//! `commit` returns, after a sync. The log has two identical copies, so that damage to one of them loses nothing.
+//! Compaction rewrites the log as a single batch. `docs/store.md` has the alternatives that were considered.
 
 pub mod disk;
 pub mod format;
@@ -11,19 +11,19 @@
 use disk::{Disk, DiskError};
 use format::{Change, Header, ParsedRecord};
 
-/// The copies of the log, and what each is called while it is written anew.
+/// The file names of the copies of the log, and the names under which replacements are written.
 const COPIES: [&str; 2] = ["log.0", "log.1"];
-const FRESH: [&str; 2] = ["log.0.new", "log.1.new"];
+const NEW_COPIES: [&str; 2] = ["log.0.new", "log.1.new"];
 
 #[derive(Debug, PartialEq, Eq)]
 pub enum StoreError {
     Disk(DiskError),
-    /// A file of a version that is not known here.
+    /// A file has a version that this build does not support.
     UnsupportedVersion {
         file: String,
         version: u32,
     },
-    /// A sync has failed before, or what was acknowledged is damaged: nothing more is written.
+    /// The store accepts no writes, because a write or sync has failed or acknowledged records are damaged.
     ReadOnly,
 }
 
@@ -33,25 +33,25 @@
     }
 }
 
-/// What opening found.
+/// What `Store::open` found.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
     pub records: u64,
-    /// Copies that were damaged or short, and were written anew from the other.
+    /// Copies that were damaged or short, and were rewritten from the other one.
     pub repaired: Vec<String>,
-    /// Bytes at the end that held no whole record in either copy: a batch that was never acknowledged.
+    /// Bytes at the end that form no valid record in either copy, and so a batch that was never acknowledged.
     pub dropped_bytes: usize,
-    /// From this record on something is missing that later records follow: both copies are damaged there.
+    /// The sequence number of the first missing record, if valid records follow it: both copies are damaged there.
     pub missing_from: Option<u64>,
 }
 
 pub struct Store<D: Disk> {
     disk: D,
-    index: BTreeMap<Vec<u8>, Vec<u8>>,
+    values: BTreeMap<Vec<u8>, Vec<u8>>,
     generation: u64,
-    next: u64,
-    /// Length of each copy that holds whole records.
-    length: usize,
+    next_sequence: u64,
+    /// The bytes of valid records, with the header, in each copy.
+    log_length: usize,
     writable: bool,
 }
 
@@ -70,74 +70,80 @@
             copies.push((header, bytes));
         }
         let mut report = RecoveryReport::default();
-        // The newest generation that opens with a whole first record; an older one is whole up to where it was
-        // compacted.
+        // Takes the newest generation whose first record is valid. If compaction was interrupted, the generation before it
+        // holds everything up to that compaction.
         let mut generations: Vec<u64> =
             copies.iter().filter_map(|(h, _)| Some(h.as_ref()?.generation)).collect();
         generations.sort_unstable();
         generations.dedup();
-        let mut read = None;
+        let mut newest = None;
         for generation in generations.iter().rev() {
-            let of = |(header, bytes): &(Option<Header>, Vec<u8>)| {
+            let bytes_of_generation = |(header, bytes): &(Option<Header>, Vec<u8>)| {
                 header.as_ref().filter(|h| h.generation == *generation).map(|_| bytes.clone())
             };
-            let same: Vec<Vec<u8>> = copies.iter().filter_map(of).collect();
-            let found = Found::read(&same);
-            if !found.records.is_empty() || *generation == generations[0] {
-                read = Some((*generation, found));
+            let same_generation: Vec<Vec<u8>> = copies.iter().filter_map(bytes_of_generation).collect();
+            let recovered = RecoveredLog::read(&same_generation);
+            if !recovered.records.is_empty() || *generation == generations[0] {
+                newest = Some((*generation, recovered));
                 break;
             }
         }
-        let mut store =
-            Store { disk, index: BTreeMap::new(), generation: 0, next: 0, length: 0, writable: true };
-        let Some((generation, found)) = read else {
-            // Nothing was ever acknowledged: a new store, or one that never came up.
+        let mut store = Store {
+            disk,
+            values: BTreeMap::new(),
+            generation: 0,
+            next_sequence: 0,
+            log_length: 0,
+            writable: true,
+        };
+        let Some((generation, recovered)) = newest else {
+            // Nothing was ever acknowledged: the store is new, or its creation was interrupted.
             report.dropped_bytes = copies.iter().map(|(_, bytes)| bytes.len()).max().unwrap_or(0);
-            store.rewrite()?;
+            store.rewrite_log()?;
             return Ok((store, report));
         };
         store.generation = generation;
-        for (sequence, changes) in &found.records {
+        for (sequence, changes) in &recovered.records {
             changes.iter().for_each(|change| store.apply(change));
-            store.next = sequence + 1;
+            store.next_sequence = sequence + 1;
         }
-        store.length = found.bytes.len();
-        report.records = found.records.len() as u64;
-        report.dropped_bytes = found.dropped;
-        report.missing_from = found.missing.then_some(store.next);
-        if found.missing {
-            // Danger: written on, the log would hide that something acknowledged is gone.
+        store.log_length = recovered.bytes.len();
+        report.records = recovered.records.len() as u64;
+        report.dropped_bytes = recovered.dropped_bytes;
+        report.missing_from = recovered.records_missing.then_some(store.next_sequence);
+        if recovered.records_missing {
+            // Danger: writing more records would hide that acknowledged records are missing.
             store.writable = false;
             return Ok((store, report));
         }
-        for (at, (_, bytes)) in copies.iter().enumerate() {
-            if *bytes != found.bytes {
-                report.repaired.push(COPIES[at].to_string());
-                store.place(at, &found.bytes)?;
+        for (copy, (_, bytes)) in copies.iter().enumerate() {
+            if *bytes != recovered.bytes {
+                report.repaired.push(COPIES[copy].to_string());
+                store.replace_copy(copy, &recovered.bytes)?;
             }
         }
         Ok((store, report))
     }
 
     pub fn get(&self, key: &[u8]) -> Option<&[u8]> {
-        self.index.get(key).map(Vec::as_slice)
+        self.values.get(key).map(Vec::as_slice)
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.index.iter().map(|(key, value)| (key.as_slice(), value.as_slice()))
+        self.values.iter().map(|(key, value)| (key.as_slice(), value.as_slice()))
     }
 
     pub fn writable(&self) -> bool {
         self.writable
     }
 
-    /// Writes a batch to both copies and syncs both; it is acknowledged when this returns.
+    /// Writes a batch to both copies and syncs them. The batch is acknowledged once this returns its sequence number.
     pub fn commit(&mut self, changes: &[Change]) -> Result<u64, StoreError> {
         if !self.writable {
             return Err(StoreError::ReadOnly);
         }
-        let record = format::encode_record(self.next, changes);
-        // Danger: after a failed write or sync nobody knows what is on the disk, so nothing more is written.
+        let record = format::encode_record(self.next_sequence, changes);
+        // Danger: after a failed write or sync the contents of the disk are unknown, so the store accepts no more writes.
         self.writable = false;
         for name in COPIES {
             self.disk.append(name, &record)?;
@@ -147,94 +153,96 @@
         }
         self.writable = true;
         changes.iter().for_each(|change| self.apply(change));
-        self.length += record.len();
-        self.next += 1;
-        Ok(self.next - 1)
+        self.log_length += record.len();
+        self.next_sequence += 1;
+        Ok(self.next_sequence - 1)
     }
 
-    /// Writes the log anew, with what the keys hold now as its one batch.
+    /// Rewrites the log with the current keys and values as its only batch.
     pub fn compact(&mut self) -> Result<(), StoreError> {
         if !self.writable {
             return Err(StoreError::ReadOnly);
         }
-        self.rewrite()
+        self.rewrite_log()
     }
 
-    /// Bytes of a copy.
+    /// Bytes of each copy of the log.
     pub fn log_length(&self) -> usize {
-        self.length
+        self.log_length
     }
 
     fn apply(&mut self, change: &Change) {
         match change {
-            Change::Put(key, value) => drop(self.index.insert(key.clone(), value.clone())),
-            Change::Remove(key) => drop(self.index.remove(key)),
+            Change::Put(key, value) => drop(self.values.insert(key.clone(), value.clone())),
+            Change::Remove(key) => drop(self.values.remove(key)),
         }
     }
 
-    fn rewrite(&mut self) -> Result<(), StoreError> {
+    fn rewrite_log(&mut self) -> Result<(), StoreError> {
         let puts: Vec<Change> =
-            self.index.iter().map(|(key, value)| Change::Put(key.clone(), value.clone())).collect();
+            self.values.iter().map(|(key, value)| Change::Put(key.clone(), value.clone())).collect();
         let mut bytes = format::encode_header(self.generation + 1);
-        bytes.extend(format::encode_record(self.next, &puts));
+        bytes.extend(format::encode_record(self.next_sequence, &puts));
         self.writable = false;
-        for at in 0..COPIES.len() {
-            self.place(at, &bytes)?;
+        for copy in 0..COPIES.len() {
+            self.replace_copy(copy, &bytes)?;
         }
-        (self.generation, self.length, self.writable) = (self.generation + 1, bytes.len(), true);
-        self.next += 1;
+        (self.generation, self.log_length, self.writable) = (self.generation + 1, bytes.len(), true);
+        self.next_sequence += 1;
         Ok(())
     }
 
-    /// Brings a whole file into place.
-    fn place(&mut self, copy: usize, bytes: &[u8]) -> Result<(), StoreError> {
-        self.disk.create(FRESH[copy])?;
-        self.disk.append(FRESH[copy], bytes)?;
-        self.disk.sync(FRESH[copy])?;
-        self.disk.rename(FRESH[copy], COPIES[copy])?;
+    /// Writes a new file and renames it over a copy, so that the copy is replaced atomically.
+    fn replace_copy(&mut self, copy: usize, bytes: &[u8]) -> Result<(), StoreError> {
+        self.disk.create(NEW_COPIES[copy])?;
+        self.disk.append(NEW_COPIES[copy], bytes)?;
+        self.disk.sync(NEW_COPIES[copy])?;
+        self.disk.rename(NEW_COPIES[copy], COPIES[copy])?;
         self.disk.sync_folder()?;
         Ok(())
     }
 }
 
-/// What the copies of one generation hold together.
-struct Found {
+/// The records that the copies of one generation hold together.
+struct RecoveredLog {
     records: Vec<(u64, Vec<Change>)>,
     bytes: Vec<u8>,
-    dropped: usize,
-    missing: bool,
+    dropped_bytes: usize,
+    records_missing: bool,
 }
 
-impl Found {
-    /// Copies are alike byte for byte, so a record that is damaged in one stands at the same place in the other.
-    fn read(copies: &[Vec<u8>]) -> Found {
-        let mut at = format::HEADER_LENGTH;
-        let mut found = Found { records: Vec::new(), bytes: Vec::new(), dropped: 0, missing: false };
-        found.bytes.extend_from_slice(&copies[0][..at]);
+impl RecoveredLog {
+    /// Copies are identical, so a record that is damaged in one copy is at the same offset in the other.
+    fn read(copies: &[Vec<u8>]) -> RecoveredLog {
+        let mut offset = format::HEADER_LENGTH;
+        let mut recovered =
+            RecoveredLog { records: Vec::new(), bytes: Vec::new(), dropped_bytes: 0, records_missing: false };
+        recovered.bytes.extend_from_slice(&copies[0][..offset]);
         loop {
-            let next = found.records.last().map(|(sequence, _)| sequence + 1);
-            let whole = copies.iter().find_map(|bytes| match format::parse_record(bytes, at) {
+            let next = recovered.records.last().map(|(sequence, _)| sequence + 1);
+            let record = copies.iter().find_map(|bytes| match format::parse_record(bytes, offset) {
                 ParsedRecord::Valid { sequence, changes, end }
                     if next.is_none_or(|next| next == sequence) =>
                 {
-                    Some((sequence, changes, bytes[at..end].to_vec()))
+                    Some((sequence, changes, bytes[offset..end].to_vec()))
                 }
                 _ => None,
             });
-            let Some((sequence, changes, bytes)) = whole else { break };
-            at += bytes.len();
-            found.bytes.extend(bytes);
-            found.records.push((sequence, changes));
+            let Some((sequence, changes, bytes)) = record else { break };
+            offset += bytes.len();
+            recovered.bytes.extend(bytes);
+            recovered.records.push((sequence, changes));
         }
-        found.dropped = copies.iter().map(|bytes| bytes.len().saturating_sub(at)).max().unwrap_or(0);
-        let last = found.records.last().map(|(sequence, _)| *sequence);
-        let later = |bytes: &Vec<u8>| {
-            (at + 1..bytes.len()).any(|at| match format::parse_record(bytes, at) {
+        recovered.dropped_bytes =
+            copies.iter().map(|bytes| bytes.len().saturating_sub(offset)).max().unwrap_or(0);
+        let last = recovered.records.last().map(|(sequence, _)| *sequence);
+        let has_later_record = |bytes: &Vec<u8>| {
+            (offset + 1..bytes.len()).any(|offset| match format::parse_record(bytes, offset) {
                 ParsedRecord::Valid { sequence, .. } => last.is_none_or(|last| sequence > last + 1),
                 ParsedRecord::Invalid => false,
             })
         };
-        found.missing = copies.iter().any(later);
-        found
+        recovered.records_missing = copies.iter().any(has_later_record);
+        recovered
     }
 }
--- a/crates/store/src/simulated_disk.rs
+++ b/crates/store/src/simulated_disk.rs
@@ -1,5 +1,4 @@
-//! A disk for tests, of which the power goes at an operation, or on which one fails: what was not synced is lost, or
-//! torn. It does no I/O.
+//! An in-memory disk for tests, whose power is cut at a chosen operation or on which one operation fails.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,56 +8,59 @@
 
 pub type Files = BTreeMap<String, Vec<u8>>;
 
-/// A disk of which the power goes at an operation: what was not synced is lost, or torn. Names last only once the
-/// folder is synced.
+/// A power cut loses unsynced bytes, or keeps only a part of them. Created and renamed names survive it only once the folder
+/// is synced.
 #[derive(Default)]
-pub struct Inner {
+pub struct DiskState {
     pub current: Files,
-    /// What a power cut leaves: contents as synced, by the names as synced.
+    /// The synced length of each current file.
     synced: BTreeMap<String, usize>,
+    /// What a power cut leaves: the synced contents by the synced names.
     durable: Files,
+    /// The number of operations so far.
     pub operations: usize,
+    /// The operation from which on all fail.
     pub power_cut_at: Option<usize>,
-    /// Operations that fail, though the power stays.
+    /// A single operation that fails without a power cut.
     pub fail_at: Option<usize>,
 }
 
-/// Clones are the same disk.
+/// Clones share the same disk.
 #[derive(Clone, Default)]
-pub struct SimulatedDisk(pub Rc<RefCell<Inner>>);
+pub struct SimulatedDisk(pub Rc<RefCell<DiskState>>);
 
 impl SimulatedDisk {
-    /// A disk that holds these.
+    /// A disk with these files, all synced.
     pub fn with_files(files: Files) -> SimulatedDisk {
         let synced = files.iter().map(|(name, bytes)| (name.clone(), bytes.len())).collect();
-        SimulatedDisk(Rc::new(RefCell::new(Inner {
+        SimulatedDisk(Rc::new(RefCell::new(DiskState {
             current: files.clone(),
             durable: files,
             synced,
-            ..Inner::default()
+            ..DiskState::default()
         })))
     }
 
-    fn step(&self) -> Result<(), DiskError> {
-        let mut inner = self.0.borrow_mut();
-        inner.operations += 1;
-        let at = inner.operations;
-        let failed = inner.power_cut_at.is_some_and(|cut| at >= cut) || inner.fail_at == Some(at);
+    fn count_operation(&self) -> Result<(), DiskError> {
+        let mut state = self.0.borrow_mut();
+        state.operations += 1;
+        let at = state.operations;
+        let failed = state.power_cut_at.is_some_and(|cut| at >= cut) || state.fail_at == Some(at);
         if failed { Err(DiskError::Failed("gone".to_string())) } else { Ok(()) }
     }
 
-    /// The files that are found after the cut, with so many of each copy's unsynced bytes.
-    pub fn files_after_power_cut(&self, kept: [usize; 2]) -> Files {
-        let inner = self.0.borrow();
-        let torn = |(name, bytes): (&String, &Vec<u8>)| {
+    /// The files after the power cut, with at most this many unsynced bytes of each of the two copies.
+    pub fn files_after_power_cut(&self, unsynced_bytes: [usize; 2]) -> Files {
+        let state = self.0.borrow();
+        let after_cut = |(name, bytes): (&String, &Vec<u8>)| {
             let mut bytes = bytes.clone();
-            if let Some(now) = inner.current.get(name).filter(|now| now.starts_with(&bytes)) {
-                let more = kept[usize::from(name.ends_with('1'))].min(now.len() - bytes.len());
-                bytes.extend_from_slice(&now[bytes.len()..][..more]);
+            if let Some(current) = state.current.get(name).filter(|current| current.starts_with(&bytes)) {
+                let kept = unsynced_bytes[usize::from(name.ends_with('1'))].min(current.len() - bytes.len());
+                bytes.extend_from_slice(&current[bytes.len()..][..kept]);
             }
             (name.clone(), bytes)
         };
-        inner.durable.iter().map(torn).collect()
+        state.durable.iter().map(after_cut).collect()
     }
 }
 
@@ -72,49 +74,49 @@
     }
 
     fn create(&mut self, name: &str) -> Result<(), DiskError> {
-        self.step()?;
-        let mut inner = self.0.borrow_mut();
-        inner.current.insert(name.to_string(), Vec::new());
-        inner.synced.insert(name.to_string(), 0);
+        self.count_operation()?;
+        let mut state = self.0.borrow_mut();
+        state.current.insert(name.to_string(), Vec::new());
+        state.synced.insert(name.to_string(), 0);
         Ok(())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
-        let whole = self.step();
-        let mut inner = self.0.borrow_mut();
-        let part = if whole.is_ok() { bytes.len() } else { bytes.len() / 2 };
-        inner.current.entry(name.to_string()).or_default().extend_from_slice(&bytes[..part]);
-        whole
+        let result = self.count_operation();
+        let mut state = self.0.borrow_mut();
+        let written = if result.is_ok() { bytes.len() } else { bytes.len() / 2 };
+        state.current.entry(name.to_string()).or_default().extend_from_slice(&bytes[..written]);
+        result
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DiskError> {
-        self.step()?;
-        let mut inner = self.0.borrow_mut();
-        let bytes = inner.current[name].clone();
-        inner.synced.insert(name.to_string(), bytes.len());
-        if inner.durable.contains_key(name) {
-            inner.durable.insert(name.to_string(), bytes);
+        self.count_operation()?;
+        let mut state = self.0.borrow_mut();
+        let bytes = state.current[name].clone();
+        state.synced.insert(name.to_string(), bytes.len());
+        if state.durable.contains_key(name) {
+            state.durable.insert(name.to_string(), bytes);
         }
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> Result<(), DiskError> {
-        self.step()?;
-        let mut inner = self.0.borrow_mut();
-        let bytes = inner.current.remove(from).expect("it was made");
-        inner.current.insert(to.to_string(), bytes);
-        let synced = inner.synced.remove(from).unwrap_or(0);
-        inner.synced.insert(to.to_string(), synced);
+        self.count_operation()?;
+        let mut state = self.0.borrow_mut();
+        let bytes = state.current.remove(from).expect("the file exists");
+        state.current.insert(to.to_string(), bytes);
+        let synced = state.synced.remove(from).unwrap_or(0);
+        state.synced.insert(to.to_string(), synced);
         Ok(())
     }
 
     fn sync_folder(&mut self) -> Result<(), DiskError> {
-        self.step()?;
-        let mut inner = self.0.borrow_mut();
-        let durable = inner.current.iter().map(|(name, bytes)| {
-            (name.clone(), bytes[..inner.synced.get(name).copied().unwrap_or(0)].to_vec())
+        self.count_operation()?;
+        let mut state = self.0.borrow_mut();
+        let durable = state.current.iter().map(|(name, bytes)| {
+            (name.clone(), bytes[..state.synced.get(name).copied().unwrap_or(0)].to_vec())
         });
-        inner.durable = durable.collect();
+        state.durable = durable.collect();
         Ok(())
     }
 }
--- a/crates/store/tests/recovery.rs
+++ b/crates/store/tests/recovery.rs
@@ -1,10 +1,10 @@
-//! Power cuts, cut and damaged files, full disks and failed syncs.
+//! Recovery after power cuts, truncated and damaged files, and failed operations.
 
 use std::collections::BTreeMap;
 
 use appledyke_store::disk::{Disk, DiskError, Folder};
 use appledyke_store::format::Change;
-use appledyke_store::simulated_disk::SimulatedDisk as Fake;
+use appledyke_store::simulated_disk::SimulatedDisk;
 use appledyke_store::{Store, StoreError};
 
 fn put(key: u8, value: u8) -> Change {
@@ -13,17 +13,17 @@
 
 type Model = BTreeMap<Vec<u8>, Vec<u8>>;
 
-fn held<D: Disk>(store: &Store<D>) -> Model {
+fn contents<D: Disk>(store: &Store<D>) -> Model {
     store.iter().map(|(key, value)| (key.to_vec(), value.to_vec())).collect()
 }
 
-/// A history with batches of several changes and two compactions. Returns what was acknowledged after each step,
-/// and what the step under way would have made of it.
-fn history(disk: Fake) -> (Model, Model) {
+/// Runs batches of several changes and two compactions. Returns the acknowledged contents, and the contents that the
+/// unfinished step would have produced.
+fn history(disk: SimulatedDisk) -> (Model, Model) {
     let Ok((mut store, _)) = Store::open(disk) else { return Default::default() };
-    let mut sure = held(&store);
+    let mut acknowledged = contents(&store);
     for step in 0..12_u8 {
-        let mut next = sure.clone();
+        let mut next = acknowledged.clone();
         let changes = [put(step % 5, step), put(100 + step, step), Change::Remove(vec![100 + step / 2])];
         for change in &changes {
             match change {
@@ -31,58 +31,59 @@
                 Change::Remove(key) => drop(next.remove(key)),
             }
         }
-        let done = if step % 5 == 4 { store.compact().map(|()| 0) } else { store.commit(&changes) };
-        match done {
+        let result = if step % 5 == 4 { store.compact().map(|()| 0) } else { store.commit(&changes) };
+        match result {
             Ok(_) if step % 5 == 4 => {}
-            Ok(_) => sure = next,
-            Err(_) if step % 5 == 4 => return (sure.clone(), sure),
+            Ok(_) => acknowledged = next,
+            Err(_) if step % 5 == 4 => return (acknowledged.clone(), acknowledged),
             Err(_) => {
-                // It takes no more, and says so.
+                // The store must reject further writes.
                 assert_eq!(store.commit(&changes), Err(StoreError::ReadOnly));
-                return (sure, next);
+                return (acknowledged, next);
             }
         }
     }
-    (sure.clone(), sure)
+    (acknowledged.clone(), acknowledged)
 }
 
 #[test]
 fn a_power_cut_at_any_operation_loses_nothing_acknowledged() {
-    let whole = Fake::default();
-    history(whole.clone());
-    let operations = whole.0.borrow().operations;
+    let disk = SimulatedDisk::default();
+    history(disk.clone());
+    let operations = disk.0.borrow().operations;
     assert!(operations > 50);
     for cut in 1..=operations {
-        for kept in [[0, 0], [1, 0], [13, 40], [40, 13], [0, 10_000], [10_000, 0], [10_000, 10_000]] {
-            let disk = Fake::default();
+        for unsynced_bytes in [[0, 0], [1, 0], [13, 40], [40, 13], [0, 10_000], [10_000, 0], [10_000, 10_000]]
+        {
+            let disk = SimulatedDisk::default();
             disk.0.borrow_mut().power_cut_at = Some(cut);
-            let (sure, next) = history(disk.clone());
-            let again = Fake::with_files(disk.files_after_power_cut(kept));
-            let (mut store, report) = Store::open(again).expect("it opens after a cut");
-            let found = held(&store);
-            assert!(found == sure || found == next, "cut {cut}, {kept:?} kept: {report:?}");
+            let (acknowledged, next) = history(disk.clone());
+            let reopened = SimulatedDisk::with_files(disk.files_after_power_cut(unsynced_bytes));
+            let (mut store, report) = Store::open(reopened).expect("the store opens after a power cut");
+            let found = contents(&store);
+            assert!(found == acknowledged || found == next, "cut {cut}, {unsynced_bytes:?} kept: {report:?}");
             assert!(report.missing_from.is_none() && store.commit(&[put(1, 1)]).is_ok());
         }
     }
 }
 
 #[test]
-fn a_failed_operation_stops_all_writing_until_it_is_opened_again() {
-    let whole = Fake::default();
-    history(whole.clone());
-    for fails in 1..=whole.0.borrow().operations {
-        let disk = Fake::default();
+fn a_failed_operation_stops_all_writes_until_the_store_is_reopened() {
+    let disk = SimulatedDisk::default();
+    history(disk.clone());
+    for fails in 1..=disk.0.borrow().operations {
+        let disk = SimulatedDisk::default();
         disk.0.borrow_mut().fail_at = Some(fails);
-        let (sure, next) = history(disk.clone());
-        let (store, _) = Store::open(Fake::with_files(disk.0.borrow().current.clone())).unwrap();
-        assert!([sure, next].contains(&held(&store)), "failure {fails}");
+        let (acknowledged, next) = history(disk.clone());
+        let (store, _) = Store::open(SimulatedDisk::with_files(disk.0.borrow().current.clone())).unwrap();
+        assert!([acknowledged, next].contains(&contents(&store)), "failure {fails}");
     }
 }
 
 #[test]
-fn either_copy_cut_or_damaged_at_any_byte_loses_nothing_and_is_mended() {
-    let disk = Fake::default();
-    let (sure, _) = history(disk.clone());
+fn either_copy_truncated_or_damaged_at_any_byte_loses_nothing_and_is_repaired() {
+    let disk = SimulatedDisk::default();
+    let (acknowledged, _) = history(disk.clone());
     let files = disk.0.borrow().current.clone();
     for name in ["log.0", "log.1"] {
         for at in 0..files[name].len() {
@@ -90,31 +91,31 @@
             let mut damaged = files[name].clone();
             damaged[at] ^= 0x41;
             for bytes in [cut, damaged] {
-                let mut hurt = files.clone();
-                hurt.insert(name.to_string(), bytes);
-                let again = Fake::with_files(hurt);
-                let (store, report) = Store::open(again.clone()).unwrap();
-                assert_eq!(held(&store), sure, "{name} at {at}");
+                let mut damaged_files = files.clone();
+                damaged_files.insert(name.to_string(), bytes);
+                let reopened = SimulatedDisk::with_files(damaged_files);
+                let (store, report) = Store::open(reopened.clone()).unwrap();
+                assert_eq!(contents(&store), acknowledged, "{name} at {at}");
                 assert_eq!(report.repaired, [name], "{name} at {at}");
-                assert_eq!(again.0.borrow().current[name], files[name]);
+                assert_eq!(reopened.0.borrow().current[name], files[name]);
             }
         }
     }
 }
 
 #[test]
-fn both_copies_damaged_in_one_record_open_up_to_there_for_reading_only() {
-    let disk = Fake::default();
+fn both_copies_damaged_in_one_record_open_read_only_up_to_that_record() {
+    let disk = SimulatedDisk::default();
     let (mut store, _) = Store::open(disk.clone()).unwrap();
     store.commit(&[put(1, 1)]).unwrap();
-    let at = store.log_length();
+    let offset = store.log_length();
     store.commit(&[put(2, 2)]).unwrap();
     store.commit(&[put(3, 3)]).unwrap();
     let mut files = disk.0.borrow().current.clone();
     for name in ["log.0", "log.1"] {
-        files.get_mut(name).unwrap()[at + 20] ^= 1;
+        files.get_mut(name).unwrap()[offset + 20] ^= 1;
     }
-    let (mut store, report) = Store::open(Fake::with_files(files)).unwrap();
+    let (mut store, report) = Store::open(SimulatedDisk::with_files(files)).unwrap();
     assert_eq!((store.get(&[1]), store.get(&[2]), store.get(&[3])), (Some(&[1; 5][..]), None, None));
     assert_eq!((report.missing_from, report.records, store.writable()), (Some(2), 2, false));
     assert_eq!(store.commit(&[put(4, 4)]), Err(StoreError::ReadOnly));
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_folder_keeps_refuses_a_second_opener_and_names_an_unknown_version() {
+fn a_folder_persists_is_locked_and_reports_an_unsupported_version() {
     let path = std::env::temp_dir().join(format!("appledyke-store-{}", std::process::id()));
     let (mut store, _) = Store::open(Folder::new(path.clone())).unwrap();
     for value in 0..200 {
@@ -148,33 +149,34 @@
 }
 
 #[test]
-fn random_histories_agree_with_an_ordered_map_through_restarts_and_cuts() {
+fn random_histories_match_an_ordered_map_through_restarts_and_power_cuts() {
     for seed in 0..60 {
-        let mut chance = oorandom::Rand32::new(seed);
-        let mut disk = Fake::default();
+        let mut rng = oorandom::Rand32::new(seed);
+        let mut disk = SimulatedDisk::default();
         let mut model = Model::new();
         let (mut store, _) = Store::open(disk.clone()).unwrap();
         for _ in 0..40 {
-            match chance.rand_range(0..10) {
+            match rng.rand_range(0..10) {
                 0 => store.compact().unwrap(),
                 1 => {
-                    // Power goes between two batches: nothing acknowledged goes with it.
-                    disk =
-                        Fake::with_files(disk.files_after_power_cut([chance.rand_range(0..50) as usize, 0]));
+                    // A power cut between two batches loses nothing that was acknowledged.
+                    disk = SimulatedDisk::with_files(
+                        disk.files_after_power_cut([rng.rand_range(0..50) as usize, 0]),
+                    );
                     let (opened, report) = Store::open(disk.clone()).unwrap();
                     assert!(report.missing_from.is_none(), "seed {seed}");
                     store = opened;
                 }
                 _ => {
-                    let key = |chance: &mut oorandom::Rand32| vec![chance.rand_range(0..12) as u8; 2];
+                    let key = |rng: &mut oorandom::Rand32| vec![rng.rand_range(0..12) as u8; 2];
                     let mut changes = Vec::new();
-                    for _ in 0..chance.rand_range(0..4) {
-                        let key = key(&mut chance);
-                        if chance.rand_range(0..3) == 0 {
+                    for _ in 0..rng.rand_range(0..4) {
+                        let key = key(&mut rng);
+                        if rng.rand_range(0..3) == 0 {
                             model.remove(&key);
                             changes.push(Change::Remove(key));
                         } else {
-                            let value = vec![chance.rand_u32() as u8; chance.rand_range(0..30) as usize];
+                            let value = vec![rng.rand_u32() as u8; rng.rand_range(0..30) as usize];
                             model.insert(key.clone(), value.clone());
                             changes.push(Change::Put(key, value));
                         }
@@ -182,7 +184,7 @@
                     store.commit(&changes).unwrap();
                 }
             }
-            assert_eq!(held(&store), model, "seed {seed}");
+            assert_eq!(contents(&store), model, "seed {seed}");
         }
     }
 }
