--- a/crates/fleet/src/budgets.rs
+++ b/crates/fleet/src/budgets.rs
@@ -1,8 +1,10 @@
-//! Fleet-wide budgets: what the log says that each holder may use. The sum of what holders may be using never stands above
-//! what there is to divide, whatever is said or lost.
+//! Fleet-wide budgets: the share of each rate limit and concurrency limit that each holder is granted, as recorded in the
+//! replicated log. The sum of what holders may be using never exceeds the divisible quota, whatever messages are repeated,
+//! delayed or lost.
 //!
-//! A holder's part is raised only into room; a part that is lowered stays counted with until it is released: until its holder
-//! can't be using more. When that is so is the leader's to find (`divide`); renewals of a lease make no entries.
+//! A share is raised only into what is available. A lowered share stays reserved at its old size until it is released, which
+//! is when its holder cannot be using more any longer. The leader decides when that is (`divide`); renewals of a lease make
+//! no log entries.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,31 +12,31 @@
 use appledyke_consensus::Index;
 use serde::{Deserialize, Serialize};
 
-/// An entry, by the generation of its log: one that was put back from a backup begins a later one.
+/// A position in the log. Restoring from a backup begins a new generation, whose positions are all later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
     pub generation: u64,
     pub index: Index,
 }
 
-/// What a budget is of: one budget to a thing.
+/// The resource that a budget limits: at most one budget per resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resource {
-    /// Write-outs to all endpoints of the list, in a window.
+    /// Attempts to all endpoints of the discovery list, per window.
     #[serde(rename = "write-outs")]
     Attempts,
-    /// Further write-outs of a req, in a window.
+    /// Attempts after the first one of a request, per window.
     #[serde(rename = "repeats")]
     Retries,
-    /// Connections at one endpoint.
+    /// Connections to one endpoint.
     Connections,
-    /// Write-outs that are out at one endpoint.
+    /// Attempts in flight at one endpoint.
     InFlight,
-    /// Calls to the list's service, in a window.
+    /// Calls to the discovery service, per window.
     #[serde(rename = "list-calls")]
     DiscoveryCalls,
-    /// Write-outs to endpoints that are cold as they have just started, all of them together, in a window.
+    /// Attempts to endpoints that are cold after a start, all of them together, per window.
     #[serde(rename = "cold-write-outs")]
     ColdAttempts,
 }
@@ -49,7 +51,7 @@
         Resource::ColdAttempts,
     ];
 
-    /// Whether it is held until it is given back; else it is spent in time.
+    /// Whether it is a concurrency limit, held until it is given back; otherwise it is a rate limit.
     pub fn is_concurrency_limit(self) -> bool {
         matches!(self, Resource::Connections | Resource::InFlight)
     }
@@ -72,83 +74,77 @@
     }
 }
 
-/// What operators state of a budget.
+/// A budget as configured by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Budget {
     #[serde(rename = "of")]
     pub resource: Resource,
-    /// For the whole fleet: in any window, or at any moment.
+    /// The quota of the whole fleet: in any window, or at any moment.
     #[serde(rename = "whole")]
     pub quota: u64,
-    /// Of a flow, in milliseconds; 0 for a stock.
+    /// The window of a rate limit, in milliseconds; 0 for a concurrency limit.
     #[serde(default)]
     pub window_ms: u64,
-    /// Each member that asks gets this much at least, while there is room.
+    /// The minimum share of each member that asks, while there is enough for all.
     #[serde(rename = "least")]
     pub min_share: u64,
-    /// What each sidecar may use without daemons, at any time: counted with from the start.
+    /// What each sidecar may use at any time, even without daemons: set aside from the quota.
     #[serde(rename = "alone")]
     pub standalone_share: u64,
-    /// How many sidecars that may be at the most.
+    /// The maximum number of sidecars.
     #[serde(rename = "members")]
     pub max_members: u64,
 }
 
-/// Longest window: a part that moves is idle for one.
-const WINDOW_MOST_MS: u64 = 60_000;
-/// A whole above this is no limit of anything.
-const WHOLE_MOST: u64 = 1 << 40;
+/// Longest window: a share that moves to another holder is unused for one window.
+const MAX_WINDOW_MS: u64 = 60_000;
+/// Upper limit for a quota: anything above would not limit at all.
+const MAX_QUOTA: u64 = 1 << 40;
 
 impl Budget {
     /// # Errors
-    /// The key that is at fault, and what would do.
+    /// The invalid key, and what is expected.
     pub fn check(&self) -> Result<(), String> {
-        let Budget {
-            resource: of,
-            quota: whole,
-            window_ms,
-            min_share: least,
-            standalone_share: alone,
-            max_members: members,
-        } = *self;
-        if whole == 0 || whole > WHOLE_MOST {
-            return Err(format!("budgets.{of}.whole: expected 1 to {WHOLE_MOST}, not {whole}"));
+        let Budget { resource: of, quota, window_ms, min_share, standalone_share, max_members: members } =
+            *self;
+        if quota == 0 || quota > MAX_QUOTA {
+            return Err(format!("budgets.{of}.whole: expected 1 to {MAX_QUOTA}, not {quota}"));
         }
-        if of.is_concurrency_limit() != (window_ms == 0) || window_ms > WINDOW_MOST_MS {
+        if of.is_concurrency_limit() != (window_ms == 0) || window_ms > MAX_WINDOW_MS {
             let wanted = if of.is_concurrency_limit() {
                 "none for a stock".to_string()
             } else {
-                format!("1 to {WINDOW_MOST_MS}")
+                format!("1 to {MAX_WINDOW_MS}")
             };
             return Err(format!("budgets.{of}.windowMs: expected {wanted}, not {window_ms}"));
         }
         if members == 0 {
             return Err(format!("budgets.{of}.members: expected how many sidecars there may be, not 0"));
         }
-        let set_aside = alone.checked_mul(members).filter(|set_aside| *set_aside < whole);
+        let set_aside = standalone_share.checked_mul(members).filter(|set_aside| *set_aside < quota);
         let Some(set_aside) = set_aside else {
             return Err(format!(
-                "budgets.{of}.alone: {alone} for each of {members} is not less than the whole, {whole}; {} would do",
-                whole.saturating_sub(1) / members
+                "budgets.{of}.alone: {standalone_share} for each of {members} is not less than the whole, {quota}; {} would do",
+                quota.saturating_sub(1) / members
             ));
         };
-        if least == 0 || least > whole - set_aside {
-            return Err(format!("budgets.{of}.least: expected 1 to {}, not {least}", whole - set_aside));
+        if min_share == 0 || min_share > quota - set_aside {
+            return Err(format!("budgets.{of}.least: expected 1 to {}, not {min_share}", quota - set_aside));
         }
         Ok(())
     }
 
-    /// What is divided by the log: the whole but for what sidecars may use alone.
+    /// What is granted by the log: the quota without the standalone shares of all sidecars.
     pub fn divisible(&self) -> u64 {
         self.quota.saturating_sub(self.standalone_share.saturating_mul(self.max_members))
     }
 }
 
-/// Checks budgets that are put together.
+/// Checks all budgets of one write.
 ///
 /// # Errors
-/// The key that is at fault.
+/// The invalid key.
 pub fn check(budgets: &[Budget]) -> Result<(), String> {
     for (at, budget) in budgets.iter().enumerate() {
         budget.check()?;
@@ -166,129 +162,129 @@
     pub incarnation: u64,
 }
 
-/// A holder's part.
+/// A holder's share of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// What it is granted from `since` on.
+    /// What it is granted as of `since`.
     pub granted: u64,
-    /// What it may be using still.
+    /// What it may still be using.
     pub reserved: u64,
-    /// The entry that set it last.
+    /// The index of the entry that set it last.
     pub since: Index,
 }
 
-/// A division, in one entry for many holders.
+/// A change of shares, in one log entry for many holders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareChange {
-    /// These are granted so much.
+    /// Sets the shares of these holders.
     Grant(Resource, Vec<(Holder, u64)>),
-    /// These use no more than they are granted since the entry that is named.
+    /// These holders use no more than they were granted by the entry of this index.
     Release(Resource, Vec<(Holder, Index)>),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budgets {
-    stated: BTreeMap<Resource, Budget>,
-    /// What was granted before is not known: nothing is granted before it has run out.
-    blind: bool,
-    parts: BTreeMap<Resource, BTreeMap<Holder, Share>>,
+    configured: BTreeMap<Resource, Budget>,
+    /// It is unknown what was granted before, so nothing is granted until all earlier leases have expired.
+    shares_unknown: bool,
+    shares: BTreeMap<Resource, BTreeMap<Holder, Share>>,
 }
 
 impl Budgets {
     pub fn configured(&self) -> impl Iterator<Item = &Budget> {
-        self.stated.values()
+        self.configured.values()
     }
 
     pub fn budget(&self, of: Resource) -> Option<&Budget> {
-        self.stated.get(&of)
+        self.configured.get(&of)
     }
 
-    /// The parts of a budget, also of one that is stated no more and not all given back.
+    /// The shares of a budget, even of one that is no longer configured but not fully released.
     pub fn shares(&self, of: Resource) -> impl Iterator<Item = (&Holder, &Share)> {
-        self.parts.get(&of).into_iter().flatten()
+        self.shares.get(&of).into_iter().flatten()
     }
 
     pub fn share(&self, of: Resource, holder: &Holder) -> Option<&Share> {
-        self.parts.get(&of)?.get(holder)
+        self.shares.get(&of)?.get(holder)
     }
 
-    /// Holders of a part of a budget that are earlier processes of this one's name.
+    /// Earlier processes of this holder's name that have a share of the budget.
     pub fn earlier_incarnations(&self, of: Resource, holder: &Holder) -> impl Iterator<Item = &Holder> {
         let first = Holder { name: holder.name.clone(), incarnation: 0 };
-        let range = self.parts.get(&of).map(|parts| parts.range(first..holder.clone()));
+        let range = self.shares.get(&of).map(|shares| shares.range(first..holder.clone()));
         range.into_iter().flatten().map(|(earlier, _)| earlier)
     }
 
-    /// What all holders may be using.
+    /// The sum of what all holders may be using.
     pub fn reserved(&self, of: Resource) -> u64 {
-        self.shares(of).map(|(_, part)| part.reserved).sum()
+        self.shares(of).map(|(_, share)| share.reserved).sum()
     }
 
-    /// What may be granted now beside that.
+    /// What may be granted now in addition.
     pub fn available(&self, of: Resource) -> u64 {
         self.budget(of).map_or(0, Budget::divisible).saturating_sub(self.reserved(of))
     }
 
-    /// How far above what is to be divided now holders may stand still: after a whole was lowered, until it is taken back.
+    /// How far holders may still exceed the divisible quota: after it was lowered, until shares are released.
     pub fn excess(&self, of: Resource) -> u64 {
         self.reserved(of).saturating_sub(self.budget(of).map_or(0, Budget::divisible))
     }
 
-    /// These budgets hold from here on. What is granted stays until it is taken back: a whole that is lowered is lowered once
-    /// its parts are.
+    /// Replaces the configured budgets. Granted shares stay until they are taken back: a lowered quota takes effect once the
+    /// shares are lowered.
     pub fn configure(&mut self, budgets: &[Budget]) {
-        self.stated = budgets.iter().map(|budget| (budget.resource, *budget)).collect();
+        self.configured = budgets.iter().map(|budget| (budget.resource, *budget)).collect();
     }
 
     pub fn apply(&mut self, index: Index, change: &ShareChange) {
         match change {
             ShareChange::Grant(of, sets) => {
-                self.blind = false;
-                // What is lowered in the same entry makes no room in it: it is counted with until it is released.
-                let mut room = self.available(*of);
+                self.shares_unknown = false;
+                // A share that is lowered in the same entry makes nothing available: it stays reserved until it is released.
+                let mut available = self.available(*of);
                 for (holder, granted) in sets {
-                    room -= self.grant(index, *of, holder, *granted, room);
+                    available -= self.grant(index, *of, holder, *granted, available);
                 }
             }
             ShareChange::Release(of, sets) => {
-                let Some(parts) = self.parts.get_mut(of) else { return };
+                let Some(shares) = self.shares.get_mut(of) else { return };
                 for (holder, since) in sets {
-                    // Danger: a release of an earlier part, said late, must not free a later one.
-                    if let Some(part) = parts.get_mut(holder)
-                        && part.since == *since
+                    // Danger: a late release of an earlier share must not free a later one.
+                    if let Some(share) = shares.get_mut(holder)
+                        && share.since == *since
                     {
-                        part.reserved = part.granted;
+                        share.reserved = share.granted;
                     }
                 }
-                parts.retain(|_, part| part.reserved > 0);
+                shares.retain(|_, share| share.reserved > 0);
             }
         }
     }
 
-    /// What of the room it takes.
-    fn grant(&mut self, index: Index, of: Resource, holder: &Holder, granted: u64, room: u64) -> u64 {
-        let stated = self.stated.contains_key(&of);
-        let parts = self.parts.entry(of).or_default();
-        let part = parts.get(holder).copied().unwrap_or_default();
-        let more = granted.saturating_sub(part.reserved);
-        if granted == part.granted || more > room || !stated && granted > part.granted {
+    /// Sets a share, if the available amount allows it. Returns how much of that it takes.
+    fn grant(&mut self, index: Index, of: Resource, holder: &Holder, granted: u64, available: u64) -> u64 {
+        let configured = self.configured.contains_key(&of);
+        let shares = self.shares.entry(of).or_default();
+        let share = shares.get(holder).copied().unwrap_or_default();
+        let increase = granted.saturating_sub(share.reserved);
+        if granted == share.granted || increase > available || !configured && granted > share.granted {
             return 0;
         }
-        let counted = part.reserved.max(granted);
-        if counted > 0 {
-            parts.insert(holder.clone(), Share { granted, reserved: counted, since: index });
+        let reserved = share.reserved.max(granted);
+        if reserved > 0 {
+            shares.insert(holder.clone(), Share { granted, reserved, since: index });
         }
-        more
+        increase
     }
 
-    /// What holders may be using is not known any more, as after a restore.
+    /// Forgets all shares, as after a restore, when it is unknown what holders may be using.
     pub fn forget_shares(&mut self) {
-        self.parts.clear();
-        self.blind = true;
+        self.shares.clear();
+        self.shares_unknown = true;
     }
 
     pub fn are_shares_unknown(&self) -> bool {
-        self.blind
+        self.shares_unknown
     }
 }
 
@@ -297,13 +293,13 @@
     use super::*;
     use oorandom::Rand64;
 
-    pub fn flow(whole: u64, alone: u64, members: u64) -> Budget {
+    pub fn flow(quota: u64, standalone_share: u64, members: u64) -> Budget {
         Budget {
             resource: Resource::Attempts,
-            quota: whole,
+            quota,
             window_ms: 1000,
             min_share: 1,
-            standalone_share: alone,
+            standalone_share,
             max_members: members,
         }
     }
@@ -347,26 +343,26 @@
             (budgets.reserved(of), budgets.available(of), budgets.share(of, &holder(3))),
             (80, 0, None)
         );
-        // One is lowered, and the other gets nothing of it before it is released.
+        // One share is lowered, and the other holder gets nothing of it before it is released.
         budgets.apply(2, &ShareChange::Grant(of, vec![(holder(1), 10), (holder(2), 70)]));
         assert_eq!(
             budgets.share(of, &holder(1)).copied(),
             Some(Share { granted: 10, reserved: 50, since: 2 })
         );
-        assert_eq!(budgets.share(of, &holder(2)).map(|part| part.granted), Some(30));
+        assert_eq!(budgets.share(of, &holder(2)).map(|share| share.granted), Some(30));
         budgets.apply(3, &ShareChange::Release(of, vec![(holder(1), 1)]));
         assert_eq!(budgets.reserved(of), 80);
         budgets.apply(4, &ShareChange::Release(of, vec![(holder(1), 2)]));
         budgets.apply(5, &ShareChange::Grant(of, vec![(holder(2), 70)]));
         assert_eq!((budgets.reserved(of), budgets.available(of)), (80, 0));
-        // Back up within what is counted still needs no room.
+        // Raising a share again within what is still reserved takes nothing of what is available.
         budgets.apply(6, &ShareChange::Grant(of, vec![(holder(2), 5)]));
         budgets.apply(7, &ShareChange::Grant(of, vec![(holder(2), 60)]));
         assert_eq!(
             budgets.share(of, &holder(2)).copied(),
             Some(Share { granted: 60, reserved: 70, since: 7 })
         );
-        // The whole is lowered to a tenth: it says how far it stands over, and never grants into it.
+        // The quota is lowered to a tenth: the excess is reported, and nothing is granted into it.
         budgets.configure(&[flow(30, 2, 10)]);
         assert_eq!((budgets.excess(of), budgets.available(of)), (70, 0));
         budgets.apply(8, &ShareChange::Grant(of, vec![(holder(1), 0), (holder(2), 10), (holder(3), 1)]));
@@ -374,7 +370,7 @@
         assert_eq!((budgets.excess(of), budgets.available(of), budgets.shares(of).count()), (0, 0, 1));
         budgets.configure(&[]);
         budgets.apply(10, &ShareChange::Grant(of, vec![(holder(2), 20)]));
-        assert_eq!(budgets.share(of, &holder(2)).map(|part| part.granted), Some(10));
+        assert_eq!(budgets.share(of, &holder(2)).map(|share| share.granted), Some(10));
     }
 
     #[test]
@@ -391,7 +387,7 @@
                     0 => {
                         let budget = flow(20 + draw(200), 1, 4);
                         budgets.configure(&[budget]);
-                        // From here on nothing is granted above the new; what is counted is above it only if it was before.
+                        // From here on nothing is granted above the new quota; what is reserved exceeds it only if it did before.
                         most = budget.divisible().max(budgets.reserved(of));
                     }
                     1..=3 => {
@@ -406,9 +402,9 @@
                         budgets.apply(index, &ShareChange::Grant(of, sets));
                     }
                 }
-                let counted = budgets.reserved(of);
-                assert!(counted <= most, "seed {seed}: {counted} of {most}");
-                assert!(budgets.shares(of).all(|(_, part)| part.granted <= part.reserved), "seed {seed}");
+                let reserved = budgets.reserved(of);
+                assert!(reserved <= most, "seed {seed}: {reserved} of {most}");
+                assert!(budgets.shares(of).all(|(_, share)| share.granted <= share.reserved), "seed {seed}");
                 if budgets.excess(of) == 0 {
                     most = budgets.budget(of).map_or(0, Budget::divisible);
                 }
--- a/crates/fleet/src/divide.rs
+++ b/crates/fleet/src/divide.rs
@@ -1,5 +1,5 @@
-//! How a leader divides budgets among the holders that it hears: its own memory, by its own clock. All that it finds becomes
-//! entries of the log, and `budgets` keeps the sums whatever it finds.
+//! The leader's allocation of budgets among the holders that report to it. This state is local to the leader and uses its
+//! clock; its decisions become log entries, and `budgets` enforces the limits whatever is decided here.
 
 use std::collections::BTreeMap;
 
@@ -9,30 +9,31 @@
 use crate::budgets::{Budget, Budgets, Holder, LogPosition, Resource, Share, ShareChange};
 use crate::limits::{Grant, MAX_CLOCK_DRIFT, Usage};
 
-/// How long a grant lasts. A holder that is lost keeps its part idle for so long, and an election is over within it.
+/// How long a grant lasts. The share of a lost holder is unused for this long, and an election ends within it.
 pub const LEASE: Span = Span::from_millis(3000);
-/// Between two divisions of a budget: what a hot sidecar gets it gets within a few of these.
-const PACE: Span = Span::from_millis(200);
-/// A proposal that has not shown after this is made again: several commits.
-const AGAIN: Span = Span::from_millis(1000);
-/// Part of what there is to divide that is kept for newcomers, and least parts in it.
-const RESERVE: f64 = 0.02;
-const RESERVE_LEAST_PARTS: u64 = 2;
-/// A part is changed only by more than this part of it: parts do not swing while demand stands still.
-const DAMPING: f64 = 0.15;
-/// Smoothing of what is wanted, over several beats: reqs come by chance, and a part that follows their peaks is mostly idle.
-const SMOOTHING: f64 = 0.2;
-/// Times what was wanted before from which on a rise counts at once: a hot sidecar, and no chance.
-const LEAP: f64 = 2.0;
+/// Minimum time between two changes to a budget: a sidecar with rising load gets its share within a few of these.
+const MIN_CHANGE_INTERVAL: Span = Span::from_millis(200);
+/// A proposal that was not applied within this time is repeated: several commits.
+const RETRY_AFTER: Span = Span::from_millis(1000);
+/// Fraction of the divisible quota that is reserved for new holders, and the minimum number of minimum shares in it.
+const NEW_HOLDER_RESERVE: f64 = 0.02;
+const MIN_RESERVED_SHARES: u64 = 2;
+/// A share is changed only by more than this fraction of it, so that shares do not oscillate under constant demand.
+const CHANGE_THRESHOLD: f64 = 0.15;
+/// Exponential smoothing of demand, over several heartbeats: requests arrive at random, and a share that follows their peaks
+/// would be mostly unused.
+const DEMAND_SMOOTHING: f64 = 0.2;
+/// Demand that rises by this factor is not smoothed: it is a real load increase rather than random variation.
+const DEMAND_JUMP_FACTOR: f64 = 2.0;
 
 #[derive(Clone, Debug)]
-struct Heard {
-    /// When it was answered last: by then, or before, it asked for what it may act on.
+struct HolderState {
+    /// When its last report was answered: any grant that it may act on was requested by then.
     answered: Moment,
     uses: BTreeMap<Resource, (Usage, f64)>,
-    /// Since when it has said that it acts on an entry, by thing.
+    /// The log position that it reports to act on, and since when, by resource.
     acts: BTreeMap<Resource, (LogPosition, Moment)>,
-    /// It has said that it ends, or an operator has said so for it.
+    /// When it reported that it ends, or an operator confirmed that it has ended.
     ended: Option<Moment>,
 }
 
@@ -40,54 +41,54 @@
 pub struct Allocator {
     since: Moment,
     generation: u64,
-    heard: BTreeMap<Holder, Heard>,
+    holder_states: BTreeMap<Holder, HolderState>,
     divided: BTreeMap<Resource, Moment>,
     proposed: BTreeMap<Resource, (ShareChange, Moment)>,
 }
 
 impl Allocator {
-    /// The memory of one that leads from now on. It knows what is granted and not when that was told.
+    /// The state of a new leader. It knows what is granted, but not when holders were told.
     pub fn new(now: Moment, generation: u64) -> Allocator {
         Allocator {
             since: now,
             generation,
-            heard: BTreeMap::new(),
+            holder_states: BTreeMap::new(),
             divided: BTreeMap::new(),
             proposed: BTreeMap::new(),
         }
     }
 
-    /// A holder's report, which is answered now.
+    /// Records a holder's report, which is answered now.
     pub fn record_report(&mut self, now: Moment, holder: &Holder, uses: &[(Resource, Usage)], ends: bool) {
-        let heard = self.heard.entry(holder.clone()).or_insert_with(|| Heard {
+        let state = self.holder_states.entry(holder.clone()).or_insert_with(|| HolderState {
             answered: now,
             uses: BTreeMap::new(),
             acts: BTreeMap::new(),
             ended: None,
         });
-        heard.answered = now;
+        state.answered = now;
         if ends {
-            heard.ended.get_or_insert(now);
+            state.ended.get_or_insert(now);
         }
         for (of, told) in uses {
-            let before = heard.uses.get(of).map_or(0.0, |(_, wants)| *wants);
+            let before = state.uses.get(of).map_or(0.0, |(_, wants)| *wants);
             let wants = told.wanted as f64;
-            let leaps = wants >= before * LEAP;
-            let wants = if leaps { wants } else { before + SMOOTHING * (wants - before) };
-            heard.uses.insert(*of, (*told, wants));
-            let acts = heard.acts.entry(*of).or_insert((told.acting_on, now));
+            let jumps = wants >= before * DEMAND_JUMP_FACTOR;
+            let wants = if jumps { wants } else { before + DEMAND_SMOOTHING * (wants - before) };
+            state.uses.insert(*of, (*told, wants));
+            let acts = state.acts.entry(*of).or_insert((told.acting_on, now));
             if acts.0 != told.acting_on {
                 *acts = (told.acting_on, now);
             }
         }
     }
 
-    /// An operator's word that a process has ended.
+    /// An operator confirms that a process has ended.
     pub fn mark_ended(&mut self, now: Moment, holder: &Holder) {
         self.record_report(now, holder, &[], true);
     }
 
-    /// What a holder is granted, for an answer to its report. The answer must go out only if this replica leads still.
+    /// The grants for the answer to a holder's report. The answer must be sent only if this replica is still the leader.
     pub fn grants_for(&self, holder: &Holder, budgets: &Budgets, applied: Index) -> Vec<Grant> {
         let lease_ms = LEASE.nanos() / 1_000_000;
         let grant = |budget: &Budget| {
@@ -101,7 +102,7 @@
         budgets.configured().map(grant).collect()
     }
 
-    /// Whether a holder can't be using more than it is granted.
+    /// Whether a holder cannot be using more than it is granted.
     fn is_released(
         &self,
         now: Moment,
@@ -112,34 +113,34 @@
     ) -> bool {
         let window =
             Span::from_millis(budget.map_or(0, |budget| budget.window_ms)) * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
-        let heard = self.heard.get(holder);
-        let acted = heard
-            .and_then(|heard| heard.acts.get(&of))
+        let state = self.holder_states.get(holder);
+        let acted = state
+            .and_then(|state| state.acts.get(&of))
             .filter(|(stamp, _)| stamp.generation == self.generation && stamp.index >= part.since);
-        let ended = heard.and_then(|heard| heard.ended);
+        let ended = state.and_then(|state| state.ended);
         if of.is_concurrency_limit() {
-            // Danger: a process that is stopped holds what it holds, however long its lease has been over.
+            // Danger: a stopped process keeps its connections and requests, however long ago its lease expired.
             let gave_back = acted.is_some()
-                && heard.and_then(|heard| heard.uses.get(&of)).is_some_and(|(told, _)| {
+                && state.and_then(|state| state.uses.get(&of)).is_some_and(|(told, _)| {
                     told.held <= part.granted + budget.map_or(0, |budget| budget.standalone_share)
                 });
             return gave_back || ended.is_some();
         }
-        // What it spent before counts in windows that end after: so a window has to pass beside all else.
-        let lapsed = heard.map_or(self.since, |heard| heard.answered.max(self.since))
+        // What the holder spent before still counts in windows that end later, so one window has to pass in addition.
+        let lease_end = state.map_or(self.since, |state| state.answered.max(self.since))
             + LEASE * (1.0 + MAX_CLOCK_DRIFT);
         acted.is_some_and(|(_, at)| now >= *at + window)
             || ended.is_some_and(|at| now >= at + window)
-            || now >= lapsed + window
+            || now >= lease_end + window
     }
 
-    /// What is to be proposed now.
+    /// The changes to propose now.
     pub fn proposals(&mut self, now: Moment, budgets: &Budgets) -> Vec<ShareChange> {
         let mut changes = Vec::new();
         for of in Resource::ALL {
             let budget = budgets.budget(of).copied();
-            let waits = self.proposed.get(&of).is_some_and(|(_, at)| now.since(*at) < AGAIN);
-            let due = self.divided.get(&of).is_none_or(|at| now.since(*at) >= PACE);
+            let waits = self.proposed.get(&of).is_some_and(|(_, at)| now.since(*at) < RETRY_AFTER);
+            let due = self.divided.get(&of).is_none_or(|at| now.since(*at) >= MIN_CHANGE_INTERVAL);
             if !due || budget.is_none() && budgets.shares(of).next().is_none() {
                 continue;
             }
@@ -164,13 +165,13 @@
             self.proposed.insert(of, (change.clone(), now));
             changes.push(change);
         }
-        // What has lapsed and holds nothing needs no memory.
+        // Holders whose lease has expired and that have no shares are forgotten.
         let holds = |holder: &Holder| Resource::ALL.iter().any(|of| budgets.share(*of, holder).is_some());
-        self.heard.retain(|holder, heard| now.since(heard.answered) <= LEASE || holds(holder));
+        self.holder_states.retain(|holder, state| now.since(state.answered) <= LEASE || holds(holder));
         changes
     }
 
-    /// The parts that are to change, the lowered ones first.
+    /// The shares to change, the lowered ones first.
     fn division(
         &self,
         now: Moment,
@@ -179,28 +180,29 @@
         budgets: &Budgets,
     ) -> Vec<(Holder, u64)> {
         let granted = |holder: &Holder| budgets.share(of, holder).map_or(0, |part| part.granted);
-        let here = |heard: &Heard| heard.ended.is_none() && now.since(heard.answered) <= LEASE;
-        // In the order of holders.
+        let here = |state: &HolderState| state.ended.is_none() && now.since(state.answered) <= LEASE;
+        // Sorted by holder.
         let wants: Vec<(&Holder, f64)> = self
-            .heard
+            .holder_states
             .iter()
-            .filter(|(_, heard)| budget.is_some() && here(heard))
-            .map(|(holder, heard)| {
+            .filter(|(_, state)| budget.is_some() && here(state))
+            .map(|(holder, state)| {
                 let alone = budget.map_or(0, |budget| budget.standalone_share) as f64;
-                let wants = heard.uses.get(&of).map_or(0.0, |(_, wants)| *wants);
+                let wants = state.uses.get(&of).map_or(0.0, |(_, wants)| *wants);
                 (holder, (wants - alone).max(0.0))
             })
             .collect();
         let targets = budget.map(|budget| targets(budget, &wants)).unwrap_or_default();
         let mut lowered = Vec::new();
         let mut raised = Vec::new();
-        // Who stands above its target by too little to be lowered for that alone; and what newcomers lack of their least.
-        let (mut above, mut lacking) = (Vec::new(), 0);
-        // Danger: a leader that is new has heard nobody, and takes nothing back before a lease of its own has passed.
-        let knows_all = now.since(self.since) > LEASE;
+        // Holders that exceed their target by too little to be lowered for that alone, and what new holders lack of their
+        // minimum shares.
+        let (mut above, mut missing_min_shares) = (Vec::new(), 0);
+        // Danger: a new leader has no reports yet, and must not take shares back before a lease of its own has passed.
+        let knows_all_holders = now.since(self.since) > LEASE;
         for (holder, part) in budgets.shares(of) {
             let absent = wants.binary_search_by(|(other, _)| (*other).cmp(holder)).is_err();
-            if absent && part.granted > 0 && (knows_all || self.heard.contains_key(holder)) {
+            if absent && part.granted > 0 && (knows_all_holders || self.holder_states.contains_key(holder)) {
                 lowered.push((holder.clone(), 0));
             }
         }
@@ -212,9 +214,9 @@
         }
         let mut room = budgets.available(of);
         if of.is_concurrency_limit() {
-            // Danger: what was held before a restore is held still, and counted nowhere but by its holders.
-            let unknown = self.heard.iter().filter_map(|(holder, heard)| {
-                let held = heard.uses.get(&of)?.0.held;
+            // Danger: what was held before a restore is still held, but only the holders know of it.
+            let unknown = self.holder_states.iter().filter_map(|(holder, state)| {
+                let held = state.uses.get(&of)?.0.held;
                 Some(held.saturating_sub(
                     budgets.share(of, holder).map_or(0, |part| part.reserved) + budget?.standalone_share,
                 ))
@@ -224,17 +226,17 @@
         let least = budget.map_or(1, |budget| budget.min_share);
         let counted = |holder: &Holder| budgets.share(of, holder).map_or(0, |part| part.reserved);
         let first = |holder: &Holder, target: u64| least.min(target).saturating_sub(counted(holder));
-        // What is lacking of least parts comes before anybody's more.
+        // Missing minimum shares take precedence over larger shares of others.
         let mut firsts: u64 =
             wants.iter().zip(&targets).map(|((holder, _), target)| first(holder, *target)).sum();
         for ((holder, _), target) in wants.iter().zip(&targets) {
             let before = granted(holder);
-            let apart = before.abs_diff(*target);
-            // Danger: a part that follows each little change of demand swings, and what is on its way is idle.
-            let small = (apart as f64) <= DAMPING * before as f64 && before >= least;
-            if apart == 0 || small {
+            let difference = before.abs_diff(*target);
+            // Danger: a share that follows every small change of demand oscillates, and what is being moved is unused.
+            let small = (difference as f64) <= CHANGE_THRESHOLD * before as f64 && before >= least;
+            if difference == 0 || small {
                 if *target < before {
-                    above.push(((*holder).clone(), *target, apart));
+                    above.push(((*holder).clone(), *target, difference));
                 }
                 continue;
             }
@@ -246,24 +248,24 @@
                 let more =
                     target.saturating_sub(counted).min(first.min(room).max(room.saturating_sub(firsts)));
                 let reached = counted.min(*target) + more;
-                lacking += least.min(*target).saturating_sub(reached);
+                missing_min_shares += least.min(*target).saturating_sub(reached);
                 if reached > before {
                     room -= more;
                     raised.push(((*holder).clone(), reached));
                 }
             }
         }
-        // Danger: all stand a little above their targets, none by enough to be lowered, and a newcomer waits for ever.
-        let leaves: u64 = budgets.shares(of).map(|(_, part)| part.reserved - part.granted).sum();
-        let (kept, comes) = (budget.map_or(0, reserve), room + leaves);
-        let wanted = lacking + if comes < kept / 2 { kept } else { 0 };
+        // Danger: if all holders exceed their targets slightly, none by enough to be lowered, a new holder would wait forever.
+        let being_released: u64 = budgets.shares(of).map(|(_, part)| part.reserved - part.granted).sum();
+        let (kept, comes) = (budget.map_or(0, reserve), room + being_released);
+        let wanted = missing_min_shares + if comes < kept / 2 { kept } else { 0 };
         let mut wanted = wanted.saturating_sub(comes);
         above.sort_by(|one, other| other.2.cmp(&one.2).then_with(|| one.0.cmp(&other.0)));
-        for (holder, target, apart) in above {
+        for (holder, target, difference) in above {
             if wanted == 0 {
                 break;
             }
-            wanted = wanted.saturating_sub(apart);
+            wanted = wanted.saturating_sub(difference);
             lowered.push((holder, target));
         }
         lowered.extend(raised);
@@ -271,14 +273,14 @@
     }
 }
 
-/// What is kept for newcomers.
+/// The amount that is reserved for new holders.
 fn reserve(budget: &Budget) -> u64 {
     let all = budget.divisible();
-    ((all as f64 * RESERVE) as u64).max(RESERVE_LEAST_PARTS * budget.min_share).min(all / 10)
+    ((all as f64 * NEW_HOLDER_RESERVE) as u64).max(MIN_RESERVED_SHARES * budget.min_share).min(all / 10)
 }
 
-/// What each is to have: least parts first, then up to what is wanted, the smallest wishes whole; what is left is spread by
-/// what is wanted. Whole numbers whose sum is not above what there is.
+/// The target share of each holder: first the minimum shares, then max-min fair up to the demand, and the rest in proportion
+/// to the demand. The sum never exceeds the divisible quota.
 fn targets(budget: &Budget, wants: &[(&Holder, f64)]) -> Vec<u64> {
     let count = wants.len() as u64;
     if count == 0 {
@@ -286,12 +288,12 @@
     }
     let divided = budget.divisible() - reserve(budget);
     if budget.min_share * count > divided {
-        // More of them than there are least parts: the first by name have one, the others what they may use alone.
+        // More holders than minimum shares: the first by name get one each, the others only have their standalone share.
         let have = (divided / budget.min_share) as usize;
         return (0..wants.len()).map(|at| if at < have { budget.min_share } else { 0 }).collect();
     }
     let mut left = divided - budget.min_share * count;
-    // Above the least part: up to what is wanted, by a level that all share.
+    // Above the minimum share: up to the demand, by max-min fairness.
     let wished: Vec<f64> =
         wants.iter().map(|(_, wants)| (wants - budget.min_share as f64).max(0.0)).collect();
     let mut order: Vec<usize> = (0..wants.len()).collect();
@@ -423,7 +425,7 @@
         world.run(4000, &wants);
         let short = wants.iter().filter(|(holder, _)| world.granted(holder) < 2).count();
         assert_eq!(short, 0);
-        // They come up to the others' level, and then nothing moves any more.
+        // They reach the level of the others, and then nothing changes any more.
         world.run(10_000, &wants);
         let before = world.entries;
         world.run(10_000, &wants);
@@ -437,7 +439,7 @@
         world.run(5000, &both);
         let held = world.granted(&holder(0));
         assert!(held > 30);
-        // It falls silent: for a lease by its clock, and a window after, what it holds is nobody else's.
+        // It stops reporting: for a lease by its clock, and a window after, its share is given to nobody else.
         world.run(3900, &both[1..]);
         assert!(world.budgets.share(OF, &holder(0)).is_some_and(|part| part.reserved == held));
         world.run(1500, &both[1..]);
@@ -477,11 +479,11 @@
                 .any(|change| matches!(change, ShareChange::Release(..)))
         };
         assert!(!releases(&mut divider, 400));
-        // A minute later, and a thousand: it may be stopped, and hold all nine.
+        // Even much later: the process may be stopped, and still hold all nine.
         assert!(!releases(&mut divider, 60_000) && !releases(&mut divider, 1_000_000));
         divider.record_report(at(1_000_100), &holder(0), &told(4), false);
         assert!(releases(&mut divider, 1_000_400));
-        // Or by an operator's word that its process has ended.
+        // Or when an operator confirms that its process has ended.
         let mut divider = Allocator::new(at(0), 0);
         divider.mark_ended(at(10), &holder(0));
         assert!(releases(&mut divider, 300));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a fleet's processes agree on, and what its daemons know beside that. Pure: commands and reports go in, answers,
-//! proposals and records to pass on come out; hosts carry them out. `docs/replicated-state.md` has what was weighed,
-//! and which copy wins where two differ.
+//! The state that a fleet's daemons replicate, and the state that each daemon and sidecar keeps beside it. The crate does no
+//! I/O and reads no clock: commands and reports go in; answers, proposals and records to forward come out, and the host
+//! process acts on them. `docs/replicated-state.md` explains the design, and which copy wins where two differ.
 
 pub mod budgets;
 pub mod divide;
--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -1,5 +1,5 @@
-//! What a sidecar may use of the fleet's budgets: its part alone at any time, and what it is granted until its lease ends by
-//! its own clock, counted from before it asked.
+//! A sidecar's enforcement of the fleet's budgets: its standalone share at any time, and its granted share until the lease
+//! expires by the sidecar's clock, counted from before it sent the report.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,41 +8,41 @@
 
 use crate::budgets::{Budget, LogPosition, Resource};
 
-/// By how much the rates of two clocks may differ: crystals differ by a ten-thousandth, a machine that is paused and set right
-/// by far more, for a moment. A holder ends its lease, and lengthens its windows, by this much.
+/// How much the rates of two clocks may differ: quartz clocks differ by a ten-thousandth, but a machine that is paused and
+/// then corrected by far more, for a moment. A holder shortens its lease, and lengthens its windows, by this fraction.
 pub const MAX_CLOCK_DRIFT: f64 = 0.02;
 
-/// A grant on its way to a holder.
+/// A grant in a daemon's answer to a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     pub budget: Budget,
     pub share: u64,
-    /// The entry that set it, or the last one that the leader has applied where it has no part.
+    /// The log position that set the share, or the last one that the leader has applied if the holder has no share.
     pub since: LogPosition,
     pub lease_ms: u64,
 }
 
-/// What a holder tells of its use.
+/// A holder's report of its use of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// The entry that it acts on.
+    /// The log position of the grant that it acts on.
     pub acting_on: LogPosition,
-    /// What it wanted in the last window, or wants now: what it used, and what it was refused.
+    /// Its demand in the last window, or now: what it used, and what it was refused.
     pub wanted: u64,
-    /// Of a stock: the most that it holds at one endpoint.
+    /// For a concurrency limit: the most that it holds at one endpoint.
     pub held: u64,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Limit {
     budget: Option<Budget>,
-    alone: u64,
-    part: u64,
+    standalone_share: u64,
+    share: u64,
     until: Moment,
-    acts: LogPosition,
-    /// When what counts in the window was spent.
+    acting_on: LogPosition,
+    /// The times of use within the window.
     spent: VecDeque<Moment>,
-    /// When it was refused.
+    /// The times of refusals within the window.
     refused: VecDeque<Moment>,
     held: u64,
     wanted: u64,
@@ -50,14 +50,14 @@
 
 impl Limit {
     fn allowed(&self, now: Moment) -> u64 {
-        self.alone + if now < self.until { self.part } else { 0 }
+        self.standalone_share + if now < self.until { self.share } else { 0 }
     }
 
     fn window(&self) -> Span {
         Span::from_millis(self.budget.map_or(0, |budget| budget.window_ms)) * (1.0 + MAX_CLOCK_DRIFT)
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn drop_expired(&mut self, now: Moment) {
         let window = self.window();
         for row in [&mut self.spent, &mut self.refused] {
             while row.front().is_some_and(|at| now.since(*at) > window) {
@@ -67,10 +67,10 @@
     }
 }
 
-/// Refusals that are kept for what it wants: a bound of memory, and of what one member may ask for.
-const REFUSED_MOST: usize = 100_000;
+/// Maximum number of refusals that are kept to measure demand: limits memory, and what one member can ask for.
+const MAX_REFUSALS: usize = 100_000;
 
-/// The flows that a write-out counts in: again for the same req, to an endpoint that is cold.
+/// The rate limits that an attempt counts in: `again` for a retry of the same request, `cold` for a cold endpoint.
 pub fn attempt_resources(again: bool, cold: bool) -> impl Iterator<Item = Resource> {
     let wanted = [(true, Resource::Attempts), (again, Resource::Retries), (cold, Resource::ColdAttempts)];
     wanted.into_iter().filter(|(wanted, _)| *wanted).map(|(_, of)| of)
@@ -80,64 +80,66 @@
 pub struct Limits(BTreeMap<Resource, Limit>);
 
 impl Limits {
-    /// With what this sidecar's own file says that it may use alone: these things are limited from the start.
-    pub fn new(alone: &BTreeMap<Resource, (u64, u64)>) -> Limits {
-        let limit = |(of, (part, window_ms)): (&Resource, &(u64, u64))| {
+    /// With the standalone shares of the sidecar's own configuration file: these resources are limited from the start.
+    pub fn new(standalone_share: &BTreeMap<Resource, (u64, u64)>) -> Limits {
+        let limit = |(of, (share, window_ms)): (&Resource, &(u64, u64))| {
             let budget = Budget {
                 resource: *of,
                 quota: 0,
                 window_ms: *window_ms,
                 min_share: 0,
-                standalone_share: *part,
+                standalone_share: *share,
                 max_members: 0,
             };
-            (*of, Limit { budget: Some(budget), alone: *part, ..Limit::default() })
+            (*of, Limit { budget: Some(budget), standalone_share: *share, ..Limit::default() })
         };
-        Limits(alone.iter().map(limit).collect())
+        Limits(standalone_share.iter().map(limit).collect())
     }
 
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Grants came in an answer to what was asked at this moment. A thing that they do not name has no budget any more.
+    /// Applies the grants of an answer to the report that was made at `asked`. A resource without a grant has no budget any
+    /// more.
     pub fn apply_grants(&mut self, asked: Moment, grants: &[Grant]) {
         self.0.retain(|of, limit| {
-            // Danger: one that this file limits stays limited, whatever a daemon does not know of.
-            grants.iter().any(|grant| grant.budget.resource == *of) || limit.acts == LogPosition::default()
+            // Danger: a limit of the sidecar's own file stays in force, even if the daemon does not know of it.
+            grants.iter().any(|grant| grant.budget.resource == *of)
+                || limit.acting_on == LogPosition::default()
         });
         for grant in grants {
             let limit = self.0.entry(grant.budget.resource).or_default();
-            // Danger: an answer of a leader that was, or one that was held back, must not bring back what was taken since.
-            if grant.since < limit.acts {
+            // Danger: an answer of a former leader, or a delayed one, must not restore a share that was taken back since.
+            if grant.since < limit.acting_on {
                 continue;
             }
             let until = asked + Span::from_millis(grant.lease_ms) * (1.0 - MAX_CLOCK_DRIFT);
-            (limit.budget, limit.alone) = (Some(grant.budget), grant.budget.standalone_share);
-            (limit.part, limit.until, limit.acts) = (grant.share, until, grant.since);
+            (limit.budget, limit.standalone_share) = (Some(grant.budget), grant.budget.standalone_share);
+            (limit.share, limit.until, limit.acting_on) = (grant.share, until, grant.since);
         }
     }
 
-    /// Whether one more of a flow may be spent now; it is spent if so. The moment is that of the spending, not of the turn. A
-    /// refusal counts as a wish only for the first that is asked for one thing.
+    /// Takes one from a rate limit, if allowed. `now` is the time of the use itself, not of the event loop's turn. A refusal
+    /// counts as demand only if `first` is set, so that repeated tries for the same purpose count once.
     pub fn try_spend(&mut self, now: Moment, of: Resource, first: bool) -> bool {
         let Some(limit) = self.0.get_mut(&of) else { return true };
-        limit.forget(now);
+        limit.drop_expired(now);
         let may = (limit.spent.len() as u64) < limit.allowed(now);
         if may {
             limit.spent.push_back(now);
-        } else if first && limit.refused.len() < REFUSED_MOST {
+        } else if first && limit.refused.len() < MAX_REFUSALS {
             limit.refused.push_back(now);
         }
         may
     }
 
-    /// Whether a write-out may be spent now, of all flows that it counts in: of all, or of none. A refusal counts as a wish
-    /// for write-outs only where it is not one for the same req again.
+    /// Takes an attempt from all rate limits that it counts in, or from none. A refusal counts as demand for attempts only if it
+    /// is the first attempt of the request.
     pub fn try_spend_attempt(&mut self, now: Moment, again: bool, cold: bool) -> bool {
         for (at, of) in attempt_resources(again, cold).enumerate() {
             if !self.try_spend(now, of, !again || at > 0) {
-                // Danger: what is spent and not sent would be idle for a window.
+                // Danger: what is taken but not sent would be lost for a window.
                 attempt_resources(again, cold).take(at).for_each(|of| self.refund(of));
                 return false;
             }
@@ -145,14 +147,14 @@
         true
     }
 
-    /// One that was to be spent was not, after all.
+    /// Gives back one that was taken but not used.
     pub fn refund(&mut self, of: Resource) {
         if let Some(limit) = self.0.get_mut(&of) {
             limit.spent.pop_back();
         }
     }
 
-    /// Whether one more of a stock may be held at an endpoint where so many are held.
+    /// Whether a concurrency limit allows one more at an endpoint where `held` are in use.
     pub fn try_hold(&mut self, now: Moment, of: Resource, held: u64) -> bool {
         let Some(limit) = self.0.get_mut(&of) else { return true };
         let may = held < limit.allowed(now);
@@ -163,29 +165,29 @@
         may
     }
 
-    /// The most that it holds at one endpoint now: what was given back counts no more.
+    /// Sets the most that is held at one endpoint now, after some was given back.
     pub fn set_held(&mut self, of: Resource, held: u64) {
         if let Some(limit) = self.0.get_mut(&of) {
             limit.held = held;
         }
     }
 
-    /// What it may have at most now; none where there is no limit.
+    /// The limit now; `None` if the resource is not limited.
     pub fn allowed(&self, now: Moment, of: Resource) -> Option<u64> {
         self.0.get(&of).map(|limit| limit.allowed(now))
     }
 
-    /// For the daemons: what it acts on and wants, by thing.
+    /// The usage by resource, for the report to the daemons.
     pub fn usage(&mut self, now: Moment) -> Vec<(Resource, Usage)> {
         let told = self.0.iter_mut().map(|(of, limit)| {
-            limit.forget(now);
+            limit.drop_expired(now);
             let stock = std::mem::take(&mut limit.wanted).max(limit.held);
             let wants = if of.is_concurrency_limit() {
                 stock
             } else {
                 (limit.spent.len() + limit.refused.len()) as u64
             };
-            (*of, Usage { acting_on: limit.acts, wanted: wants, held: limit.held })
+            (*of, Usage { acting_on: limit.acting_on, wanted: wants, held: limit.held })
         });
         told.collect()
     }
@@ -203,7 +205,7 @@
         LogPosition { generation: 0, index }
     }
 
-    fn grant(of: Resource, part: u64, index: u64) -> Grant {
+    fn grant(of: Resource, share: u64, index: u64) -> Grant {
         let window_ms = if of.is_concurrency_limit() { 0 } else { 1000 };
         let budget = Budget {
             resource: of,
@@ -213,7 +215,7 @@
             standalone_share: 2,
             max_members: 10,
         };
-        Grant { budget, share: part, since: stamp(index), lease_ms: 3000 }
+        Grant { budget, share, since: stamp(index), lease_ms: 3000 }
     }
 
     #[test]
@@ -229,7 +231,7 @@
             Usage { acting_on: stamp(5), wanted: 12 + 88 + 100, held: 0 }
         );
         assert_eq!(spent(&mut limits, 1130), 12);
-        // The lease is counted from before it asked, less the doubt of clocks.
+        // The lease is counted from before the report was sent, shortened by the maximum clock drift.
         assert_eq!((spent(&mut limits, 2939), spent(&mut limits, 4000)), (12, 2));
     }
 
@@ -240,7 +242,7 @@
         limits.apply_grants(at(0), &[grant(of, 10, 9)]);
         limits.apply_grants(at(100), &[grant(of, 80, 8)]);
         assert_eq!(limits.allowed(at(200), of), Some(12));
-        // One that comes after its lease grants nothing.
+        // A grant that arrives after its lease grants nothing.
         limits.apply_grants(at(0), &[grant(of, 80, 10)]);
         assert_eq!(limits.allowed(at(3500), of), Some(2));
     }
@@ -253,7 +255,7 @@
         assert!((0..5).all(|held| limits.try_hold(at(1), of, held)));
         assert!(!limits.try_hold(at(1), of, 5));
         assert_eq!(limits.usage(at(1))[0].1, Usage { acting_on: stamp(5), wanted: 6, held: 5 });
-        // Its lease is over: what it holds it holds, and takes nothing new.
+        // The lease has expired: it keeps what it holds, and takes nothing new.
         assert!(!limits.try_hold(at(4000), of, 4));
         assert_eq!(limits.usage(at(4000))[0].1, Usage { acting_on: stamp(5), wanted: 5, held: 5 });
         limits.set_held(of, 1);
@@ -269,7 +271,7 @@
         assert_eq!((0..9).filter(|_| limits.try_spend(at(20), of, true)).count(), 0);
         limits.apply_grants(at(30), &[grant(of, 5, 1)]);
         assert_eq!((0..9).filter(|_| limits.try_spend(at(40), of, true)).count(), 5);
-        // A budget that was agreed on and is no more limits nothing.
+        // A budget of the fleet that was removed limits nothing.
         limits.apply_grants(at(50), &[]);
         assert!((0..99).all(|_| limits.try_spend(at(60), of, true)));
     }
--- a/crates/fleet/src/outs.rs
+++ b/crates/fleet/src/outs.rs
@@ -1,5 +1,5 @@
-//! Who is out, and how many may be: permission to go out is an entry of the log, asked for before anything is done, and holds
-//! until who has it is back. Whatever does not serve counts as out, whether it was sent out or failed by itself.
+//! Drains: who is out of service, and how many may be. Permission to drain is a log entry, requested before anything is done,
+//! and is held until its holder serves again. Whatever does not serve counts as out, whether it was drained or failed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,12 +9,12 @@
 
 use crate::members::{Member, MemberStatus};
 
-/// How long an operator waits for the fleet's word: the caller of the second address waits a little longer.
+/// How long an operator's drain command waits for the fleet's decision: a caller of the operator address waits a little longer.
 pub const ANSWER_TIMEOUT: Span = Span::from_millis(1000);
-/// Names that a refusal tells: the rest is counted.
-const NAMED_MOST: usize = 6;
+/// Maximum number of names in a refusal; the rest is counted.
+const MAX_NAMES_LISTED: usize = 6;
 
-/// A number of members, or a share of a group, rounded to the safe side.
+/// A number of members, or a fraction of a group, rounded so that fewer may be out.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Amount {
@@ -22,7 +22,7 @@
     Share(f64),
 }
 
-/// What operators state of a group of members.
+/// A group of members and its limits, as configured by operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Group {
@@ -33,14 +33,14 @@
     #[serde(default)]
     #[serde(rename = "leastServing")]
     pub min_serving: Option<Amount>,
-    /// Endpoints that belong to it, by their names in the list; members say by their own files that they do.
+    /// Endpoints that belong to it, by their names in discovery. Members state their groups in their own configuration files.
     #[serde(default)]
     pub endpoints: Vec<String>,
 }
 
 impl Group {
     /// # Errors
-    /// The key that is at fault, and what would do.
+    /// The invalid key, and what is expected.
     pub fn check(&self) -> Result<(), String> {
         let key = |name: &str| format!("groups.{}.{name}", self.name);
         if self.name.is_empty() || self.name.len() > crate::members::MAX_TEXT_BYTES {
@@ -74,38 +74,38 @@
         Ok(())
     }
 
-    /// Most of so many that may be out.
+    /// How many of a group of this size may be out.
     pub fn max_out_of(&self, size: usize) -> usize {
-        let most = match self.max_out {
-            Some(Amount::Number(most)) => most as usize,
+        let max_out = match self.max_out {
+            Some(Amount::Number(max_out)) => max_out as usize,
             Some(Amount::Share(share)) => (size as f64 * share).floor() as usize,
             None => size,
         };
-        let least = match self.min_serving {
-            Some(Amount::Number(least)) => least as usize,
+        let min_serving = match self.min_serving {
+            Some(Amount::Number(min_serving)) => min_serving as usize,
             Some(Amount::Share(share)) => (size as f64 * share).ceil() as usize,
             None => 0,
         };
-        most.min(size.saturating_sub(least))
+        max_out.min(size.saturating_sub(min_serving))
     }
 }
 
 impl Group {
-    /// Whether one more may go out beside these, of so many.
+    /// Checks whether one more may be out in addition to these, in a group of this size.
     fn check_one_more_out(&self, size: usize, out: Vec<String>) -> Result<(), OutLimitReached> {
-        let most = self.max_out_of(size);
-        if out.len() < most {
+        let max_out = self.max_out_of(size);
+        if out.len() < max_out {
             Ok(())
         } else {
-            Err(OutLimitReached { group: self.name.clone(), max_out: most, size, out })
+            Err(OutLimitReached { group: self.name.clone(), max_out, size, out })
         }
     }
 }
 
-/// Checks groups that are put together.
+/// Checks all groups of one write.
 ///
 /// # Errors
-/// The key that is at fault.
+/// The invalid key.
 pub fn check(groups: &[Group]) -> Result<(), String> {
     for (at, group) in groups.iter().enumerate() {
         group.check()?;
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// Why one may not go out now.
+/// A drain refused because a group has reached its limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutLimitReached {
     pub group: String,
@@ -127,13 +127,13 @@
 
 impl fmt::Display for OutLimitReached {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let OutLimitReached { group, max_out: most, size, out } = self;
-        write!(f, "{} of {most} out in {group}, which has {size}", out.len())?;
+        let OutLimitReached { group, max_out, size, out } = self;
+        write!(f, "{} of {max_out} out in {group}, which has {size}", out.len())?;
         if !out.is_empty() {
-            write!(f, ": {}", out[..out.len().min(NAMED_MOST)].join(", "))?;
+            write!(f, ": {}", out[..out.len().min(MAX_NAMES_LISTED)].join(", "))?;
         }
-        if out.len() > NAMED_MOST {
-            write!(f, " and {} more", out.len() - NAMED_MOST)?;
+        if out.len() > MAX_NAMES_LISTED {
+            write!(f, " and {} more", out.len() - MAX_NAMES_LISTED)?;
         }
         Ok(())
     }
@@ -144,29 +144,30 @@
     member.status != MemberStatus::Serving || member.drain_request.is_some() || member.drained_by_release
 }
 
-/// Whether an endpoint may be taken out of service beside those that are, and those that are missing by themselves.
+/// Checks whether an endpoint may be taken out of service in addition to those that are, and those that are unavailable by
+/// themselves.
 ///
 /// # Errors
-/// The first group that does not bear it, by the settings' order.
+/// The first group whose limit it would exceed, in the order of the settings.
 pub fn check_endpoint_out(
     groups: &[Group],
-    outs: &BTreeSet<String>,
+    drained: &BTreeSet<String>,
     missing: &[String],
     name: &str,
 ) -> Result<(), OutLimitReached> {
     for group in groups.iter().filter(|group| group.endpoints.iter().any(|own| own == name)) {
         let out = group.endpoints.iter().filter(|other| *other != name);
         let out: Vec<String> =
-            out.filter(|other| outs.contains(*other) || missing.contains(other)).cloned().collect();
+            out.filter(|other| drained.contains(*other) || missing.contains(other)).cloned().collect();
         group.check_one_more_out(group.endpoints.len(), out)?;
     }
     Ok(())
 }
 
-/// Whether a member may go out beside those that are.
+/// Checks whether a member may be drained in addition to those that are out.
 ///
 /// # Errors
-/// The first group that does not bear it, by the settings' order.
+/// The first group whose limit it would exceed, in the order of the settings.
 pub fn check_member_out(
     groups: &[Group],
     members: &BTreeMap<String, Member>,
@@ -174,9 +175,9 @@
 ) -> Result<(), OutLimitReached> {
     let Some(own) = members.get(name) else { return Ok(()) };
     for group in groups.iter().filter(|group| own.groups.contains(&group.name)) {
-        let of = members.iter().filter(|(_, member)| member.groups.contains(&group.name));
-        let size = of.clone().count();
-        let out: Vec<String> = of
+        let in_group = members.iter().filter(|(_, member)| member.groups.contains(&group.name));
+        let size = in_group.clone().count();
+        let out: Vec<String> = in_group
             .filter(|(other, member)| *other != name && is_out(member))
             .map(|(name, _)| name.clone())
             .collect();
@@ -185,13 +186,13 @@
     Ok(())
 }
 
-/// A sidecar's own part: what it has asked for, and what it has given up or come back from.
+/// A sidecar's drain requests: the one in progress, and up to where they are finished.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DrainRequests {
-    asks: u64,
-    /// Asks up to here hold nothing any more: the fleet takes back what they were permitted.
+    last_request: u64,
+    /// Requests up to this one are finished: the fleet takes their permissions back.
     settled: u64,
-    until: Option<Moment>,
+    deadline: Option<Moment>,
 }
 
 impl DrainRequests {
@@ -199,43 +200,43 @@
         self.settled
     }
 
-    /// The number of the ask that is under way, a new one if there is none.
+    /// The number of the request in progress, a new one if there is none.
     pub fn request(&mut self, now: Moment) -> u64 {
-        if self.until.is_none() {
-            self.asks = self.asks.max(self.settled) + 1;
-            self.until = Some(now + ANSWER_TIMEOUT);
+        if self.deadline.is_none() {
+            self.last_request = self.last_request.max(self.settled) + 1;
+            self.deadline = Some(now + ANSWER_TIMEOUT);
         }
-        self.asks
+        self.last_request
     }
 
-    /// When the ask that is under way is given up.
+    /// When the request in progress times out.
     pub fn deadline(&self) -> Option<Moment> {
-        self.until
+        self.deadline
     }
 
-    /// An answer: whether it is one to the ask that is under way. Danger: one that comes after it was given up must not send
-    /// out who has been told no.
+    /// Handles an answer. Returns whether it belongs to the request in progress. Danger: an answer to a request that was given up
+    /// must not drain the member, as the operator was already told that it is refused.
     pub fn on_answer(&mut self, ask: u64, granted: bool) -> bool {
-        let ours = self.until.is_some() && ask == self.asks;
-        if ours {
-            self.until = None;
+        let current = self.deadline.is_some() && ask == self.last_request;
+        if current {
+            self.deadline = None;
             if !granted {
-                self.settled = self.asks;
+                self.settled = self.last_request;
             }
         }
-        ours
+        current
     }
 
-    /// Nobody answered: whatever is permitted is not made use of.
+    /// No answer came in time: a permission that may still arrive is not used.
     pub fn give_up(&mut self) {
-        self.until = None;
-        self.settled = self.asks;
+        self.deadline = None;
+        self.settled = self.last_request;
     }
 
-    /// It is back, or never went.
+    /// The member serves again, or never drained.
     pub fn on_return(&mut self) {
-        if self.until.is_none() {
-            self.settled = self.asks;
+        if self.deadline.is_none() {
+            self.settled = self.last_request;
         }
     }
 }
@@ -254,8 +255,8 @@
         }
     }
 
-    fn group(most_out: Option<Amount>, least_serving: Option<Amount>) -> Group {
-        Group { name: "a".into(), max_out: most_out, min_serving: least_serving, endpoints: Vec::new() }
+    fn group(max_out: Option<Amount>, min_serving: Option<Amount>) -> Group {
+        Group { name: "a".into(), max_out, min_serving, endpoints: Vec::new() }
     }
 
     #[test]
@@ -296,7 +297,7 @@
             members.get_mut("s1").unwrap().status = standing;
             let said = check_member_out(&groups, &members, "s0").unwrap_err().to_string();
             assert_eq!(said, "1 of 1 out in a, which has 3: s1");
-            // Who is out already may ask again.
+            // A member that is already out may ask again.
             assert_eq!(check_member_out(&groups, &members, "s1"), Ok(()));
         }
         members.get_mut("s1").unwrap().status = MemberStatus::Serving;
@@ -314,7 +315,7 @@
         assert_eq!(asker.request(at(20)), 2);
         assert!(!asker.on_answer(1, true));
         assert!(asker.on_answer(2, true));
-        // Out by the second ask: nothing of it is given back before it is back.
+        // Drained by the second request: its permission is kept until the member serves again.
         assert_eq!(asker.settled(), 1);
         asker.on_return();
         assert_eq!(asker.settled(), 2);
--- a/crates/fleet/src/releases.rs
+++ b/crates/fleet/src/releases.rs
@@ -1,5 +1,6 @@
-//! Releases: what is moved to another version, step by step, under the most that may be out. A release's state is in the log: it
-//! goes on under another leader where it stood, no step twice and none skipped. What a leader sees of it is in `runner`.
+//! Releases: staged rollouts of sidecars or endpoints to another version, within the limits on how many may be out at once.
+//! The state of a release is in the replicated log, so that a new leader continues it without repeating or skipping a
+//! step. `runner` drives it on the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,16 +12,16 @@
 use crate::members::{MAX_TEXT_BYTES, Member, MemberStatus};
 use crate::outs::{self, Group, OutLimitReached};
 
-/// The version of a release's file.
+/// The version of the release file format.
 pub const FORMAT: u32 = 1;
-/// Releases that are kept, the ended ones among them.
-const KEPT_MOST: usize = 16;
-/// Longest that any one wait of a release may be: an hour.
-const WAIT_MOST_MS: u64 = 3_600_000;
-/// Words of a command.
-const WORDS_MOST: usize = 32;
-/// Names that a line tells: the rest is counted.
-const NAMED_MOST: usize = 6;
+/// Maximum number of releases in the state, including ended ones.
+const MAX_RELEASES: usize = 16;
+/// Upper limit for each timeout of a release: an hour.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
+/// Maximum number of words in a command.
+const MAX_COMMAND_WORDS: usize = 32;
+/// Maximum number of names in a summary line.
+const MAX_NAMES_LISTED: usize = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -29,29 +30,28 @@
     Endpoints,
 }
 
-/// Whether a release goes back by itself once it has halted.
+/// Whether a halted release rolls back automatically.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RollbackPolicy {
     #[default]
     Never,
-    /// Where what was moved does worse than what was not.
+    /// If upgraded targets do worse than the others.
     WhenWorse,
     Always,
 }
 
-/// The operators' own action on one that is empty: a command that an agent beside it runs. `{name}` and `{version}` stand for
-/// whom it is run for and the version that it is to have.
+/// The operators' action on a drained target: a command that the agent beside it runs. `{name}` and `{version}` are replaced
+/// by the target's name and the version that it is to have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Action {
     pub command: Vec<String>,
-    /// Milliseconds.
     #[serde(rename = "withinMs")]
     pub timeout_ms: u64,
 }
 
-/// A release as its file states it.
+/// A release as described by its file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Plan {
@@ -59,29 +59,29 @@
     pub name: String,
     #[serde(rename = "moves")]
     pub target_kind: TargetKind,
-    /// The settings' group that is moved; its bounds hold.
+    /// The group of the settings that is upgraded; its limits apply.
     pub group: String,
-    /// The first to last; all members of the group by name where none is stated.
+    /// The targets from first to last; without it, all members of the group by name.
     #[serde(default)]
     pub order: Vec<String>,
-    /// Most that this release has under way at once.
+    /// Maximum number of targets that this release has in transition at once.
     #[serde(rename = "mostOut")]
     pub max_out: u32,
     pub from: String,
     pub to: String,
-    /// None: it waits for each to return with the expected version.
+    /// Without an action, the release waits for each target to return with the expected version.
     #[serde(default)]
     pub action: Option<Action>,
-    /// In which one that is sent out must be empty, and be back from then on, in milliseconds.
+    /// Within which a target must be drained, and after that serve again.
     #[serde(rename = "emptyInMs")]
     pub drain_timeout_ms: u64,
     #[serde(rename = "backInMs")]
     pub return_timeout_ms: u64,
-    /// How long one that is back is not judged yet, as it is cold; and for how long it is judged then.
+    /// How long a returned target is not judged, as it is still cold, and for how long it is judged afterwards.
     #[serde(default)]
     pub settle_ms: u64,
     pub watch_ms: u64,
-    /// Longest that it is watched for enough reqs to judge.
+    /// Maximum time to wait for enough requests to judge a target.
     #[serde(rename = "watchMostMs")]
     pub max_watch_ms: u64,
     #[serde(rename = "must")]
@@ -93,7 +93,7 @@
 
 impl Plan {
     /// # Errors
-    /// The key that is at fault, and what would do.
+    /// The invalid key, and what is expected.
     pub fn check(&self) -> Result<(), String> {
         if self.format != FORMAT {
             return Err(format!("format: expected {FORMAT}, not {}", self.format));
@@ -118,12 +118,12 @@
             ("watchMostMs", self.max_watch_ms),
         ];
         for (key, ms) in waits {
-            if !(1..=WAIT_MOST_MS).contains(&ms) {
-                return Err(format!("{key}: expected 1 to {WAIT_MOST_MS}, not {ms}"));
+            if !(1..=MAX_TIMEOUT_MS).contains(&ms) {
+                return Err(format!("{key}: expected 1 to {MAX_TIMEOUT_MS}, not {ms}"));
             }
         }
-        if self.settle_ms > WAIT_MOST_MS {
-            return Err(format!("settleMs: expected 0 to {WAIT_MOST_MS}, not {}", self.settle_ms));
+        if self.settle_ms > MAX_TIMEOUT_MS {
+            return Err(format!("settleMs: expected 0 to {MAX_TIMEOUT_MS}, not {}", self.settle_ms));
         }
         if self.max_watch_ms < self.watch_ms {
             return Err(format!(
@@ -142,8 +142,8 @@
         }
         match &self.action {
             Some(action) => {
-                if action.command.is_empty() || action.command.len() > WORDS_MOST {
-                    return Err(format!("action.command: expected 1 to {WORDS_MOST} words"));
+                if action.command.is_empty() || action.command.len() > MAX_COMMAND_WORDS {
+                    return Err(format!("action.command: expected 1 to {MAX_COMMAND_WORDS} words"));
                 }
                 if action.command.iter().any(|word| word.len() > MAX_TEXT_BYTES) {
                     return Err(format!(
@@ -156,9 +156,9 @@
                         action.command[0]
                     ));
                 }
-                if !(1..=WAIT_MOST_MS).contains(&action.timeout_ms) {
+                if !(1..=MAX_TIMEOUT_MS).contains(&action.timeout_ms) {
                     return Err(format!(
-                        "action.withinMs: expected 1 to {WAIT_MOST_MS}, not {}",
+                        "action.withinMs: expected 1 to {MAX_TIMEOUT_MS}, not {}",
                         action.timeout_ms
                     ));
                 }
@@ -174,11 +174,11 @@
         self.criteria.check()
     }
 
-    /// Checks it against a fleet: the settings' groups, and the members of its group that are not gone. Gives all that are in the
-    /// group, and how many of them may be out at once.
+    /// Checks the plan against a fleet: the groups of the settings, and the members of its group that are not gone. Returns all
+    /// targets in the group, and how many of them may be out at once.
     ///
     /// # Errors
-    /// The key that is at fault, and what would do.
+    /// The invalid key, and what is expected.
     pub fn check_against(
         &self,
         groups: &[Group],
@@ -195,8 +195,8 @@
         if size == 0 {
             return Err(format!("group: nobody is in {}", self.group));
         }
-        if let Some(odd) = self.order.iter().find(|name| !of.contains(name)) {
-            return Err(format!("order: {odd} is not in {}", self.group));
+        if let Some(unknown) = self.order.iter().find(|name| !of.contains(name)) {
+            return Err(format!("order: {unknown} is not in {}", self.group));
         }
         if self.max_out as usize >= size && size > 1 {
             return Err(format!("mostOut: {} of {size} would be all; {} would do", self.max_out, size - 1));
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The version that one has once it has gone this way.
+    /// The version of a target on this side of the release.
     pub fn version_on(&self, side: Side) -> &str {
         match side {
             Side::Old => &self.from,
@@ -222,20 +222,20 @@
     New,
 }
 
-/// How far one has come that is under way.
+/// The stages of one target's transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Stage {
-    /// It may go out, and drains.
+    /// It has permission to be out, and drains.
     #[serde(rename = "Sent")]
     Draining,
     #[serde(rename = "Empty")]
     Drained,
-    /// An agent has begun the action.
+    /// An agent has started the action.
     #[serde(rename = "Acting")]
     ActionRunning,
     #[serde(rename = "Acted")]
     ActionDone,
-    /// It serves again, and is watched.
+    /// It serves again, and its request outcomes are watched.
     #[serde(rename = "Back")]
     Watched,
 }
@@ -256,18 +256,18 @@
 pub struct Transition {
     pub to: Side,
     pub stage: Stage,
-    /// Of the process that was sent out; of no meaning for an endpoint.
+    /// The incarnation of the drained process; unused for endpoints.
     pub incarnation: u64,
-    /// Which agent has begun the action.
+    /// The agent that has started the action.
     pub agent: u64,
-    /// The entry that sent it out: each going of one has another.
+    /// The index of the entry that began the transition: it identifies this transition of the target.
     #[serde(rename = "since")]
     pub started_at: Index,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// The version that it was brought to last, by this release, and the entry that said so.
+    /// The side that this release brought the target to last, and the index of the entry that recorded it.
     #[serde(rename = "moved")]
     pub reached: Option<(Side, Index)>,
     #[serde(rename = "going")]
@@ -275,10 +275,12 @@
 }
 
 impl Step {
-    /// For people: how one stands.
+    /// A status text for operators.
     pub fn summary(&self, plan: &Plan) -> String {
         match (&self.transition, self.reached) {
-            (Some(going), _) => format!("{}, on its way to {}", going.stage, plan.version_on(going.to)),
+            (Some(transition), _) => {
+                format!("{}, on its way to {}", transition.stage, plan.version_on(transition.to))
+            }
             (None, Some((side, _))) => format!("at {}", plan.version_on(side)),
             (None, None) => "not moved".to_string(),
         }
@@ -292,7 +294,7 @@
     #[serde(rename = "Backward")]
     RollingBack,
     Halted,
-    /// All are moved, or all are back; or an operator ended it.
+    /// All targets are upgraded, or all are rolled back, or an operator ended the release; with the reason.
     Ended(String),
 }
 
@@ -303,15 +305,15 @@
     pub steps: BTreeMap<String, Step>,
     #[serde(rename = "course")]
     pub state: ReleaseState,
-    /// Why it halted last, and whether as what was moved does worse than what was not.
+    /// Why it halted last, and whether because upgraded targets do worse than the others.
     pub halted: Option<(String, bool)>,
-    /// It goes back once nobody is under way any more.
+    /// It rolls back once no target is in transition any more.
     #[serde(rename = "wants_back")]
     pub rollback_pending: bool,
-    /// It has been sent back once, so it is not again by itself.
+    /// It has been rolled back once, so it does not do so again automatically.
     #[serde(rename = "went_back")]
     pub rolled_back: bool,
-    /// What the group did before anything was moved.
+    /// Request outcomes of the group before the first upgrade.
     #[serde(rename = "before")]
     pub baseline: RequestCounts,
 }
@@ -325,18 +327,18 @@
         self.steps.iter().filter_map(|(name, step)| Some((name, step.transition.as_ref()?)))
     }
 
-    /// Those that it has brought to this version and that are not under way.
+    /// The targets that it has brought to this side, and that are not in transition.
     pub fn reached(&self, side: Side) -> impl Iterator<Item = &String> {
-        let moved =
+        let reached =
             move |step: &Step| step.transition.is_none() && step.reached.is_some_and(|(to, _)| to == side);
-        self.steps.iter().filter(move |(_, step)| moved(step)).map(|(name, _)| name)
+        self.steps.iter().filter(move |(_, step)| reached(step)).map(|(name, _)| name)
     }
 
-    /// For people: how it stands, in one line.
+    /// A one-line status for operators.
     pub fn summary(&self) -> String {
         let (new, old) = (self.reached(Side::New).count(), self.reached(Side::Old).count());
         let Plan { name, from, to, group, .. } = &self.plan;
-        let course = match (&self.state, &self.halted) {
+        let state = match (&self.state, &self.halted) {
             (ReleaseState::RollingOut, _) => "under way".to_string(),
             (ReleaseState::RollingBack, Some((why, _))) => format!("goes back, as: {why}"),
             (ReleaseState::RollingBack, None) => "goes back".to_string(),
@@ -344,23 +346,23 @@
             (ReleaseState::Halted, None) => "halted".to_string(),
             (ReleaseState::Ended(how), _) => format!("ended: {how}"),
         };
-        let mut line = format!("{name}: {course}; {new} of {} in {group} moved to {to}", self.order.len());
+        let mut line = format!("{name}: {state}; {new} of {} in {group} moved to {to}", self.order.len());
         if old > 0 {
             line += &format!(", {old} back at {from}");
         }
-        let going: Vec<String> =
-            self.transitions().map(|(who, going)| format!("{who} {}", going.stage)).collect();
-        if !going.is_empty() {
-            line += &format!("; {}", going[..going.len().min(NAMED_MOST)].join(", "));
+        let transitions: Vec<String> =
+            self.transitions().map(|(target, transition)| format!("{target} {}", transition.stage)).collect();
+        if !transitions.is_empty() {
+            line += &format!("; {}", transitions[..transitions.len().min(MAX_NAMES_LISTED)].join(", "));
         }
         line
     }
 }
 
-/// What changes a release: an entry of the log.
+/// A change of a release: a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReleaseUpdate {
-    /// With what the group did before.
+    /// With the request outcomes of the group before the release.
     Start(Box<Plan>, RequestCounts),
     Halt {
         release: String,
@@ -369,16 +371,18 @@
     },
     Resume(String),
     Rollback(String),
-    /// Over, and why: refused while any is under way.
+    /// Ends the release, with a reason: refused while any target is in transition.
     End(String, String),
-    /// Who is next may go out, if the bounds bear it. What is out by itself beside is told with it, for endpoints.
+    /// Permits the next target to drain, unless that would exceed the limits on how many may be out. For endpoints, `missing`
+    /// lists those that are unavailable by themselves.
     BeginTransition {
         release: String,
         target: String,
         to: Side,
         missing: Vec<String>,
     },
-    /// One has come further: from the stage that is stated, in the going that is stated, and no other.
+    /// Moves a target's transition to the stage `to`; ignored unless it is the transition that began at `started_at`, and in the
+    /// stage before.
     AdvanceTransition {
         release: String,
         target: String,
@@ -386,14 +390,14 @@
         to: Stage,
         agent: u64,
     },
-    /// It is not under way any more: brought to where it went, or left as it was.
+    /// Ends a transition: the target has reached the version that it was to have, or is left as it was.
     FinishTransition {
         release: String,
         target: String,
         started_at: Index,
         reached: bool,
     },
-    /// One that has this version already is not moved again.
+    /// Records that a target has this version already, so that it is not upgraded again.
     MarkReached {
         release: String,
         target: String,
@@ -401,7 +405,7 @@
     },
 }
 
-/// What is asked of the agent beside one.
+/// A task for the agent beside a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentTask {
     pub release: String,
@@ -410,7 +414,7 @@
     pub stage: Stage,
     pub agent: u64,
     pub target_kind: TargetKind,
-    /// Ready to be run: its placeholders are filled.
+    /// The command with its placeholders replaced.
     pub command: Vec<String>,
     pub timeout_ms: u64,
 }
@@ -418,24 +422,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Releases(BTreeMap<String, Release>);
 
-/// What a change of releases needs of the rest of the state.
+/// The parts of the fleet's state that a release reads and changes.
 pub struct FleetContext<'a> {
     pub groups: &'a [Group],
     pub members: &'a mut BTreeMap<String, Member>,
     pub endpoints: &'a mut BTreeSet<String>,
-    /// The entry that changed the endpoints last.
+    /// The index of the entry that changed the endpoints last.
     pub endpoints_changed_at: &'a mut Index,
 }
 
 impl FleetContext<'_> {
-    fn endpoint(&mut self, index: Index, name: &str, out: bool) {
+    fn set_endpoint_out(&mut self, index: Index, name: &str, out: bool) {
         let changed = if out { self.endpoints.insert(name.to_string()) } else { self.endpoints.remove(name) };
         if changed {
             *self.endpoints_changed_at = index;
         }
     }
 
-    fn sent(&mut self, name: &str, sent: bool) {
+    fn set_drained(&mut self, name: &str, sent: bool) {
         if let Some(member) = self.members.get_mut(name) {
             member.drained_by_release = sent;
         }
@@ -451,24 +455,24 @@
         self.0.iter()
     }
 
-    /// What an agent beside this one is to do, if anything.
-    pub fn agent_task(&self, who: &str) -> Option<AgentTask> {
+    /// The task of the agent beside this target, if there is one.
+    pub fn agent_task(&self, target: &str) -> Option<AgentTask> {
         let due = |(name, release): (&String, &Release)| {
-            let going = release.steps.get(who)?.transition?;
+            let transition = release.steps.get(target)?.transition?;
             let action = release.plan.action.as_ref()?;
-            if !matches!(going.stage, Stage::Drained | Stage::ActionRunning)
-                || going.stage == Stage::Drained && release.state == ReleaseState::Halted
+            if !matches!(transition.stage, Stage::Drained | Stage::ActionRunning)
+                || transition.stage == Stage::Drained && release.state == ReleaseState::Halted
             {
                 return None;
             }
-            let version = release.plan.version_on(going.to);
-            let fill = |word: &String| word.replace("{name}", who).replace("{version}", version);
+            let version = release.plan.version_on(transition.to);
+            let fill = |word: &String| word.replace("{name}", target).replace("{version}", version);
             Some(AgentTask {
                 release: name.clone(),
-                target: who.to_string(),
-                started_at: going.started_at,
-                stage: going.stage,
-                agent: going.agent,
+                target: target.to_string(),
+                started_at: transition.started_at,
+                stage: transition.stage,
+                agent: transition.agent,
                 target_kind: release.plan.target_kind,
                 command: action.command.iter().map(fill).collect(),
                 timeout_ms: action.timeout_ms,
@@ -477,35 +481,35 @@
         self.0.iter().find_map(due)
     }
 
-    /// Whether any runs: then members are to be told for sure.
+    /// Whether any release is active. Then answers to members must be certain about drains.
     pub fn any_active(&self) -> bool {
         self.0.values().any(|release| !release.is_ended())
     }
 
-    /// Whether this process of a member is to be out by a release's word. One whose release halted may come back, but for one
-    /// on which an action is under way.
-    pub fn is_to_drain(&self, who: &str, incarnation: u64) -> bool {
+    /// Whether a release drains this process of a member. If the release has halted, the member may serve again, unless an action
+    /// on it is running.
+    pub fn is_to_drain(&self, target: &str, incarnation: u64) -> bool {
         self.0.values().filter(|release| release.plan.target_kind == TargetKind::Sidecars).any(|release| {
-            let going = release.steps.get(who).and_then(|step| step.transition);
-            going.is_some_and(|going| {
-                let out = going.stage < Stage::Watched && going.incarnation == incarnation;
-                out && (release.state != ReleaseState::Halted || going.stage == Stage::ActionRunning)
+            let transition = release.steps.get(target).and_then(|step| step.transition);
+            transition.is_some_and(|transition| {
+                let out = transition.stage < Stage::Watched && transition.incarnation == incarnation;
+                out && (release.state != ReleaseState::Halted || transition.stage == Stage::ActionRunning)
             })
         })
     }
 
     /// # Errors
-    /// Why it has no effect.
+    /// Why the update has no effect.
     pub fn apply(
         &mut self,
         index: Index,
         order: &ReleaseUpdate,
-        around: &mut FleetContext,
+        context: &mut FleetContext,
     ) -> Result<(), ReleaseError> {
         match order {
-            ReleaseUpdate::Start(plan, before) => self.start(plan, *before, around),
+            ReleaseUpdate::Start(plan, baseline) => self.start(plan, *baseline, context),
             ReleaseUpdate::Halt { release, why, worse } => {
-                let release = self.running(release)?;
+                let release = self.active_release(release)?;
                 if release.state != ReleaseState::Halted {
                     release.state = ReleaseState::Halted;
                     release.rollback_pending = false;
@@ -514,9 +518,9 @@
                 Ok(())
             }
             ReleaseUpdate::Resume(name) => {
-                let release = self.running(name)?;
+                let release = self.active_release(name)?;
                 if release.state == ReleaseState::Halted {
-                    // One that was sent back goes on going back: forward would move some twice.
+                    // A rollback continues as one: going forward would upgrade some targets twice.
                     release.state = if release.rolled_back {
                         ReleaseState::RollingBack
                     } else {
@@ -526,11 +530,11 @@
                 Ok(())
             }
             ReleaseUpdate::Rollback(name) => {
-                let release = self.running(name)?;
+                let release = self.active_release(name)?;
                 if release.state == ReleaseState::RollingBack {
                     return Ok(());
                 }
-                // Danger: one that is on its way forward must be back, here or there, before it is sent the other way.
+                // Danger: a target in transition must have returned, with either version, before it is moved the other way.
                 if release.transitions().next().is_some() {
                     (release.state, release.rollback_pending) = (ReleaseState::Halted, true);
                     release.halted.get_or_insert(("to go back".to_string(), false));
@@ -541,68 +545,73 @@
                 Ok(())
             }
             ReleaseUpdate::End(name, how) => {
-                let release = self.running(name)?;
-                let going: Vec<&str> = release.transitions().map(|(who, _)| who.as_str()).collect();
-                if !going.is_empty() {
-                    return Err(ReleaseError::InProgress(going.join(", ")));
+                let release = self.active_release(name)?;
+                let transition: Vec<&str> =
+                    release.transitions().map(|(target, _)| target.as_str()).collect();
+                if !transition.is_empty() {
+                    return Err(ReleaseError::InProgress(transition.join(", ")));
                 }
                 release.state = ReleaseState::Ended(how.chars().take(MAX_TEXT_BYTES).collect());
                 Ok(())
             }
-            ReleaseUpdate::BeginTransition { release, target: who, to, missing } => {
-                let release = self.running(release)?;
-                release.send(index, who, *to, missing, around)
+            ReleaseUpdate::BeginTransition { release, target, to, missing } => {
+                let release = self.active_release(release)?;
+                release.begin_transition(index, target, *to, missing, context)
             }
-            ReleaseUpdate::AdvanceTransition { release, target: who, started_at: since, to, agent } => {
-                let release = self.running(release)?;
-                let Some(going) = release.steps.get_mut(who).and_then(|step| step.transition.as_mut()) else {
+            ReleaseUpdate::AdvanceTransition { release, target, started_at, to, agent } => {
+                let release = self.active_release(release)?;
+                let Some(transition) =
+                    release.steps.get_mut(target).and_then(|step| step.transition.as_mut())
+                else {
                     return Err(ReleaseError::Stale);
                 };
-                // Danger: what is said again, or late, must not take one back to where it was, or past what was not done.
-                let next = match (going.stage, to) {
+                // Danger: a repeated or late update must not reset the stage, or skip a stage that was not completed.
+                let next = match (transition.stage, to) {
                     (Stage::Draining, Stage::Drained)
                     | (Stage::Drained, Stage::ActionRunning | Stage::Watched)
                     | (Stage::ActionRunning, Stage::ActionDone)
                     | (Stage::ActionDone, Stage::Watched) => true,
-                    (stage, to) => stage == *to && going.agent == *agent,
+                    (stage, to) => stage == *to && transition.agent == *agent,
                 };
-                // An action that has an agent is ended by this one and no other.
-                let own = going.stage != Stage::ActionRunning || going.agent == *agent;
-                if going.started_at != *since || !next || !own {
+                // Only the agent that started an action can end it.
+                let own = transition.stage != Stage::ActionRunning || transition.agent == *agent;
+                if transition.started_at != *started_at || !next || !own {
                     return Err(ReleaseError::Stale);
                 }
-                going.stage = *to;
+                transition.stage = *to;
                 if *to == Stage::ActionRunning {
-                    going.agent = *agent;
+                    transition.agent = *agent;
                 }
                 if *to == Stage::Watched {
                     match release.plan.target_kind {
-                        TargetKind::Sidecars => around.sent(who, false),
-                        TargetKind::Endpoints => around.endpoint(index, who, false),
+                        TargetKind::Sidecars => context.set_drained(target, false),
+                        TargetKind::Endpoints => context.set_endpoint_out(index, target, false),
                     }
                 }
                 Ok(())
             }
-            ReleaseUpdate::FinishTransition { release, target: who, started_at: since, reached: moved } => {
-                let release = self.running(release)?;
+            ReleaseUpdate::FinishTransition { release, target, started_at, reached } => {
+                let release = self.active_release(release)?;
                 let plan = &release.plan;
-                let Some(step) = release.steps.get_mut(who) else { return Err(ReleaseError::Stale) };
-                let Some(going) = step.transition.filter(|going| going.started_at == *since) else {
+                let Some(step) = release.steps.get_mut(target) else { return Err(ReleaseError::Stale) };
+                let Some(transition) =
+                    step.transition.filter(|transition| transition.started_at == *started_at)
+                else {
                     return Err(ReleaseError::Stale);
                 };
                 step.transition = None;
-                if *moved {
-                    step.reached = Some((going.to, index));
+                if *reached {
+                    step.reached = Some((transition.to, index));
                 }
                 match plan.target_kind {
-                    TargetKind::Sidecars => around.sent(who, false),
-                    TargetKind::Endpoints => around.endpoint(index, who, false),
+                    TargetKind::Sidecars => context.set_drained(target, false),
+                    TargetKind::Endpoints => context.set_endpoint_out(index, target, false),
                 }
                 Ok(())
             }
-            ReleaseUpdate::MarkReached { release, target: who, side } => {
-                let release = self.running(release)?;
-                match release.steps.get_mut(who) {
+            ReleaseUpdate::MarkReached { release, target, side } => {
+                let release = self.active_release(release)?;
+                match release.steps.get_mut(target) {
                     Some(step) if step.transition.is_none() => {
                         step.reached = Some((*side, index));
                         Ok(())
@@ -613,7 +622,7 @@
         }
     }
 
-    fn running(&mut self, name: &str) -> Result<&mut Release, ReleaseError> {
+    fn active_release(&mut self, name: &str) -> Result<&mut Release, ReleaseError> {
         match self.0.get_mut(name) {
             None => Err(ReleaseError::Unknown(name.to_string())),
             Some(release) if release.is_ended() => Err(ReleaseError::Ended),
@@ -624,12 +633,12 @@
     fn start(
         &mut self,
         plan: &Plan,
-        before: RequestCounts,
-        around: &FleetContext,
+        baseline: RequestCounts,
+        context: &FleetContext,
     ) -> Result<(), ReleaseError> {
         let faulty = |what: String| Err(ReleaseError::Invalid(what));
         if let Some(same) = self.0.get(&plan.name) {
-            // Said again, as its answer was lost: it has started once.
+            // Repeated because its answer was lost: the release has started once.
             return if same.plan == *plan && !same.is_ended() {
                 Ok(())
             } else {
@@ -643,40 +652,40 @@
         if let Some(other) = self.0.values().find(running) {
             return faulty(format!("group: release {} moves {} already", other.plan.name, plan.group));
         }
-        let here =
+        let is_present =
             |member: &Member| member.groups.contains(&plan.group) && member.status != MemberStatus::Gone;
-        let here = around.members.iter().filter(|(_, member)| here(member));
-        let of = match plan.check_against(around.groups, here.map(|(name, _)| name.clone()).collect()) {
+        let present = context.members.iter().filter(|(_, member)| is_present(member));
+        let of = match plan.check_against(context.groups, present.map(|(name, _)| name.clone()).collect()) {
             Ok((of, _)) => of,
             Err(what) => return faulty(what),
         };
-        if self.0.len() >= KEPT_MOST {
+        if self.0.len() >= MAX_RELEASES {
             let over = self.0.iter().find(|(_, release)| release.is_ended()).map(|(name, _)| name.clone());
             match over {
                 Some(over) => self.0.remove(&over),
-                None => return faulty(format!("there are {KEPT_MOST} releases under way already")),
+                None => return faulty(format!("there are {MAX_RELEASES} releases under way already")),
             };
         }
         let order = if plan.order.is_empty() { of } else { plan.order.clone() };
         let steps = order.iter().map(|name| (name.clone(), Step::default())).collect();
-        let (plan, course) = (plan.clone(), ReleaseState::RollingOut);
+        let (plan, state) = (plan.clone(), ReleaseState::RollingOut);
         self.0.insert(
             plan.name.clone(),
             Release {
                 plan,
                 order,
                 steps,
-                state: course,
+                state,
                 halted: None,
                 rollback_pending: false,
                 rolled_back: false,
-                baseline: before,
+                baseline,
             },
         );
         Ok(())
     }
 
-    /// All that run are halted, as after a restore: nobody knows what was done since.
+    /// Halts all active releases, as after a restore, when it is unknown what was done since the backup.
     pub fn halt_all(&mut self, why: &str) {
         for release in self.0.values_mut().filter(|release| !release.is_ended()) {
             release.state = ReleaseState::Halted;
@@ -686,40 +695,40 @@
 }
 
 impl Release {
-    fn send(
+    fn begin_transition(
         &mut self,
         index: Index,
-        who: &str,
+        target: &str,
         to: Side,
         missing: &[String],
-        around: &mut FleetContext,
+        context: &mut FleetContext,
     ) -> Result<(), ReleaseError> {
         let wanted = match self.state {
             ReleaseState::RollingOut => Side::New,
             ReleaseState::RollingBack => Side::Old,
             _ => return Err(ReleaseError::Stale),
         };
-        let under_way = self.transitions().count();
-        let Some(step) = self.steps.get_mut(who) else { return Err(ReleaseError::Stale) };
+        let in_transition = self.transitions().count();
+        let Some(step) = self.steps.get_mut(target) else { return Err(ReleaseError::Stale) };
         if to != wanted
             || step.transition.is_some()
             || step.reached.is_some_and(|(side, _)| side == to)
-            || under_way >= self.plan.max_out as usize
+            || in_transition >= self.plan.max_out as usize
         {
             return Err(ReleaseError::Stale);
         }
         let incarnation = match self.plan.target_kind {
             TargetKind::Sidecars => {
-                outs::check_member_out(around.groups, around.members, who)
+                outs::check_member_out(context.groups, context.members, target)
                     .map_err(ReleaseError::OutLimitReached)?;
-                let Some(member) = around.members.get(who).filter(|m| m.status == MemberStatus::Serving)
+                let Some(member) = context.members.get(target).filter(|m| m.status == MemberStatus::Serving)
                 else {
                     return Err(ReleaseError::Stale);
                 };
                 member.incarnation
             }
             TargetKind::Endpoints => {
-                outs::check_endpoint_out(around.groups, around.endpoints, missing, who)
+                outs::check_endpoint_out(context.groups, context.endpoints, missing, target)
                     .map_err(ReleaseError::OutLimitReached)?;
                 0
             }
@@ -727,21 +736,21 @@
         step.transition =
             Some(Transition { to, stage: Stage::Draining, incarnation, agent: 0, started_at: index });
         match self.plan.target_kind {
-            TargetKind::Sidecars => around.sent(who, true),
-            TargetKind::Endpoints => around.endpoint(index, who, true),
+            TargetKind::Sidecars => context.set_drained(target, true),
+            TargetKind::Endpoints => context.set_endpoint_out(index, target, true),
         }
         Ok(())
     }
 }
 
-/// Why an order has no effect.
+/// Why an update of a release has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReleaseError {
     Unknown(String),
     Ended,
-    /// These are under way still.
+    /// These targets are still in transition.
     InProgress(String),
-    /// It was said before, or something else has come first.
+    /// The update is a repeat, or the state has changed since it was proposed.
     Stale,
     Invalid(String),
     OutLimitReached(OutLimitReached),
@@ -752,7 +761,7 @@
         match self {
             ReleaseError::Unknown(name) => write!(f, "there is no release {name}"),
             ReleaseError::Ended => write!(f, "it has ended"),
-            ReleaseError::InProgress(who) => write!(f, "under way still: {who}; halt it first"),
+            ReleaseError::InProgress(target) => write!(f, "under way still: {target}; halt it first"),
             ReleaseError::Stale => write!(f, "something else has come first"),
             ReleaseError::Invalid(what) => write!(f, "{what}"),
             ReleaseError::OutLimitReached(why) => write!(f, "{why}"),
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -1,4 +1,5 @@
-//! The state machine over committed entries. The same commands in the same order give the same state everywhere.
+//! The replicated state machine over committed log entries. The same commands in the same order give the same state on
+//! every replica.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -14,28 +15,29 @@
 use crate::scopes::{Locality, Scope, ScopeLimit, ScopedSettings, Scopes};
 use crate::version::Version;
 
-/// Versions of the settings that are kept for a look back and a way back: some weeks of a busy fleet.
-const HISTORY_MOST: usize = 64;
-/// Writes whose answers are kept for one that is said again: what operators may have under way at once, many times over.
-const DONE_MOST: usize = 256;
-/// Bytes that settings may have: a frame and an entry must hold them.
+/// Versions of the settings that are kept for inspection and rollback: some weeks of a busy fleet.
+const MAX_HISTORY: usize = 64;
+/// Writes whose answers are kept, so that a repeated write gets its first answer: many times the number that operators may
+/// have in flight at once.
+const MAX_WRITE_ANSWERS: usize = 256;
+/// Maximum size of one settings text: it must fit into a frame and a log entry.
 pub const MAX_SETTINGS_BYTES: usize = 512 * 1024;
-/// Endpoints that may be out of service at once: each is told to each member.
-const ENDPOINTS_MOST: usize = 1000;
-/// Members that are kept at the most, the gone among them: several times the largest fleet.
-const MEMBERS_MOST: usize = 20_000;
+/// Maximum number of endpoints that are out of service at once: the whole list is sent to every member.
+const MAX_DRAINED_ENDPOINTS: usize = 1000;
+/// Maximum number of members in the state, including those that are gone: several times the largest fleet.
+const MAX_MEMBERS: usize = 20_000;
 
-/// By which a write that is said again is known: it takes effect once.
+/// Identifies a write, so that a repeated one takes effect once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct WriteId(pub u64, pub u64);
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SettingsChange {
-    /// These settings, as JSON text, with these budgets and groups.
+    /// New settings, as JSON text, with their budgets and groups.
     Put(String, Vec<Budget>, Vec<Group>),
-    /// The settings of an earlier version, as a new one.
+    /// Writes the settings of an earlier version as a new version.
     Rollback(Version),
-    /// What was put for a scope holds no more.
+    /// Removes the settings of a scope.
     Remove,
 }
 
@@ -43,11 +45,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Write {
     pub id: WriteId,
-    /// Only if this is the version that holds.
+    /// Applies only if this is the current version.
     pub expected_version: Option<Version>,
     pub author: String,
     pub reason: String,
-    /// Of the operator's clock: to be shown, and for nothing else.
+    /// By the operator's clock; for display only.
     pub at_ms: u64,
     pub change: SettingsChange,
 }
@@ -55,33 +57,34 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     Write(Write),
-    /// A member of this incarnation stands so. A later incarnation follows an earlier one; an earlier one is passed over.
+    /// The status of this incarnation of a member. A later incarnation replaces an earlier one; a command for an earlier one
+    /// is refused.
     Member {
         name: String,
         incarnation: u64,
         status: MemberStatus,
-        /// The groups that it belongs to, as its own file says.
+        /// The groups that it belongs to, from its own configuration file.
         groups: Vec<String>,
     },
-    /// Parts of budgets.
+    /// Grants or releases shares of budgets.
     SetShares(ShareChange),
-    /// May this member go out? A reason is one for going whatever is out already.
+    /// Asks whether this member may be drained. `force` gives a reason to allow it regardless of what is out already.
     DrainMember {
         name: String,
         incarnation: u64,
         request: u64,
         force: Option<String>,
     },
-    /// It is back, or never went, from all that it asked up to here.
+    /// The member serves again, or never drained: permissions up to this request are given back.
     ReturnMember {
         name: String,
         incarnation: u64,
         request: u64,
     },
-    /// This member never comes back: its groups are smaller from here on.
+    /// Removes a member that never comes back: its groups count one member less.
     Forget(String),
-    /// This endpoint is out of service, whatever the list says, or is not any more. A reason is one for taking it whatever is
-    /// out already; what is missing by itself as far as the leader hears is told with it.
+    /// Takes an endpoint out of service whatever discovery says, or puts it back. `force` gives a reason to do so regardless of
+    /// what is out already; `missing` lists endpoints that are unavailable by themselves, as far as the leader knows.
     Endpoint {
         name: String,
         out: bool,
@@ -89,29 +92,30 @@
         missing: Vec<String>,
     },
     Release(ReleaseUpdate),
-    /// Settings for a part of the fleet. Danger: a replica of version 2 passes it over, so none is proposed while one votes.
+    /// Settings for one scope. Danger: a replica of version 2 skips this entry, so none is proposed while such a replica votes.
     WriteScoped(Scope, Write),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Another version holds than was expected.
+    /// The current version, which is not the expected one.
     VersionMismatch(Version),
-    /// This version is not known, or not kept any more.
+    /// This version is unknown, or no longer kept.
     UnknownVersion(Version),
     /// A text is too long, or there are too many members.
     LimitExceeded,
-    /// A later incarnation is known.
+    /// A later incarnation of the member is known.
     Superseded(u64),
-    /// No such member, or it serves still.
+    /// There is no such member, or it is still present.
     NotGone,
     OutLimitReached(OutLimitReached),
     Release(ReleaseError),
     ScopeLimit(ScopeLimit),
-    /// Budgets and groups are stated for all; and what is for all is put anew, not removed.
+    /// Budgets and groups are written for the whole fleet only, not for a scope.
     GlobalOnly,
+    /// Settings for the whole fleet can be replaced, but not removed.
     GlobalNotRemovable,
-    /// Nothing is put for this scope that could be removed.
+    /// This scope has no settings to remove.
     NothingToRemove,
 }
 
@@ -137,13 +141,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// This version holds from here on.
+    /// The write took effect as this version.
     Committed(Version),
     Done,
     Refused(Refusal),
 }
 
-/// A version of the settings, and how it came.
+/// A version of the settings for the whole fleet, and who wrote it why.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettingsVersion {
     pub version: Version,
@@ -155,7 +159,7 @@
     #[serde(rename = "why")]
     pub reason: String,
     pub at_ms: u64,
-    /// The version that it goes back to.
+    /// The version whose settings it restores, if it is a rollback.
     #[serde(rename = "back_to")]
     pub rollback_to: Option<Version>,
 }
@@ -165,20 +169,20 @@
     applied: Index,
     version: Version,
     history: VecDeque<SettingsVersion>,
-    done: VecDeque<(WriteId, Answer)>,
+    write_answers: VecDeque<(WriteId, Answer)>,
     members: BTreeMap<String, Member>,
     budgets: Budgets,
-    /// Endpoints that are out of service, and the entry that changed them last.
+    /// Endpoints that are out of service, and the index of the entry that changed them last.
     endpoints: BTreeSet<String>,
-    endpoints_at: Index,
+    endpoints_changed_at: Index,
     releases: Releases,
-    /// Danger: a replica of version 2 has none, so these are bytes of the state only once there are any (`bytes`).
+    /// Danger: replicas of version 2 do not know scopes, so they are encoded only if there are any (`to_bytes`).
     #[serde(skip)]
     scopes: Scopes,
 }
 
 impl Fleet {
-    /// The index of the entry that was applied last.
+    /// The index of the last applied entry.
     pub fn applied(&self) -> Index {
         self.applied
     }
@@ -187,12 +191,12 @@
         self.version
     }
 
-    /// The settings that hold, if any were ever put.
+    /// The current settings for the whole fleet, if any were ever written.
     pub fn settings(&self) -> Option<&SettingsVersion> {
         self.history.back()
     }
 
-    /// The versions that are kept, the oldest first.
+    /// The kept versions, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &SettingsVersion> {
         self.history.iter()
     }
@@ -201,23 +205,25 @@
         &self.members
     }
 
-    /// Endpoints that are out of service, as of when.
+    /// Endpoints that are out of service, and the log position of the last change to them.
     pub fn drained_endpoints(&self) -> (LogPosition, &BTreeSet<String>) {
-        (LogPosition { generation: self.version.generation, index: self.endpoints_at }, &self.endpoints)
+        (
+            LogPosition { generation: self.version.generation, index: self.endpoints_changed_at },
+            &self.endpoints,
+        )
     }
 
-    /// The groups that the settings name.
+    /// The groups of the current settings.
     pub fn groups(&self) -> &[Group] {
         self.history.back().map_or(&[], |written| &written.groups)
     }
 
-    /// The endpoints that groups name.
+    /// The endpoints that are named in groups.
     pub fn watched_endpoints(&self) -> impl Iterator<Item = &String> {
         self.groups().iter().flat_map(|group| &group.endpoints)
     }
 
-    /// The endpoints that members are to look for, each once, and the mark by which a list of them is known: 0 for
-    /// none.
+    /// The endpoints that members are to watch, each once, and the hash that identifies the list: 0 for an empty one.
     pub fn watch_list(&self) -> (u64, Vec<String>) {
         let names: BTreeSet<&String> = self.watched_endpoints().collect();
         let bytes = postcard::to_stdvec(&names).expect("names have no form that cannot be written");
@@ -233,7 +239,7 @@
         &self.scopes
     }
 
-    /// The version of what is put for a scope.
+    /// The version of the latest write for a scope.
     pub fn scope_version(&self, scope: &Scope) -> Version {
         let last = match scope {
             Scope::All => self.history.back().map(|written| written.version),
@@ -242,13 +248,13 @@
         last.unwrap_or(Version { generation: self.version.generation, number: 0 })
     }
 
-    /// The settings that hold for a member, and their version, if any were ever put that concern it.
+    /// The settings that apply to a member, and their version, if any were ever written for a scope that contains it.
     pub fn settings_for(&self, name: &str, locality: &Locality) -> Option<(Version, String)> {
         let all = self.settings().map(|written| (written.version, written.settings.as_str()));
         self.scopes.merged(all, name, locality)
     }
 
-    /// The version of the settings that hold for a member, without the text.
+    /// The version of the settings that apply to a member, without the text.
     pub fn version_for(&self, name: &str, locality: &Locality) -> Option<Version> {
         self.scopes.version_for(self.settings().map(|written| written.version), name, locality)
     }
@@ -257,12 +263,12 @@
         &self.budgets
     }
 
-    /// What became of a write that was said before, if that is known still.
+    /// The answer to an earlier write, if it is still kept.
     pub fn write_answer(&self, id: WriteId) -> Option<&Answer> {
-        self.done.iter().find(|(done, _)| *done == id).map(|(_, answer)| answer)
+        self.write_answers.iter().find(|(known, _)| *known == id).map(|(_, answer)| answer)
     }
 
-    /// Passes over an entry that holds no command.
+    /// Skips an entry that holds no command.
     pub fn skip_entry(&mut self, index: Index) {
         self.applied = index;
     }
@@ -271,47 +277,48 @@
     pub fn apply(&mut self, index: Index, command: &Command) -> Answer {
         self.applied = index;
         match command {
-            Command::Write(write) => self.once(write, |fleet| fleet.write(write)),
-            Command::WriteScoped(scope, write) => self.once(write, |fleet| fleet.scoped(scope, write)),
-            Command::Member { name, incarnation, status: standing, groups } => {
-                self.stands(name, *incarnation, *standing, groups)
+            Command::Write(write) => self.apply_once(write, |fleet| fleet.write_global(write)),
+            Command::WriteScoped(scope, write) => {
+                self.apply_once(write, |fleet| fleet.write_scoped(scope, write))
             }
-            Command::DrainMember { name, incarnation, request: ask, force: anyway } => {
-                self.out(name, *incarnation, *ask, anyway.is_some())
+            Command::Member { name, incarnation, status, groups } => {
+                self.set_member_status(name, *incarnation, *status, groups)
             }
-            Command::ReturnMember { name, incarnation, request: ask } => {
+            Command::DrainMember { name, incarnation, request, force } => {
+                self.drain_member(name, *incarnation, *request, force.is_some())
+            }
+            Command::ReturnMember { name, incarnation, request } => {
                 if let Some(member) =
                     self.members.get_mut(name).filter(|member| member.incarnation == *incarnation)
                 {
-                    member.drain_request = member.drain_request.filter(|out| out > ask);
+                    member.drain_request = member.drain_request.filter(|out| out > request);
                 }
                 Answer::Done
             }
-            Command::Endpoint { name, out, force: anyway, missing } => {
-                let may = outs::check_endpoint_out(self.groups(), &self.endpoints, missing, name);
-                match may {
-                    Err(why) if *out && anyway.is_none() && !self.endpoints.contains(name) => {
+            Command::Endpoint { name, out, force, missing } => {
+                let verdict = outs::check_endpoint_out(self.groups(), &self.endpoints, missing, name);
+                match verdict {
+                    Err(why) if *out && force.is_none() && !self.endpoints.contains(name) => {
                         Answer::Refused(Refusal::OutLimitReached(why))
                     }
-                    _ => self.endpoint(index, name, *out),
+                    _ => self.set_endpoint_out(index, name, *out),
                 }
             }
             Command::Release(order) => {
-                let Fleet { history, members, endpoints, endpoints_at, releases, .. } = self;
+                let Fleet { history, members, endpoints, endpoints_changed_at, releases, .. } = self;
                 let groups = history.back().map_or(&[][..], |written| &written.groups);
-                let mut around =
-                    FleetContext { groups, members, endpoints, endpoints_changed_at: endpoints_at };
+                let mut around = FleetContext { groups, members, endpoints, endpoints_changed_at };
                 match releases.apply(index, order, &mut around) {
                     Ok(()) => Answer::Done,
                     Err(why) => Answer::Refused(Refusal::Release(why)),
                 }
             }
             Command::Forget(name) => {
-                let there = self
+                let removable = self
                     .members
                     .get(name)
                     .is_some_and(|m| matches!(m.status, MemberStatus::Silent | MemberStatus::Gone));
-                if !there {
+                if !removable {
                     return Answer::Refused(Refusal::NotGone);
                 }
                 self.members.remove(name);
@@ -324,30 +331,30 @@
         }
     }
 
-    /// A write that is said again has the first one's answer, and no other effect.
-    fn once(&mut self, write: &Write, apply: impl FnOnce(&mut Fleet) -> Answer) -> Answer {
+    /// Applies a write once: a repeated one gets the first answer and has no other effect.
+    fn apply_once(&mut self, write: &Write, apply: impl FnOnce(&mut Fleet) -> Answer) -> Answer {
         if let Some(answer) = self.write_answer(write.id) {
             return answer.clone();
         }
         let answer = apply(self);
-        self.done.push_back((write.id, answer.clone()));
-        if self.done.len() > DONE_MOST {
-            self.done.pop_front();
+        self.write_answers.push_back((write.id, answer.clone()));
+        if self.write_answers.len() > MAX_WRITE_ANSWERS {
+            self.write_answers.pop_front();
         }
         answer
     }
 
-    /// Settings for a part of the fleet: versions are counted with those of all others, and are expected, kept and gone back
-    /// to each for itself.
-    fn scoped(&mut self, scope: &Scope, write: &Write) -> Answer {
+    /// Writes settings for a scope. Version numbers are shared by all scopes; the expected version, the history and rollbacks
+    /// are per scope.
+    fn write_scoped(&mut self, scope: &Scope, write: &Write) -> Answer {
         if *scope == Scope::All {
-            return self.write(write);
+            return self.write_global(write);
         }
-        let holds = self.scope_version(scope);
-        if write.expected_version.is_some_and(|expected| expected != holds) {
-            return Answer::Refused(Refusal::VersionMismatch(holds));
+        let current = self.scope_version(scope);
+        if write.expected_version.is_some_and(|expected| expected != current) {
+            return Answer::Refused(Refusal::VersionMismatch(current));
         }
-        let (settings, back_to) = match &write.change {
+        let (settings, rollback_to) = match &write.change {
             SettingsChange::Put(_, budgets, groups) if !(budgets.is_empty() && groups.is_empty()) => {
                 return Answer::Refused(Refusal::GlobalOnly);
             }
@@ -365,8 +372,8 @@
             }
             SettingsChange::Remove => (None, None),
         };
-        let long = settings.as_ref().is_some_and(|settings| settings.len() > MAX_SETTINGS_BYTES);
-        if long
+        let too_long = settings.as_ref().is_some_and(|settings| settings.len() > MAX_SETTINGS_BYTES);
+        if too_long
             || scope.check().is_err()
             || write.author.len() > MAX_TEXT_BYTES
             || write.reason.len() > MAX_TEXT_BYTES
@@ -374,11 +381,11 @@
             return Answer::Refused(Refusal::LimitExceeded);
         }
         let version = Version { number: self.version.number + 1, ..self.version };
-        let (by, why, at_ms) = (write.author.clone(), write.reason.clone(), write.at_ms);
-        match self.scopes.put(
-            scope,
-            ScopedSettings { version, settings, author: by, reason: why, at_ms, rollback_to: back_to },
-        ) {
+        let (author, why, at_ms) = (write.author.clone(), write.reason.clone(), write.at_ms);
+        match self
+            .scopes
+            .put(scope, ScopedSettings { version, settings, author, reason: why, at_ms, rollback_to })
+        {
             Ok(()) => {
                 self.version = version;
                 Answer::Committed(version)
@@ -387,12 +394,12 @@
         }
     }
 
-    fn write(&mut self, write: &Write) -> Answer {
-        let holds = self.scope_version(&Scope::All);
-        if write.expected_version.is_some_and(|expected| expected != holds) {
-            return Answer::Refused(Refusal::VersionMismatch(holds));
+    fn write_global(&mut self, write: &Write) -> Answer {
+        let current = self.scope_version(&Scope::All);
+        if write.expected_version.is_some_and(|expected| expected != current) {
+            return Answer::Refused(Refusal::VersionMismatch(current));
         }
-        let (settings, budgets, groups, back_to) = match &write.change {
+        let (settings, budgets, groups, rollback_to) = match &write.change {
             SettingsChange::Put(settings, budgets, groups) => {
                 (settings.clone(), budgets.clone(), groups.clone(), None)
             }
@@ -411,58 +418,66 @@
             return Answer::Refused(Refusal::LimitExceeded);
         }
         self.version.number += 1;
-        let (version, by, why) = (self.version, write.author.clone(), write.reason.clone());
+        let (version, author, why) = (self.version, write.author.clone(), write.reason.clone());
         self.budgets.configure(&budgets);
         self.history.push_back(SettingsVersion {
             version,
             settings,
             budgets,
             groups,
-            author: by,
+            author,
             reason: why,
             at_ms: write.at_ms,
-            rollback_to: back_to,
+            rollback_to,
         });
-        if self.history.len() > HISTORY_MOST {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
         Answer::Committed(version)
     }
 
-    fn endpoint(&mut self, index: Index, name: &str, out: bool) -> Answer {
-        if name.is_empty() || name.len() > MAX_TEXT_BYTES || out && self.endpoints.len() >= ENDPOINTS_MOST {
+    fn set_endpoint_out(&mut self, index: Index, name: &str, out: bool) -> Answer {
+        if name.is_empty()
+            || name.len() > MAX_TEXT_BYTES
+            || out && self.endpoints.len() >= MAX_DRAINED_ENDPOINTS
+        {
             return Answer::Refused(Refusal::LimitExceeded);
         }
         let changed = if out { self.endpoints.insert(name.to_string()) } else { self.endpoints.remove(name) };
         if changed {
-            self.endpoints_at = index;
+            self.endpoints_changed_at = index;
         }
         Answer::Done
     }
 
-    /// Permission to go out. The same ask has the same answer for as long as it holds: one permission, however often it is
-    /// asked for.
-    fn out(&mut self, name: &str, incarnation: u64, ask: u64, anyway: bool) -> Answer {
+    /// Decides on a drain request. A repeated request gets the same answer while its permission holds, and uses up only one.
+    fn drain_member(&mut self, name: &str, incarnation: u64, request: u64, force: bool) -> Answer {
         let groups = self.history.back().map_or(&[][..], |written| &written.groups);
-        let may = outs::check_member_out(groups, &self.members, name);
+        let verdict = outs::check_member_out(groups, &self.members, name);
         let Some(member) = self.members.get_mut(name).filter(|member| member.incarnation == incarnation)
         else {
             return Answer::Refused(Refusal::NotGone);
         };
-        match may {
-            // Danger: a permission that its holder gave up, as no answer came, must not send it out when it asks anew; who is
-            // out by one does not ask.
-            Err(why) if !anyway && member.drain_request != Some(ask) => {
+        match verdict {
+            // Danger: a permission that its holder gave up waiting for must not count for a new request. A member that is
+            // drained by a permission does not ask again.
+            Err(why) if !force && member.drain_request != Some(request) => {
                 Answer::Refused(Refusal::OutLimitReached(why))
             }
             _ => {
-                member.drain_request = member.drain_request.max(Some(ask));
+                member.drain_request = member.drain_request.max(Some(request));
                 Answer::Done
             }
         }
     }
 
-    fn stands(&mut self, name: &str, incarnation: u64, standing: MemberStatus, groups: &[String]) -> Answer {
+    fn set_member_status(
+        &mut self,
+        name: &str,
+        incarnation: u64,
+        status: MemberStatus,
+        groups: &[String],
+    ) -> Answer {
         if let Some(member) = self.members.get(name)
             && member.incarnation > incarnation
         {
@@ -471,8 +486,8 @@
         if name.is_empty() || name.len() > MAX_TEXT_BYTES {
             return Answer::Refused(Refusal::LimitExceeded);
         }
-        if self.members.len() >= MEMBERS_MOST && !self.members.contains_key(name) {
-            // Those that are gone make room, the earliest incarnation first.
+        if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(name) {
+            // Members that are gone are evicted, the earliest incarnation first.
             let gone = self.members.iter().filter(|(_, member)| member.status == MemberStatus::Gone);
             let Some(oldest) =
                 gone.min_by_key(|(_, member)| member.incarnation).map(|(name, _)| name.clone())
@@ -481,26 +496,26 @@
             };
             self.members.remove(&oldest);
         }
-        // A later incarnation takes the place of the earlier one, and is out until it serves.
+        // A later incarnation replaces the earlier one, and counts as out until it serves.
         let out =
             self.members.get(name).filter(|m| m.incarnation == incarnation).and_then(|m| m.drain_request);
-        // Danger: one that a release has sent out is so until the release has it back, whatever process it is by then.
-        let sent = self.members.get(name).is_some_and(|m| m.drained_by_release);
+        // Danger: a member drained by a release stays so until the release takes it back, even if its process changes.
+        let drained_by_release = self.members.get(name).is_some_and(|m| m.drained_by_release);
         let groups = groups.iter().take(MAX_GROUPS).cloned().collect();
         self.members.insert(
             name.to_string(),
-            Member { incarnation, status: standing, groups, drain_request: out, drained_by_release: sent },
+            Member { incarnation, status, groups, drain_request: out, drained_by_release },
         );
         Answer::Done
     }
 
-    /// By which copies of the state are compared: of the whole of it, so that an entry that was applied otherwise shows.
+    /// A digest of the whole state, by which replicas are compared: it differs if any entry was applied differently.
     pub fn digest(&self) -> u64 {
         XxHash64::oneshot(0, &self.to_bytes())
     }
 
-    /// What was put for scopes stands behind all else, and only if there is any: without, these are the bytes that version 2
-    /// has written and reads.
+    /// Encodes the state. Scopes come last, and only if there are any: without them the bytes are those that version 2 writes
+    /// and reads.
     pub fn to_bytes(&self) -> Vec<u8> {
         let bytes = postcard::to_stdvec(self).expect("this state has no form that cannot be written");
         if self.scopes.is_empty() {
@@ -510,20 +525,23 @@
     }
 
     /// # Errors
-    /// What is wrong with the bytes.
+    /// A description of the decoding error.
     pub fn from_bytes(bytes: &[u8]) -> Result<Fleet, String> {
-        let told = |e: postcard::Error| format!("state: {e}");
-        let (fleet, rest): (Fleet, &[u8]) = postcard::take_from_bytes(bytes).map_err(told)?;
-        let scopes =
-            if rest.is_empty() { Scopes::default() } else { postcard::from_bytes(rest).map_err(told)? };
+        let decode_error = |e: postcard::Error| format!("state: {e}");
+        let (fleet, rest): (Fleet, &[u8]) = postcard::take_from_bytes(bytes).map_err(decode_error)?;
+        let scopes = if rest.is_empty() {
+            Scopes::default()
+        } else {
+            postcard::from_bytes(rest).map_err(decode_error)?
+        };
         Ok(Fleet { scopes, ..fleet })
     }
 
-    /// This state as the first of a fleet that is put back from a backup: its versions are later than any that members may
-    /// have taken since, and nobody is taken for being there.
+    /// The initial state of a fleet that is restored from a backup. Its versions are later than any that members may have
+    /// received since the backup, and no member counts as present.
     pub fn restored(mut self, generation: u64) -> Fleet {
-        // What is out of service stays so, and is told to all anew.
-        (self.applied, self.endpoints_at) = (0, 1);
+        // Endpoints that are out of service stay so, and the list is sent to all members again.
+        (self.applied, self.endpoints_changed_at) = (0, 1);
         self.budgets.forget_shares();
         self.version.generation = generation.max(self.version.generation + 1);
         if let Some(mut last) = self.history.back().cloned() {
@@ -548,7 +566,7 @@
     }
 
     /// # Errors
-    /// What is wrong with the bytes.
+    /// A description of the decoding error.
     pub fn from_bytes(bytes: &[u8]) -> Result<Command, String> {
         postcard::from_bytes(bytes).map_err(|e| format!("command: {e}"))
     }
@@ -559,11 +577,11 @@
     use super::*;
 
     fn write(id: u64, expects: Option<Version>, what: SettingsChange) -> Command {
-        let (by, why) = ("eva".to_string(), "test".to_string());
+        let (author, why) = ("eva".to_string(), "test".to_string());
         Command::Write(Write {
             id: WriteId(1, id),
             expected_version: expects,
-            author: by,
+            author,
             reason: why,
             at_ms: 0,
             change: what,
@@ -587,43 +605,39 @@
             Answer::Refused(Refusal::VersionMismatch(number(1)))
         );
         assert_eq!(fleet.apply(3, &put(3, None, "c")), Answer::Committed(number(2)));
-        // Said again, also after others: it has taken effect once, and the answer is the first one.
+        // Repeated, also after other writes: it took effect once, and the answer is the first one.
         assert_eq!(fleet.apply(4, &put(1, Some(number(0)), "a")), Answer::Committed(number(1)));
         assert_eq!(
             fleet.apply(5, &put(2, Some(number(0)), "b")),
             Answer::Refused(Refusal::VersionMismatch(number(1)))
         );
         assert_eq!((fleet.version(), fleet.settings().unwrap().settings.as_str()), (number(2), "c"));
-        // Back is a new version: members go forwards only.
+        // A rollback is a new version: members only accept later versions.
         let back = write(4, Some(number(2)), SettingsChange::Rollback(number(1)));
         assert_eq!(fleet.apply(6, &back), Answer::Committed(number(3)));
         let last = fleet.settings().unwrap();
         assert_eq!((last.settings.as_str(), last.rollback_to), ("a", Some(number(1))));
         let unknown = write(5, None, SettingsChange::Rollback(number(9)));
         assert_eq!(fleet.apply(7, &unknown), Answer::Refused(Refusal::UnknownVersion(number(9))));
-        let long = "x".repeat(MAX_SETTINGS_BYTES + 1);
-        assert_eq!(fleet.apply(8, &put(6, None, &long)), Answer::Refused(Refusal::LimitExceeded));
+        let too_long = "x".repeat(MAX_SETTINGS_BYTES + 1);
+        assert_eq!(fleet.apply(8, &put(6, None, &too_long)), Answer::Refused(Refusal::LimitExceeded));
         for id in 10..200 {
             fleet.apply(id, &put(id, None, "d"));
         }
         assert_eq!(
             (fleet.history().count(), fleet.write_answer(WriteId(1, 1)).is_some()),
-            (HISTORY_MOST, true)
+            (MAX_HISTORY, true)
         );
     }
 
     #[test]
     fn a_later_incarnation_follows_an_earlier_one_and_never_the_other_way() {
         let mut fleet = Fleet::default();
-        let stands = |incarnation, standing| Command::Member {
-            name: "s1".into(),
-            incarnation,
-            status: standing,
-            groups: vec![],
-        };
+        let stands =
+            |incarnation, status| Command::Member { name: "s1".into(), incarnation, status, groups: vec![] };
         assert_eq!(fleet.apply(1, &stands(5, MemberStatus::Serving)), Answer::Done);
         assert_eq!(fleet.apply(2, &stands(7, MemberStatus::Joining)), Answer::Done);
-        // The verdict on the earlier one comes late.
+        // A late status of the earlier incarnation is refused.
         assert_eq!(fleet.apply(3, &stands(5, MemberStatus::Gone)), Answer::Refused(Refusal::Superseded(7)));
         assert_eq!(
             fleet.members()["s1"],
@@ -643,15 +657,15 @@
         let most_out = Some(outs::Amount::Number(1));
         let group = Group { name: "a".into(), max_out: most_out, min_serving: None, endpoints: vec![] };
         fleet.apply(1, &write(1, None, SettingsChange::Put("{}".into(), vec![], vec![group])));
-        let stands = |name: &str, standing| {
+        let stands = |name: &str, status| {
             let (name, groups) = (name.to_string(), vec!["a".to_string()]);
-            Command::Member { name, incarnation: 1, status: standing, groups }
+            Command::Member { name, incarnation: 1, status, groups }
         };
         fleet.apply(2, &stands("s0", MemberStatus::Serving));
         fleet.apply(3, &stands("s1", MemberStatus::Serving));
-        let out = |ask| Command::DrainMember { name: "s1".into(), incarnation: 1, request: ask, force: None };
+        let out = |request| Command::DrainMember { name: "s1".into(), incarnation: 1, request, force: None };
         assert_eq!((fleet.apply(4, &out(1)), fleet.apply(5, &out(1))), (Answer::Done, Answer::Done));
-        // Its answer was lost, and another went out by an operator's second word.
+        // Its answer was lost, and an operator drained another member meanwhile.
         fleet.apply(6, &stands("s0", MemberStatus::Drained));
         assert!(matches!(fleet.apply(7, &out(2)), Answer::Refused(Refusal::OutLimitReached(_))));
         assert_eq!(fleet.apply(8, &out(1)), Answer::Done);
--- a/crates/fleet/src/talk.rs
+++ b/crates/fleet/src/talk.rs
@@ -1,5 +1,5 @@
-//! What processes of ours tell one another: records by serde (postcard) in frames with a length before them. No more than
-//! that; the bytes are carried by hosts.
+//! The messages between sidecars, daemons and operators' tools: postcard records in length-prefixed frames. This module only
+//! encodes and decodes; the host processes carry the bytes.
 
 use appledyke_consensus::{Id, Index, Message};
 use serde::{Deserialize, Serialize};
@@ -15,21 +15,21 @@
 use crate::state::{SettingsVersion, Write};
 use crate::version::Version;
 
-/// The version of all frames, and the oldest that is spoken with: over a connection goes what the lower of its two sides knows.
-/// Frames, asks, replies and commands are written by their place in their enums and have no names: what is new goes last there,
-/// and what is there stays as it is.
+/// The current protocol version, and the oldest supported one: a connection uses the lower version of its two ends.
+/// Frames, requests, replies and commands are encoded by the position of their enum variant and have no names: new variants
+/// are added last, and existing ones never change.
 pub const VERSION: u16 = 3;
 pub const MIN_VERSION: u16 = 2;
-/// Ends without a word right after a greeting that are taken for a side that does not know its version: one may be a process
-/// that ended just then.
-const CUT_MOST: u8 = 2;
-/// Bytes of a frame: a snapshot of the largest fleet. Before the greeting, those of a greeting.
+/// Connections closed without an answer right after a hello, from which on the peer is assumed not to know its version. A
+/// single one may be a process that ended just then.
+const MAX_CLOSED_HELLOS: u8 = 2;
+/// Maximum size of a frame: a snapshot of the largest fleet. Before the hello, the maximum size of a hello.
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
 pub const MAX_HELLO_BYTES: usize = 1024;
-/// Bytes that tell a frame's length, little-endian.
-const HEAD: usize = 4;
+/// Bytes of the length prefix, little-endian.
+const LENGTH_BYTES: usize = 4;
 
-/// Who opens a connection.
+/// The kind of process that opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Initiator {
     Replica(Id),
@@ -37,44 +37,46 @@
     Operator,
 }
 
-/// How a member stands and what it has seen, told at each beat.
+/// A member's status and observations, sent at each heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub name: String,
-    /// Grows with each start.
+    /// Increases with each start.
     pub incarnation: u64,
-    /// Drawn at the start: two processes of one name and incarnation differ by it.
+    /// Random per process start: distinguishes two processes of the same name and incarnation.
     pub process_nonce: u64,
     pub status: MemberStatus,
-    /// The version of the settings that it acts on.
+    /// The active version of the settings.
     pub version: Version,
-    /// The latest version that it was told, also where it found that faulty: it needs no older one.
+    /// The latest version that it received, even if it rejected that one as invalid: it needs no older one.
     pub latest_known: Version,
     pub observations: Vec<Observation>,
-    /// It has just started or come back, and wants what others have learnt.
+    /// It has just started or reconnected, and wants the latest observations of others.
     pub wants_catch_up: bool,
-    /// Counts its reports: a grant's lease begins where the one that it answers was made.
+    /// Sequence number of its reports: the lease of a grant begins when the report that it answers was made.
     pub number: u64,
     pub usage: Vec<(Resource, Usage)>,
     /// The groups that it belongs to.
     pub groups: Vec<String>,
-    /// Asks to go out up to this one hold nothing any more.
+    /// Drain requests up to this one are finished, and their permissions may be taken back.
     pub settled_requests: u64,
-    /// As of when it knows which endpoints are out of service, and where it holds something still, by name.
+    /// The log position up to which it knows which endpoints are out of service, and the names of those that it still has
+    /// connections or requests at.
     pub endpoints_known_at: LogPosition,
     pub endpoints_in_use: Vec<String>,
-    /// No other process serves its address, as a lock says that each holds: an earlier one of this name has ended.
+    /// No other process serves its address, as shown by a lock that each process holds: an earlier process of this name has
+    /// ended.
     pub sole_at_address: bool,
-    /// The version of its program, or what its file calls it.
+    /// The version of its program, or the one that its configuration file states.
     pub program_version: String,
-    /// How its reqs have ended since it started; and its write-outs to the endpoints that it was asked to look for, by name.
+    /// Outcomes of its requests since it started, and of its attempts at the endpoints that it watches, by name.
     pub request_counts: RequestCounts,
     pub endpoint_counts: Vec<(String, RequestCounts)>,
-    /// Clients that wait, and reqs that are open.
+    /// Waiting clients and open requests.
     pub open_requests: u64,
-    /// It is drained by a release's word.
+    /// It is drained by a release.
     pub drained_by_release: bool,
-    /// By which it knows what it is asked to look for; and of these, what its list does not have as ready.
+    /// The hash of the list of endpoints that it watches, and those of them that are not ready in its discovery list.
     pub watch_list_hash: u64,
     pub missing_endpoints: Vec<String>,
 }
@@ -111,47 +113,47 @@
 /// A daemon's answer to a report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportAnswer {
-    /// The place of the leader, as far as it knows one, and whether that is itself.
+    /// The replica id of the leader, if one is known, and whether this daemon is the leader.
     pub leader: Option<u16>,
     pub is_leader: bool,
-    /// It has been taken out, or knows that its copy differs: it is not to be asked.
+    /// This daemon was removed from the voters, or knows that its state differs: members must not use it.
     pub excluded: bool,
-    /// Committed settings that are later than what the member acts on.
+    /// Committed settings that are later than the member's.
     pub settings: Option<(Version, String)>,
-    /// Of `ToldCoded` those that were left, behind the coded ones.
+    /// Observations of other members. In a `CodedReportAnswer`, those that follow the coded ones.
     pub observations: Vec<RelayedObservation>,
     pub duplicate_process: bool,
     pub superseded: bool,
-    /// The report that this answers, and what its sender is granted: none where this daemon may not grant.
+    /// The number of the report that this answers, and the grants for its sender: `None` if this daemon may not grant.
     pub number: u64,
     pub grants: Option<Vec<Grant>>,
-    /// The endpoints that are out of service, where the report did not know of these.
+    /// The endpoints that are out of service, if the report showed an older list.
     pub drained_endpoints: Option<(LogPosition, Vec<String>)>,
-    /// Whether a release sends it out: none where this daemon cannot say for sure.
+    /// Whether a release drains the member: `None` if this daemon does not know for sure.
     pub drain_for_release: Option<bool>,
-    /// The endpoints that it is to look for and count at, where it does not know of these.
+    /// The endpoints that the member is to watch and count outcomes for, and the hash of this list, if the report showed another.
     pub watch_list: Option<(u64, Vec<String>)>,
 }
 
-/// What operators ask.
+/// A request of an operator's tool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
     Status,
     Members,
-    /// The settings that hold, or those of a version.
+    /// The current settings for the whole fleet, or those of a version.
     Get(Option<Version>),
     History,
     Write(Write),
     Backup,
     Budgets,
-    /// This process of a member has ended, as an operator knows: what it held is free.
+    /// An operator confirms that this process of a member has ended: its shares are released.
     MarkEnded {
         name: String,
         incarnation: u64,
     },
-    /// This member never comes back.
+    /// This member never comes back: removes it.
     Forget(String),
-    /// Take an endpoint out of service, or put it back; with a reason, whatever is out already.
+    /// Takes an endpoint out of service, or puts it back; with a reason, regardless of what is out already.
     Endpoint {
         name: String,
         out: bool,
@@ -160,31 +162,31 @@
     DrainedEndpoints,
     Release(ReleaseUpdate),
     Releases,
-    /// What an agent beside this one is to do.
+    /// The task of the agent that runs beside this member or endpoint.
     AgentTask(String),
-    /// Hand leadership to this place.
+    /// Transfers leadership to this replica.
     TransferLeadership(u16),
-    /// This place votes no more; `anyway` also where few are left, or few of them are heard.
+    /// Removes a replica from the voters; `force` allows it even if few voters are left, or few of them are reachable.
     RemoveReplica {
         replica: u16,
         force: bool,
     },
-    /// What is put for parts of the fleet.
+    /// All scopes with settings.
     Scopes,
-    /// A write for a part of the fleet.
+    /// A write for one scope.
     WriteScoped {
         scope: Scope,
         write: Write,
     },
-    /// What is put for a scope, or was as of a version.
+    /// The current settings of a scope, or those of a version.
     GetScoped {
         scope: Scope,
         version: Option<Version>,
     },
     ScopeHistory(Scope),
-    /// What holds for this member.
+    /// The settings that apply to this member.
     MemberSettings(String),
-    /// What each member that is heard says it belongs to.
+    /// The locality of each connected member, as it reports it.
     Localities,
 }
 
@@ -200,9 +202,9 @@
     pub digest: u64,
     pub voters: Vec<Id>,
     pub version: Version,
-    /// As a leader: each other replica, up to where it holds the log, and whether it is heard.
+    /// On the leader: each other replica, the last log index that it holds, and whether it is reachable.
     pub peers: Vec<(Id, Index, bool)>,
-    /// Why it does not serve, if it does not.
+    /// Why this daemon does not serve members, if it does not.
     #[serde(rename = "apart")]
     pub excluded: Option<String>,
     pub evidence: u64,
@@ -214,39 +216,39 @@
     pub incarnation: u64,
     #[serde(rename = "standing")]
     pub status: MemberStatus,
-    /// The version that it said it acts on, where it is heard.
+    /// The active version that it reported, if it is connected.
     pub version: Option<Version>,
     pub groups: Vec<String>,
     pub out: bool,
 }
 
-/// A budget, and how it stands.
+/// A budget and its current use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetRow {
     pub budget: Budget,
-    /// Granted, and counted with: what holders may be using still.
+    /// The sum of the granted shares, and of what holders may still be using.
     pub granted: u64,
     #[serde(rename = "counted")]
     pub reserved: u64,
     pub holders: u64,
-    /// How far above what is to be divided now holders may stand still.
+    /// How far `reserved` exceeds what may be granted now.
     #[serde(rename = "over")]
     pub excess: u64,
 }
 
-/// A part of the fleet, and how it stands.
+/// A scope and the members in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScopeRow {
     pub scope: Scope,
-    /// The version that was put for it last, and the bytes of its text: none where it was removed.
+    /// The version of its latest write, and the size of its settings: `None` if they were removed.
     pub version: Version,
     pub bytes: Option<u64>,
-    /// The members that are heard and belong to it, and those of them that act on what holds for them now.
+    /// The connected members that belong to it, and those of them that act on the latest settings for them.
     pub members: u64,
     pub acting: u64,
 }
 
-/// What holds for a member, and of which scopes it is made, in the order of precedence.
+/// The settings that apply to a member, and the scopes that they are merged from, in order of precedence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MergedSettings {
     pub version: Version,
@@ -262,20 +264,21 @@
     Settings(Option<SettingsVersion>),
     History(Vec<SettingsVersion>),
     Budgets(Vec<BudgetRow>),
-    /// Endpoints out of service, and the members that hold something there or may: none, and it is empty.
+    /// Endpoints out of service, and the members that have or may have connections or requests there. Without any, the endpoint
+    /// is drained.
     DrainedEndpoints(Vec<(String, Vec<String>)>),
-    /// Releases, and which version each member that is heard says that it runs.
+    /// Releases, and the program version that each connected member reports.
     Releases(Vec<Release>, Vec<(String, String)>),
     AgentTask(Option<AgentTask>),
-    /// A write has this effect, for good.
+    /// The write is committed as this version.
     Committed(Version),
-    /// It has none, and never will.
+    /// The write has no effect and never will.
     Refused(String),
-    /// It was not proposed here, as this is wrong with it.
+    /// The request is invalid and was not proposed.
     Invalid(String),
-    /// Nobody here can tell whether it will have one.
+    /// It is not known whether the write will take effect.
     Unknown(String),
-    /// Ask the leader, at this place if one is known.
+    /// Ask the leader, which is this replica if one is known.
     NotLeader(Option<u16>),
     /// The state as bytes.
     Backup(Vec<u8>),
@@ -289,23 +292,23 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first frame each way.
+    /// The first frame in each direction.
     Hello {
         version: u16,
         fleet: String,
         who: Initiator,
     },
-    /// Why the greeting is not taken; the connection ends.
+    /// Why the hello is rejected; the connection is closed.
     Rejected(String),
     Consensus(Message),
-    /// The digest of a replica's state after this entry.
+    /// The digest of a replica's state after it applied this entry.
     Digest {
         index: Index,
         digest: u64,
     },
     Report(Report),
     ReportAnswer(ReportAnswer),
-    /// A member asks whether it may go out, and is told; a refusal says why.
+    /// A member asks whether it may drain, and the answer; a refusal says why.
     DrainRequest {
         ask: u64,
         anyway: Option<String>,
@@ -322,9 +325,9 @@
         number: u64,
         reply: OperatorReply,
     },
-    /// What a member belongs to: right behind the greeting, where both sides speak version 3.
+    /// A member's locality: sent right after the hello, if both ends speak version 3.
     Locality(Locality),
-    /// An answer whose records are coded: to a member that has said which service it belongs to, where both sides speak version 3.
+    /// An answer with dictionary-coded observations: to a member that has sent its locality, if both ends speak version 3.
     CodedReportAnswer(ReportAnswer, CodedRecords),
 }
 
@@ -333,27 +336,28 @@
         Frame::hello_as(VERSION, fleet, who)
     }
 
-    /// A greeting of this version: of the one that `Greeting` says, or that `greeted` gave for an answer.
+    /// A hello of this version: the one of `VersionNegotiation` for a client, or the one that `check_hello` returned for an
+    /// answer.
     pub fn hello_as(version: u16, fleet: &str, who: Initiator) -> Frame {
         Frame::Hello { version, fleet: fleet.to_string(), who }
     }
 
-    /// Adds this frame to bytes that go out. One that no receiver would take is left out, and `false`.
+    /// Appends this frame to the outgoing bytes. Returns `false`, and appends nothing, if the frame exceeds `MAX_FRAME_BYTES`.
     pub fn write(&self, out: &mut Vec<u8>) -> bool {
         let start = out.len();
-        out.extend([0; HEAD]);
+        out.extend([0; LENGTH_BYTES]);
         let body = postcard::to_stdvec(self).expect("a frame has no form that cannot be written");
         out.extend(&body);
         if body.len() > MAX_FRAME_BYTES {
             out.truncate(start);
             return false;
         }
-        out[start..start + HEAD].copy_from_slice(&(body.len() as u32).to_le_bytes());
+        out[start..start + LENGTH_BYTES].copy_from_slice(&(body.len() as u32).to_le_bytes());
         true
     }
 }
 
-/// Bytes that come in, until they are frames.
+/// Splits incoming bytes into frames.
 #[derive(Default)]
 pub struct FrameReader {
     bytes: Vec<u8>,
@@ -369,23 +373,23 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next frame that is whole. The first one must be a greeting, and its refusal may follow one's own.
+    /// The next complete frame. The first one must be a hello, or the rejection of one's own.
     ///
     /// # Errors
-    /// What is wrong with the bytes: the connection is of no use any more.
+    /// A description of the protocol error, after which the connection is unusable.
     pub fn pop(&mut self) -> Result<Option<Frame>, String> {
         let bytes = &self.bytes[self.from..];
-        let Some(head) = bytes.first_chunk::<HEAD>() else { return Ok(None) };
+        let Some(head) = bytes.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_le_bytes(*head) as usize;
         let most = if self.greeted { MAX_FRAME_BYTES } else { MAX_HELLO_BYTES };
-        // Danger: a length that is believed before the greeting lets anyone fill the memory.
+        // Danger: without the lower limit before the hello, any client could make the reader buffer large amounts of memory.
         if length > most {
             return Err(format!("a frame of {length} bytes, more than {most}"));
         }
-        let Some(body) = bytes.get(HEAD..HEAD + length) else { return Ok(None) };
+        let Some(body) = bytes.get(LENGTH_BYTES..LENGTH_BYTES + length) else { return Ok(None) };
         let frame: Frame =
             postcard::from_bytes(body).map_err(|e| format!("a frame that cannot be read: {e}"))?;
-        self.from += HEAD + length;
+        self.from += LENGTH_BYTES + length;
         if !self.greeted {
             match frame {
                 Frame::Hello { .. } | Frame::Rejected(_) => self.greeted = true,
@@ -396,11 +400,11 @@
     }
 }
 
-/// Who greets, and the version that this connection speaks: the lower of both. `own` is the version with which this side has
-/// greeted, or `VERSION` where it answers; it answers with the version that this gives.
+/// Checks a hello. Returns who opened the connection, and its version: the lower one of both ends. `own` is the version of
+/// the hello that this end sent, or `VERSION` if it answers; it answers with the returned version.
 ///
 /// # Errors
-/// Why the greeting is not taken, for its sender.
+/// Why the hello is rejected, as a text for its sender.
 pub fn check_hello(frame: &Frame, fleet: &str, own: u16) -> Result<(Initiator, u16), String> {
     match frame {
         Frame::Hello { version, .. } if !(MIN_VERSION..=VERSION).contains(version) => {
@@ -412,42 +416,42 @@
     }
 }
 
-/// With which version a side that dials greets: one for each place. A side of version 2 takes no other, and says so or ends the
-/// connection.
+/// Chooses the version of the hello for a client that dials, per remote address. A server of version 2 accepts no other
+/// version, and rejects the hello or closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VersionNegotiation {
     version: u16,
-    cut: u8,
+    closed: u8,
 }
 
 impl Default for VersionNegotiation {
     fn default() -> VersionNegotiation {
-        VersionNegotiation { version: VERSION, cut: 0 }
+        VersionNegotiation { version: VERSION, closed: 0 }
     }
 }
 
 impl VersionNegotiation {
-    /// The version of the next greeting.
+    /// The version for the next hello.
     pub fn version(self) -> u16 {
         self.version
     }
 
-    /// The greeting was refused: the other version is next.
+    /// The hello was rejected: switches to the other version.
     pub fn on_rejected(&mut self) {
         let version = if self.version == VERSION { MIN_VERSION } else { VERSION };
-        *self = VersionNegotiation { version, cut: 0 };
+        *self = VersionNegotiation { version, closed: 0 };
     }
 
-    /// The connection was up, and has ended before the greeting was answered. Danger: a daemon that ended by itself is no older
-    /// one, and a member that greets it as one is told nothing of its scopes.
+    /// The connection was established, but closed before the hello was answered. Danger: the daemon may just have ended rather
+    /// than be of an older version, and a member that falls back to the older version gets no settings of its scopes.
     pub fn on_closed(&mut self) {
-        self.cut += 1;
-        if self.cut >= CUT_MOST || self.version != VERSION {
+        self.closed += 1;
+        if self.closed >= MAX_CLOSED_HELLOS || self.version != VERSION {
             self.on_rejected();
         }
     }
 
-    /// The greeting was answered: the next connection begins anew.
+    /// The hello was answered: the next connection starts again with the current version.
     pub fn on_accepted(&mut self) {
         *self = VersionNegotiation::default();
     }
@@ -502,7 +506,7 @@
         let newer = Frame::Hello { version: 9, fleet: "zilina".into(), who: Initiator::Operator };
         let said = "frames here are of versions 2 to 3, not 9";
         assert_eq!(check_hello(&newer, "zilina", VERSION).unwrap_err(), said);
-        // After the greeting a frame may be long, but has its bound too.
+        // After the hello a frame may be longer, but is limited too.
         let mut incoming = FrameReader::default();
         let mut bytes = Vec::new();
         frames()[0].write(&mut bytes);
