--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -1,5 +1,5 @@
-//! What members have learnt of endpoints, in a daemon's memory: the latest of each, for those that start or return. It is
-//! not agreed on, and never older than it is kept for.
+//! Observations of endpoints by members, in a daemon's memory: the latest of each endpoint, for members that start or
+//! reconnect. They are not replicated by consensus, and expire after `MAX_AGE`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -8,18 +8,18 @@
 use appledyke::units::{Moment, Span};
 use serde::{Deserialize, Serialize};
 
-/// How long a record is of use: what is older has mostly faded with those who saw it.
+/// How long an observation is useful: older ones have mostly decayed even with the members that made them.
 pub const MAX_AGE: Span = Span::from_millis(8000);
-/// Records that are held at the most: 16 a member of a fleet of 1,000. Of one service at the most half of them; those of
-/// members without one may be all, as in a fleet without services.
+/// Maximum number of stored observations: 16 for each member of a fleet of 1,000. One service may have half of them; members
+/// without a service may have all, as in a fleet without services.
 pub const MAX_RECORDS: usize = 16_384;
 pub const MAX_RECORDS_PER_SERVICE: usize = 8_192;
-/// How often all services' records are looked through for old ones: an eighth of the time that they are kept.
-const SWEEP: Span = Span::from_millis(1000);
-/// Records of one endpoint in a catch-up: three failures make it known, one more tells of an end to them.
-const OF_AN_ENDPOINT: usize = 4;
+/// How often the observations of all services are checked for expired ones: an eighth of `MAX_AGE`.
+const SWEEP_INTERVAL: Span = Span::from_millis(1000);
+/// Observations of one endpoint in a catch-up: three failures mark it as failing, one more can show a recovery.
+const MAX_CATCH_UP_PER_ENDPOINT: usize = 4;
 
-/// Outcomes by their codes, the place here; any other says nothing of an endpoint.
+/// Outcomes that concern an endpoint; the code of each is its index here.
 const OUTCOMES: [Outcome; 6] = [
     Outcome::Satisfied,
     Outcome::Errored,
@@ -29,59 +29,59 @@
     Outcome::Severed,
 ];
 
-/// The code of an outcome that says something of an endpoint.
+/// The code of an outcome, if it concerns the endpoint.
 pub fn outcome_code(outcome: Outcome) -> Option<u8> {
-    OUTCOMES.iter().position(|known| *known == outcome).map(|at| at as u8)
+    OUTCOMES.iter().position(|known| *known == outcome).map(|index| index as u8)
 }
 
-/// The outcome of a code; none of one that is not known here.
+/// The outcome of a code; `None` if the code is unknown.
 pub fn outcome_from_code(code: u8) -> Option<Outcome> {
     OUTCOMES.get(usize::from(code)).copied()
 }
 
-/// How a write-out ended, as its sidecar tells it.
+/// The outcome of an attempt, as reported by its sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Grows with each record of its writer's incarnation.
+    /// Increases with each observation of the writer's incarnation.
     pub sequence: u64,
-    /// How long ago it was, when this was said: clocks of two machines are not compared.
+    /// The age at the time of sending, as clocks of two machines cannot be compared.
     pub age_ms: u32,
-    /// Endpoint and method by the marks of their names.
+    /// Hashes of the names of endpoint and method.
     pub endpoint: u32,
     pub method: u32,
-    /// By its code.
+    /// The code of the outcome.
     pub outcome: u8,
-    /// The time it took, as a part of its method's latency budget.
+    /// The duration as a fraction of the method's latency budget.
     pub budget_fraction: f32,
 }
 
-/// A record on its way to another member.
+/// An observation that is forwarded to another member.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedObservation {
-    /// The mark of its writer's name, and the writer's incarnation.
+    /// The hash of the writer's name, and the writer's incarnation.
     pub writer: u32,
     pub incarnation: u64,
     pub observation: Observation,
 }
 
-struct Held {
+struct StoredObservation {
     arrival: u64,
     writer: u32,
     incarnation: u64,
-    at: Moment,
-    seen: Observation,
+    observed_at: Moment,
+    observation: Observation,
 }
 
-/// Up to where a reader has heard.
+/// The position up to which a reader has read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cursor(u64);
 
-/// Whose records are known up to where; for daemons and for members, so that none counts twice.
+/// The last known sequence of each writer, by which daemons and members count each observation once.
 #[derive(Default)]
 pub struct KnownSequences(BTreeMap<u32, (u64, u64)>);
 
 impl KnownSequences {
-    /// Whether a record is new; it is known from now on.
+    /// Returns whether an observation is new, and records it as known.
     pub fn insert_if_new(&mut self, writer: u32, incarnation: u64, sequence: u64) -> bool {
         let known = self.0.entry(writer).or_default();
         let new = (incarnation, sequence) > *known;
@@ -92,21 +92,21 @@
     }
 }
 
-/// Records by the service of their writers (`Locality::service_mark`, nought for none), each service's in their order. A reader
-/// with a service hears those of its own service and of writers without one; a reader without one hears all.
+/// Observations by the service of their writers (`Locality::service_hash`, 0 for none), in order of arrival. A reader with a
+/// service gets those of its own service and of writers without one; a reader without a service gets all.
 #[derive(Default)]
 pub struct EvidenceStore {
-    rings: BTreeMap<u32, VecDeque<Held>>,
-    /// How many each ring holds, and how many there are in all.
+    queues: BTreeMap<u32, VecDeque<StoredObservation>>,
+    /// The size of each queue with its service, and the total.
     sizes: BTreeSet<(usize, u32)>,
     count: usize,
-    swept: Moment,
+    swept_at: Moment,
     known: KnownSequences,
     arrivals: u64,
 }
 
 impl EvidenceStore {
-    /// Takes what a member of a service tells; how much of it was new.
+    /// Stores observations of a member of a service. Returns how many were new.
     pub fn record(
         &mut self,
         now: Moment,
@@ -121,85 +121,93 @@
             let odd = !seen.budget_fraction.is_finite() || seen.budget_fraction < 0.0 || age > MAX_AGE;
             if self.known.insert_if_new(writer, incarnation, seen.sequence) && !odd {
                 self.arrivals += 1;
-                let at = Moment::from_nanos(now.nanos().saturating_sub(age.nanos()));
-                let held = Held { arrival: self.arrivals, writer, incarnation, at, seen: *seen };
-                self.change(service, |ring| ring.push_back(held));
+                let observed_at = Moment::from_nanos(now.nanos().saturating_sub(age.nanos()));
+                let stored = StoredObservation {
+                    arrival: self.arrivals,
+                    writer,
+                    incarnation,
+                    observed_at,
+                    observation: *seen,
+                };
+                self.modify_queue(service, |queue| queue.push_back(stored));
             }
         }
-        self.forget(now, service);
+        self.drop_expired(now, service);
         (self.arrivals - before) as usize
     }
 
-    /// The records that are held.
+    /// The number of stored observations.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    fn change(&mut self, service: u32, change: impl FnOnce(&mut VecDeque<Held>)) {
-        let ring = self.rings.entry(service).or_default();
-        let before = ring.len();
-        change(ring);
-        let after = ring.len();
+    fn modify_queue(&mut self, service: u32, change: impl FnOnce(&mut VecDeque<StoredObservation>)) {
+        let queue = self.queues.entry(service).or_default();
+        let before = queue.len();
+        change(queue);
+        let after = queue.len();
         self.count = self.count + after - before;
         self.sizes.remove(&(before, service));
         if after == 0 {
-            self.rings.remove(&service);
+            self.queues.remove(&service);
         } else {
             self.sizes.insert((after, service));
         }
     }
 
-    fn forget(&mut self, now: Moment, service: u32) {
+    fn drop_expired(&mut self, now: Moment, service: u32) {
         let most = if service == 0 { MAX_RECORDS } else { MAX_RECORDS_PER_SERVICE };
-        let old = |ring: &VecDeque<Held>| ring.front().is_some_and(|held| now.since(held.at) > MAX_AGE);
-        self.change(service, |ring| {
-            while ring.len() > most || old(ring) {
-                ring.pop_front();
+        let old = |queue: &VecDeque<StoredObservation>| {
+            queue.front().is_some_and(|stored| now.since(stored.observed_at) > MAX_AGE)
+        };
+        self.modify_queue(service, |queue| {
+            while queue.len() > most || old(queue) {
+                queue.pop_front();
             }
         });
-        if now.since(self.swept) >= SWEEP {
-            self.swept = now;
+        if now.since(self.swept_at) >= SWEEP_INTERVAL {
+            self.swept_at = now;
             let services: Vec<u32> =
-                self.rings.iter().filter(|(_, ring)| old(ring)).map(|(service, _)| *service).collect();
+                self.queues.iter().filter(|(_, queue)| old(queue)).map(|(service, _)| *service).collect();
             for service in services {
-                self.change(service, |ring| {
-                    while old(ring) {
-                        ring.pop_front();
+                self.modify_queue(service, |queue| {
+                    while old(queue) {
+                        queue.pop_front();
                     }
                 });
             }
         }
-        // Danger: by their order alone a busy service would push out what the others have learnt.
+        // Danger: eviction by arrival alone would let a busy service displace the observations of the others.
         while self.count > MAX_RECORDS
             && let Some((_, largest)) = self.sizes.last().copied()
         {
-            self.change(largest, |ring| {
-                ring.pop_front();
+            self.modify_queue(largest, |queue| {
+                queue.pop_front();
             });
         }
     }
 
-    /// What a reader of this service may hear, as of after this arrival.
-    fn rings_for(&self, service: u32, after: u64) -> Vec<&VecDeque<Held>> {
-        let of = |service: u32| self.rings.get(&service);
-        let rings: Vec<&VecDeque<Held>> = match service {
-            0 => self.rings.values().collect(),
+    /// The queues for a reader of this service that have anything after this arrival.
+    fn queues_for(&self, service: u32, after: u64) -> Vec<&VecDeque<StoredObservation>> {
+        let of = |service: u32| self.queues.get(&service);
+        let queues: Vec<&VecDeque<StoredObservation>> = match service {
+            0 => self.queues.values().collect(),
             _ => of(0).into_iter().chain(of(service)).collect(),
         };
-        rings.into_iter().filter(|ring| ring.back().is_some_and(|held| held.arrival > after)).collect()
+        queues.into_iter().filter(|queue| queue.back().is_some_and(|stored| stored.arrival > after)).collect()
     }
 
-    fn pass(now: Moment, held: &Held) -> RelayedObservation {
-        let age_ms = (now.since(held.at).nanos() / 1_000_000) as u32;
-        let seen = Observation { age_ms, ..held.seen };
-        RelayedObservation { writer: held.writer, incarnation: held.incarnation, observation: seen }
+    fn relay(now: Moment, stored: &StoredObservation) -> RelayedObservation {
+        let age_ms = (now.since(stored.observed_at).nanos() / 1_000_000) as u32;
+        let observation = Observation { age_ms, ..stored.observation };
+        RelayedObservation { writer: stored.writer, incarnation: stored.incarnation, observation }
     }
 
-    fn of_use(now: Moment, reader: u32) -> impl Fn(&&Held) -> bool {
-        move |held| held.writer != reader && now.since(held.at) <= MAX_AGE
+    fn is_useful(now: Moment, reader: u32) -> impl Fn(&&StoredObservation) -> bool {
+        move |stored| stored.writer != reader && now.since(stored.observed_at) <= MAX_AGE
     }
 
-    /// What a reader of a service has not heard yet, so much at the most; the rest waits for the next time.
+    /// The observations that a reader of a service has not read yet, at most `most`; the rest is left for the next call.
     pub fn read_new(
         &self,
         now: Moment,
@@ -208,27 +216,29 @@
         cursor: &mut Cursor,
         most: usize,
     ) -> Vec<RelayedObservation> {
-        let rings = self.rings_for(service, cursor.0);
-        let start = |ring: &VecDeque<Held>| ring.partition_point(|held| held.arrival <= cursor.0);
-        let mut rings: Vec<_> = rings.iter().map(|ring| ring.range(start(ring)..).peekable()).collect();
-        // Danger: all go together by their arrival, or the cursor passes one that was not looked at.
-        let first = rings.iter_mut().enumerate().filter_map(|(at, ring)| Some((ring.peek()?.arrival, at)));
+        let queues = self.queues_for(service, cursor.0);
+        let start =
+            |queue: &VecDeque<StoredObservation>| queue.partition_point(|stored| stored.arrival <= cursor.0);
+        let mut queues: Vec<_> = queues.iter().map(|queue| queue.range(start(queue)..).peekable()).collect();
+        // Danger: the queues must be merged by arrival, or the cursor would skip observations that were not read.
+        let first =
+            queues.iter_mut().enumerate().filter_map(|(index, queue)| Some((queue.peek()?.arrival, index)));
         let mut next: BinaryHeap<Reverse<(u64, usize)>> = first.map(Reverse).collect();
         let mut passed = Vec::new();
         while passed.len() < most
-            && let Some(Reverse((arrival, at))) = next.pop()
+            && let Some(Reverse((arrival, index))) = next.pop()
         {
             cursor.0 = arrival;
-            if let Some(held) = rings[at].next().filter(Self::of_use(now, reader)) {
-                passed.push(Self::pass(now, held));
+            if let Some(stored) = queues[index].next().filter(Self::is_useful(now, reader)) {
+                passed.push(Self::relay(now, stored));
             }
-            next.extend(rings[at].peek().map(|held| Reverse((held.arrival, at))));
+            next.extend(queues[index].peek().map(|stored| Reverse((stored.arrival, index))));
         }
         passed
     }
 
-    /// For a reader that starts or returns: the latest of each endpoint, so much at the most, the oldest first; it goes on
-    /// from here.
+    /// For a reader that starts or reconnects: the latest observations of each endpoint, at most `most`, oldest first. The cursor
+    /// moves to the end.
     pub fn catch_up(
         &self,
         now: Moment,
@@ -238,23 +248,24 @@
         most: usize,
     ) -> Vec<RelayedObservation> {
         *cursor = Cursor(self.arrivals);
-        let mut rings: Vec<_> =
-            self.rings_for(service, 0).into_iter().map(|ring| ring.iter().rev().peekable()).collect();
-        let last = rings.iter_mut().enumerate().filter_map(|(at, ring)| Some((ring.peek()?.arrival, at)));
+        let mut queues: Vec<_> =
+            self.queues_for(service, 0).into_iter().map(|queue| queue.iter().rev().peekable()).collect();
+        let last =
+            queues.iter_mut().enumerate().filter_map(|(index, queue)| Some((queue.peek()?.arrival, index)));
         let mut next: BinaryHeap<(u64, usize)> = last.collect();
         let mut of: BTreeMap<u32, usize> = BTreeMap::new();
         let mut passed = Vec::new();
         while passed.len() < most
-            && let Some((_, at)) = next.pop()
+            && let Some((_, index)) = next.pop()
         {
-            if let Some(held) = rings[at].next().filter(Self::of_use(now, reader)) {
-                let count = of.entry(held.seen.endpoint).or_default();
+            if let Some(stored) = queues[index].next().filter(Self::is_useful(now, reader)) {
+                let count = of.entry(stored.observation.endpoint).or_default();
                 *count += 1;
-                if *count <= OF_AN_ENDPOINT {
-                    passed.push(Self::pass(now, held));
+                if *count <= MAX_CATCH_UP_PER_ENDPOINT {
+                    passed.push(Self::relay(now, stored));
                 }
             }
-            next.extend(rings[at].peek().map(|held| (held.arrival, at)));
+            next.extend(queues[index].peek().map(|stored| (stored.arrival, index)));
         }
         passed.reverse();
         passed
@@ -277,7 +288,7 @@
     fn each_record_counts_once_by_writer_incarnation_and_sequence() {
         let mut evidence = EvidenceStore::default();
         assert_eq!(evidence.record(at(1000), 0, 7, 1, &[seen(1, 5), seen(2, 5)]), 2);
-        // Said again, as the answer was lost; and by an earlier incarnation, which has ended.
+        // Repeated because the answer was lost; and from an earlier incarnation, which has ended.
         assert_eq!(evidence.record(at(1100), 0, 7, 1, &[seen(1, 5), seen(2, 5), seen(3, 5)]), 1);
         assert_eq!(
             (
@@ -290,10 +301,10 @@
         assert_eq!(evidence.read_new(at(1300), 0, 8, &mut cursor, 3).len(), 3);
         assert_eq!(evidence.read_new(at(1300), 0, 8, &mut cursor, 3).len(), 1);
         assert_eq!(evidence.read_new(at(1300), 0, 8, &mut cursor, 3), []);
-        // Nobody hears its own, and nobody what is old.
+        // Readers get neither their own observations nor expired ones.
         assert_eq!(evidence.read_new(at(1300), 0, 7, &mut Cursor::default(), 9), []);
         assert_eq!(evidence.read_new(at(9100), 0, 8, &mut Cursor::default(), 9).len(), 1);
-        // Ages go on while they lie here.
+        // Ages increase while observations are stored.
         let told = evidence.read_new(at(1500), 0, 8, &mut Cursor::default(), 1);
         assert_eq!(told[0].observation.age_ms, 600);
         let mut odd = seen(10, 5);
@@ -312,7 +323,7 @@
         }
         let mut cursor = Cursor::default();
         let told = evidence.catch_up(at(1000), 0, 8, &mut cursor, 1000);
-        assert_eq!(told.len(), 5 * OF_AN_ENDPOINT);
+        assert_eq!(told.len(), 5 * MAX_CATCH_UP_PER_ENDPOINT);
         assert!(told.iter().all(|passed| passed.observation.sequence > 80));
         assert!(told.is_sorted_by_key(|passed| passed.observation.sequence));
         assert_eq!(evidence.read_new(at(1000), 0, 8, &mut cursor, 1000), []);
--- a/crates/fleet/src/evidence_coding.rs
+++ b/crates/fleet/src/evidence_coding.rs
@@ -1,5 +1,5 @@
-//! Records of others on their way over one connection, by dictionaries that its two ends build alike: a writer with its
-//! incarnation, or the mark of an endpoint's or method's name, goes over once, and by its index from then on.
+//! Dictionary coding of observations over one connection. Both ends build the same dictionaries: a writer with its incarnation,
+//! or the hash of an endpoint's or method's name, is sent once, and by its index afterwards.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 
 use crate::evidence::{Observation, RelayedObservation};
 
-/// Entries of either dictionary: an index is one byte. They bound what an end keeps for a connection, to some 15 KB.
+/// Maximum number of entries of each dictionary, as an index is one byte. It limits the memory per connection to some 15 KB.
 pub const MAX_ENTRIES: usize = 256;
-/// Answers after which dictionaries that are full begin anew: those that have ended lie in them, and some 5 KB in so many
-/// answers are little.
-const ANEW_AFTER: u32 = 1024;
+/// Answers after which full dictionaries are rebuilt: they still contain writers that have ended, and sending some 5 KB once
+/// in so many answers costs little.
+const RESET_AFTER: u32 = 1024;
 
-/// A writer, and the sequence from which its records' steps count.
+/// A writer, and the sequence that the steps of its records are added to.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Writer {
     pub writer: u32,
@@ -21,11 +21,11 @@
     pub sequence: u64,
 }
 
-/// A record by indices.
+/// An observation that refers to dictionary entries by index.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CodedRecord {
     pub writer: u8,
-    /// How far its sequence lies behind that of its writer's record before.
+    /// The difference of its sequence to the writer's previous record.
     pub step: u64,
     pub age_ms: u32,
     pub endpoint: u8,
@@ -34,21 +34,21 @@
     pub budget_fraction: f32,
 }
 
-/// Records, and the entries that they need beside those that are known already.
+/// Coded observations, with the dictionary entries that are new to the other end.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CodedRecords {
-    /// Entries of both dictionaries that the other end knows: nought begins them anew.
+    /// The number of entries of both dictionaries that the other end knows: 0 resets them.
     pub known: u32,
     pub writers: Vec<Writer>,
-    /// Of endpoints and methods.
+    /// Hashes of the names of endpoints and methods.
     pub names: Vec<u32>,
     pub records: Vec<CodedRecord>,
 }
 
-/// The end that tells.
+/// The sending end.
 #[derive(Default)]
 pub struct Encoder {
-    /// By their marks: the latest entry of each.
+    /// The latest entry of each writer, by the hash of its name.
     writers: BTreeMap<u32, (u8, Writer)>,
     entries: usize,
     names: BTreeMap<u32, u8>,
@@ -57,15 +57,15 @@
 }
 
 impl Encoder {
-    /// The other end may have lost what it knew: dictionaries begin anew with the next answer.
+    /// Resets the dictionaries with the next answer, as the other end may have lost its own.
     pub fn reset(&mut self) {
         *self = Encoder::default();
     }
 
-    /// Codes an answer's records, up to the first for which the dictionaries have no room; those from there on are left, and go
-    /// as they are, behind these.
+    /// Codes the observations of an answer, up to the first for which the dictionaries have no room. Returns the rest too, which
+    /// is sent uncoded after these.
     pub fn encode(&mut self, mut passed: Vec<RelayedObservation>) -> (CodedRecords, Vec<RelayedObservation>) {
-        if self.full && self.answers >= ANEW_AFTER {
+        if self.full && self.answers >= RESET_AFTER {
             self.reset();
         }
         self.answers = self.answers.saturating_add(1);
@@ -88,37 +88,38 @@
         let endpoint = self.name(seen.endpoint, coded)?;
         let method = self.name(seen.method, coded)?;
         let last = self.writers.get_mut(&writer).filter(|(_, last)| last.incarnation == incarnation);
-        let (at, step) =
-            match last.and_then(|(at, last)| Some((at, seen.sequence.checked_sub(last.sequence)?, last))) {
-                Some((at, step, last)) => {
-                    last.sequence = seen.sequence;
-                    (*at, step)
-                }
-                None => {
-                    let at = u8::try_from(self.entries).ok()?;
-                    let entry = Writer { writer, incarnation, sequence: seen.sequence };
-                    self.writers.insert(writer, (at, entry));
-                    self.entries += 1;
-                    coded.writers.push(entry);
-                    (at, 0)
-                }
-            };
-        let Observation { age_ms, outcome, budget_fraction: part, .. } = seen;
-        Some(CodedRecord { writer: at, step, age_ms, endpoint, method, outcome, budget_fraction: part })
+        let (index, step) = match last
+            .and_then(|(index, last)| Some((index, seen.sequence.checked_sub(last.sequence)?, last)))
+        {
+            Some((index, step, last)) => {
+                last.sequence = seen.sequence;
+                (*index, step)
+            }
+            None => {
+                let index = u8::try_from(self.entries).ok()?;
+                let entry = Writer { writer, incarnation, sequence: seen.sequence };
+                self.writers.insert(writer, (index, entry));
+                self.entries += 1;
+                coded.writers.push(entry);
+                (index, 0)
+            }
+        };
+        let Observation { age_ms, outcome, budget_fraction, .. } = seen;
+        Some(CodedRecord { writer: index, step, age_ms, endpoint, method, outcome, budget_fraction })
     }
 
-    fn name(&mut self, mark: u32, coded: &mut CodedRecords) -> Option<u8> {
-        if let Some(at) = self.names.get(&mark) {
-            return Some(*at);
+    fn name(&mut self, hash: u32, coded: &mut CodedRecords) -> Option<u8> {
+        if let Some(index) = self.names.get(&hash) {
+            return Some(*index);
         }
-        let at = u8::try_from(self.names.len()).ok()?;
-        self.names.insert(mark, at);
-        coded.names.push(mark);
-        Some(at)
+        let index = u8::try_from(self.names.len()).ok()?;
+        self.names.insert(hash, index);
+        coded.names.push(hash);
+        Some(index)
     }
 }
 
-/// The end that hears.
+/// The receiving end.
 #[derive(Default)]
 pub struct Decoder {
     writers: Vec<Writer>,
@@ -126,10 +127,10 @@
 }
 
 impl Decoder {
-    /// An answer's records.
+    /// Decodes the observations of an answer.
     ///
     /// # Errors
-    /// What is wrong with it: none of it is taken, and nothing is known until dictionaries begin anew.
+    /// A description of the error: then nothing is decoded, and the dictionaries are unusable until they are reset.
     pub fn decode(&mut self, coded: &CodedRecords) -> Result<Vec<RelayedObservation>, String> {
         let decoded =
             self.extend(coded).and_then(|()| coded.records.iter().map(|r| self.record(r)).collect());
@@ -160,21 +161,21 @@
     }
 
     fn record(&mut self, record: &CodedRecord) -> Result<RelayedObservation, String> {
-        let CodedRecord { writer: at, step, age_ms, endpoint, method, outcome, budget_fraction: part } =
-            *record;
-        let beyond = |of, at, most| format!("evidence: {of} {at}, and there are {most}");
-        let name = |of, at: u8| {
-            let known = self.names.get(usize::from(at)).copied();
-            known.ok_or_else(|| beyond(of, at, self.names.len()))
+        let CodedRecord { writer: index, step, age_ms, endpoint, method, outcome, budget_fraction } = *record;
+        let beyond = |of, index, most| format!("evidence: {of} {index}, and there are {most}");
+        let name = |of, index: u8| {
+            let known = self.names.get(usize::from(index)).copied();
+            known.ok_or_else(|| beyond(of, index, self.names.len()))
         };
         let (endpoint, method) = (name("endpoint", endpoint)?, name("method", method)?);
         let writers = self.writers.len();
-        let last = self.writers.get_mut(usize::from(at)).ok_or_else(|| beyond("writer", at, writers))?;
+        let last =
+            self.writers.get_mut(usize::from(index)).ok_or_else(|| beyond("writer", index, writers))?;
         let sequence = last.sequence.checked_add(step);
         let sequence =
             sequence.ok_or_else(|| format!("evidence: a step of {step} behind {}", last.sequence))?;
         last.sequence = sequence;
-        let seen = Observation { sequence, age_ms, endpoint, method, outcome, budget_fraction: part };
+        let seen = Observation { sequence, age_ms, endpoint, method, outcome, budget_fraction };
         Ok(RelayedObservation { writer: last.writer, incarnation: last.incarnation, observation: seen })
     }
 }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,21 +1,22 @@
-//! Whether what was moved does worse than what was not, from counts of how reqs ended. Too few reqs are not known yet, not well.
+//! Decides whether upgraded targets do worse than the others, from counts of request outcomes. With too few requests the verdict
+//! is undecided, not healthy.
 
 use serde::{Deserialize, Serialize};
 
-/// How sure a difference must be, as the natural logarithm of one to its chance: one in some million. A release of hundreds is
-/// looked at many thousand times.
-const SURE: f64 = 14.0;
-/// Errors by chance that are allowed for in what it is held against.
-const ERRORS: f64 = 2.0;
+/// The required confidence of a difference, as the negative natural logarithm of its probability by chance: one in some
+/// million, because a release of hundreds of targets is judged many thousand times.
+const CONFIDENCE: f64 = 14.0;
+/// Standard errors that are allowed for in the reference side.
+const ALLOWED_STANDARD_ERRORS: f64 = 2.0;
 
-/// How reqs ended, since a process started or between two moments.
+/// Counts of request outcomes, since a process started or between two moments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
     pub served: u64,
     #[serde(rename = "nacked")]
     pub rejected: u64,
     pub failed: u64,
-    /// Of the served, those that took longer than their latency budget.
+    /// Served requests that took longer than their latency budget.
     pub slow: u64,
 }
 
@@ -24,7 +25,7 @@
         self.served + self.rejected + self.failed
     }
 
-    /// What came between an earlier count of the same process and this one.
+    /// The difference to an earlier count of the same process.
     pub fn since(&self, earlier: &RequestCounts) -> RequestCounts {
         RequestCounts {
             served: self.served.saturating_sub(earlier.served),
@@ -42,11 +43,11 @@
     }
 }
 
-/// What must hold of those that were moved: by how much their shares may be worse than others'.
+/// The criteria for upgraded targets: by how much their fractions may be worse than those of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct Criteria {
-    /// Reqs that each side must have had to be judged.
+    /// Minimum number of requests on each side for a verdict.
     #[serde(rename = "leastReqs")]
     pub min_requests: u64,
     #[serde(default)]
@@ -56,15 +57,15 @@
     pub rejected_higher: Option<f64>,
     #[serde(default)]
     pub failed_higher: Option<f64>,
-    /// Of the served.
+    /// As a fraction of the served requests.
     #[serde(default)]
     pub slow_higher: Option<f64>,
 }
 
-type Share = fn(&RequestCounts) -> (u64, u64);
+type Fraction = fn(&RequestCounts) -> (u64, u64);
 
 impl Criteria {
-    fn rows(&self) -> [(&'static str, Option<f64>, Share); 4] {
+    fn rules(&self) -> [(&'static str, Option<f64>, Fraction); 4] {
         [
             ("servedLower", self.served_lower, |f| (f.rejected + f.failed, f.total())),
             ("nackedHigher", self.rejected_higher, |f| (f.rejected, f.total())),
@@ -74,35 +75,37 @@
     }
 
     /// # Errors
-    /// The key that is at fault.
+    /// The invalid key.
     pub fn check(&self) -> Result<(), String> {
         if self.min_requests == 0 {
             return Err("must.leastReqs: expected at least 1".to_string());
         }
-        for (name, most, _) in self.rows() {
+        for (name, most, _) in self.rules() {
             if most.is_some_and(|most| !(0.0..1.0).contains(&most)) {
                 return Err(format!("must.{name}: expected a share from 0 up to 1"));
             }
         }
-        if self.rows().iter().all(|(_, most, _)| most.is_none()) {
+        if self.rules().iter().all(|(_, most, _)| most.is_none()) {
             return Err("must: expected servedLower, nackedHigher, failedHigher or slowHigher".to_string());
         }
         Ok(())
     }
 
-    /// What is worse on one side than on the other, by more than may be and more than chance.
+    /// What is worse on one side than on the other, by more than the criteria allow and more than by chance.
     fn worse(&self, one: &RequestCounts, other: &RequestCounts) -> Option<String> {
-        self.rows().into_iter().find_map(|(name, most, share)| {
-            let (bad, all) = share(one);
-            let (other_bad, other_all) = share(other);
+        self.rules().into_iter().find_map(|(name, most, fraction)| {
+            let (bad, all) = fraction(one);
+            let (other_bad, other_all) = fraction(other);
             if all == 0 || other_all == 0 {
                 return None;
             }
             let (p, q) = (bad as f64 / all as f64, other_bad as f64 / other_all as f64);
-            let error = ERRORS * (q * (1.0 - q) / other_all as f64).sqrt() + 1.0 / other_all as f64;
-            let may_be = q + most? + error;
-            // Chernoff's bound: so many of so many come by a chance of `may_be` with a probability under e to the minus this.
-            (p > may_be && all as f64 * apart(p, may_be) > SURE).then(|| {
+            let error =
+                ALLOWED_STANDARD_ERRORS * (q * (1.0 - q) / other_all as f64).sqrt() + 1.0 / other_all as f64;
+            let allowed = q + most? + error;
+            // Chernoff bound: with a true fraction of `allowed`, the probability of this many is below e to the power of minus
+            // this value.
+            (p > allowed && all as f64 * divergence(p, allowed) > CONFIDENCE).then(|| {
                 let what = match name {
                     "servedLower" => "not served",
                     "nackedHigher" => "nacked",
@@ -114,25 +117,30 @@
         })
     }
 
-    pub fn judge(&self, moved: &RequestCounts, others: &RequestCounts, before: &RequestCounts) -> Verdict {
-        if moved.total() < self.min_requests {
+    pub fn judge(
+        &self,
+        upgraded: &RequestCounts,
+        others: &RequestCounts,
+        baseline: &RequestCounts,
+    ) -> Verdict {
+        if upgraded.total() < self.min_requests {
             return Verdict::Undecided;
         }
         let known = |figures: &RequestCounts| figures.total() >= self.min_requests;
         if known(others) {
-            if let Some(what) = self.worse(moved, others) {
+            if let Some(what) = self.worse(upgraded, others) {
                 return Verdict::Worse(format!("{what} of those not moved"));
             }
-            if known(before)
-                && let Some(what) = self.worse(others, before)
+            if known(baseline)
+                && let Some(what) = self.worse(others, baseline)
             {
                 return Verdict::Outage(format!("those not moved do worse than before: {what} then"));
             }
             return Verdict::Healthy;
         }
-        match known(before) {
-            // Nobody is left that was not moved: whether it is the candidate cannot be told.
-            true => match self.worse(moved, before) {
+        match known(baseline) {
+            // No other targets are left to compare with: the new version may or may not be the cause.
+            true => match self.worse(upgraded, baseline) {
                 Some(what) => {
                     Verdict::Outage(format!("{what} before the release, and nobody is left to compare"))
                 }
@@ -143,20 +151,20 @@
     }
 }
 
-/// How far a share is from a chance: Kullback and Leibler's measure, in nats.
-fn apart(share: f64, chance: f64) -> f64 {
+/// The Kullback-Leibler divergence of a fraction from a probability, in nats.
+fn divergence(fraction: f64, chance: f64) -> f64 {
     let part = |a: f64, b: f64| if a > 0.0 { a * (a / b).ln() } else { 0.0 };
-    if chance >= 1.0 { 0.0 } else { part(share, chance) + part(1.0 - share, 1.0 - chance) }
+    if chance >= 1.0 { 0.0 } else { part(fraction, chance) + part(1.0 - fraction, 1.0 - chance) }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Healthy,
-    /// Too few reqs, on a side that it takes.
+    /// Too few requests on a side that is needed.
     Undecided,
-    /// What was moved does worse than what was not.
+    /// The upgraded targets do worse than the others.
     Worse(String),
-    /// All do worse than before, what was moved no more than the rest, as far as there is a rest.
+    /// All targets do worse than before, the upgraded ones no more than the others, if there are any.
     Outage(String),
 }
 
@@ -198,17 +206,17 @@
     #[test]
     fn chance_alone_makes_nothing_worse() {
         let mut chance = Rand64::new(7);
-        let mut draw = |reqs: u64, share: f64| {
-            let failed = (0..reqs).filter(|_| chance.rand_float() < share).count() as u64;
+        let mut draw = |reqs: u64, fraction: f64| {
+            let failed = (0..reqs).filter(|_| chance.rand_float() < fraction).count() as u64;
             figures(reqs - failed, failed, 0)
         };
         let (mut found, mut blamed) = (0, 0);
         for _ in 0..3000 {
-            let before = draw(2000, 0.05);
+            let baseline = draw(2000, 0.05);
             blamed +=
-                u32::from(must().judge(&draw(200, 0.05), &draw(600, 0.05), &before) != Verdict::Healthy);
+                u32::from(must().judge(&draw(200, 0.05), &draw(600, 0.05), &baseline) != Verdict::Healthy);
             found += u32::from(matches!(
-                must().judge(&draw(200, 0.3), &draw(600, 0.05), &before),
+                must().judge(&draw(200, 0.3), &draw(600, 0.05), &baseline),
                 Verdict::Worse(_)
             ));
         }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,5 +1,5 @@
-//! A sidecar's part in its fleet: which daemon it asks, when it says how it stands, and what of the answers it takes. Reqs
-//! never wait for any of it.
+//! A sidecar's membership in its fleet: which daemon it connects to, when it sends reports, and how it handles answers.
+//! Requests never wait for any of this.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,179 +19,179 @@
 use crate::scopes::Locality;
 use crate::version::Version;
 
-/// Beats without an answer until another daemon is asked: one may be lost with an election.
-const PATIENCE_BEATS: f64 = 3.0;
-/// Most that is waited between two rounds over all daemons that were not reached, in beats: they come back together.
-const PAUSE_BEATS_MOST: f64 = 8.0;
-/// Beats for which a daemon that was not reached, or was lost, is not gone to because another says that it leads: less than
-/// leases last, so that what it grants is renewed in time once it is reached again.
+/// Heartbeats without an answer until another daemon is tried: one may be lost during an election.
+const ANSWER_TIMEOUT_BEATS: f64 = 3.0;
+/// Maximum pause between two rounds over all unreachable daemons, in heartbeats: daemons often come back together.
+const MAX_PAUSE_BEATS: f64 = 8.0;
+/// Heartbeats during which a daemon that was unreachable or lost is not tried again just because another daemon names it as
+/// the leader. Shorter than a lease, so that its grants are renewed in time once it is reachable again.
 const UNREACHED_BEATS: f64 = 2.0;
-/// Records that are kept for the daemons, and told in one report.
-const BOOKED_MOST: usize = 256;
-const TOLD_MOST: usize = 64;
-/// Beats over a connection that speaks an older version, for a member with a locality: then it looks whether the daemon knows
-/// scopes by now. A minute at the usual beat.
-const OLDER_BEATS_MOST: f64 = 120.0;
-/// Reports whose answers may still come: one more is made each beat.
-const ASKED_MOST: usize = 16;
-
-/// How a member is set up.
+/// Maximum number of observations that are kept for the daemons, and that are sent in one report.
+const MAX_PENDING_OBSERVATIONS: usize = 256;
+const MAX_OBSERVATIONS_PER_REPORT: usize = 64;
+/// Heartbeats after which a member with a locality closes a connection of an older version, to find out whether the daemon
+/// supports scopes by now. A minute at the default heartbeat.
+const MAX_OLD_VERSION_BEATS: f64 = 120.0;
+/// Maximum number of unanswered reports that are remembered: one more is made each heartbeat.
+const MAX_UNANSWERED_REPORTS: usize = 16;
+
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
     pub name: String,
-    /// The daemons' places, in the order in which they stand in the settings.
+    /// The replica ids of the daemons, in the order of the settings.
     pub daemons: Vec<u16>,
     pub heartbeat: Span,
     pub incarnation: u64,
-    /// Differs between two processes that think they are the same.
+    /// Distinguishes two processes with the same name and incarnation.
     pub process_nonce: u64,
-    /// The version of the settings that it starts with.
+    /// The version of the settings at the start.
     pub version: Version,
-    /// What it may use by its own file.
+    /// The standalone limits of its own configuration file.
     pub limits: Limits,
     pub groups: Vec<String>,
-    /// What it belongs to, by its own file: settings are merged for it by this.
+    /// The locality from its own configuration file, by which its settings are merged.
     pub locality: Option<Locality>,
-    /// The version of its program, or what its file calls it.
+    /// The version of its program, or the one that its configuration file states.
     pub program_version: String,
 }
 
-/// What the host is to do.
+/// Actions for the host process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostAction {
-    /// Open a connection to this place.
+    /// Open a connection to the daemon with this replica id.
     Dial(u16),
     Close,
-    /// Say what this member belongs to.
+    /// Send the locality of this member.
     SendLocality(Locality),
     SendReport(Box<Report>),
-    /// Check these settings whole; act on them if they are well, and say which with `acts_on`.
+    /// Validate these settings as a whole; apply them if they are valid, and confirm with `set_active_version`.
     ApplySettings(Version, String),
-    /// Pass these on to the decisions.
+    /// Hand these observations to the load balancer.
     DeliverObservations(Vec<RelayedObservation>),
-    /// These endpoints, and no others, are out of service whatever the list says.
+    /// Exactly these endpoints are out of service, whatever discovery says.
     SetDrainedEndpoints(Vec<String>),
-    /// A release sends it out, or lets it come back.
+    /// A release drains this member, or lets it serve again.
     SetReleaseDrain(bool),
-    /// Say so in the log, for operators: it is told when it changes.
+    /// Log for operators that this changed.
     DuplicateProcess(bool),
     Superseded(bool),
-    /// Say in the log what was wrong with a part of an answer that is passed over.
+    /// Log what was invalid in the part of an answer that is ignored.
     AnswerError(String),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Link {
-    /// Tried again then.
-    Off(Moment),
-    /// Asked since then, and not up.
-    Dialed(Moment),
-    /// Up; answered then, or up since then.
-    On(Moment),
+    /// Not connected; the next try is at this time.
+    Disconnected(Moment),
+    /// Connecting since this time.
+    Connecting(Moment),
+    /// Connected; the time of the last answer, or of the connect.
+    Connected(Moment),
 }
 
 pub struct Member {
     setup: MemberConfig,
-    chance: Rand64,
-    /// Which of the daemons.
-    at: usize,
+    rng: Rand64,
+    /// The index of the current daemon.
+    daemon_index: usize,
     link: Link,
-    /// The version that the connection speaks, and since when it is up.
-    speaks: u16,
-    up_since: Moment,
-    /// What it acts on was told over a connection that knows no scopes, though it belongs to some.
+    /// The protocol version of the connection, and since when it is established.
+    protocol_version: u16,
+    connected_at: Moment,
+    /// The active settings came over a connection without support for scopes, although the member belongs to some.
     unscoped: bool,
-    /// Since when the daemon that answers knows no leader.
-    leaderless: Option<Moment>,
-    /// Daemons that were tried in vain since one answered.
-    vain: u32,
-    /// Which was lost last, or not reached, and when.
+    /// Since when the current daemon knows no leader.
+    leaderless_since: Option<Moment>,
+    /// Failed connection attempts since the last answer.
+    failed_attempts: u32,
+    /// The daemon that was lost or unreachable last, and when.
     lost: Option<(usize, Moment)>,
     next_beat: Moment,
-    standing: MemberStatus,
-    acts_on: Version,
-    knows: Version,
-    booked: VecDeque<(Moment, Observation)>,
+    status: MemberStatus,
+    active_version: Version,
+    latest_known: Version,
+    pending: VecDeque<(Moment, Observation)>,
     sequence: u64,
-    /// Up to where the daemon that answers now has been told, and up to where it has answered for.
-    told: u64,
-    answered: u64,
+    /// The last sequence that was sent to the current daemon, and the last one that it acknowledged.
+    sent_up_to: u64,
+    acknowledged: u64,
     known: KnownSequences,
-    /// Of the connection that is up.
+    /// The decoder of the current connection.
     decoder: Decoder,
-    catches_up: bool,
-    /// When the latest reports were made.
-    asked: VecDeque<(u64, Moment)>,
-    reports: u64,
-    /// Whether no other process serves this one's address.
+    wants_catch_up: bool,
+    /// The numbers of the latest reports, and when they were made.
+    sent_reports: VecDeque<(u64, Moment)>,
+    report_count: u64,
+    /// Whether no other process serves this member's address.
     pub sole_at_address: bool,
-    /// What it may use of the fleet's budgets.
+    /// What the member may use of the fleet's budgets.
     pub limits: Limits,
-    /// What it has asked for to go out.
+    /// The member's drain requests.
     pub drain_requests: DrainRequests,
-    /// As of when it knows which endpoints are out of service, and where it holds something still.
+    /// The log position up to which it knows which endpoints are out of service, and those that it still uses.
     outs: LogPosition,
     pub endpoints_in_use: Vec<String>,
-    /// Whether a release has sent it out.
+    /// Whether a release drains it.
     sent: bool,
-    /// What it is to look for, by the marks of their names, and how its write-outs there have ended.
-    looks: u64,
-    looked: BTreeMap<u32, (String, RequestCounts)>,
-    /// Of these, what the list does not have as ready.
+    /// The hash of the watch list; the watched endpoints by the hash of their names, with the outcomes of attempts there.
+    watch_list_hash: u64,
+    watched: BTreeMap<u32, (String, RequestCounts)>,
+    /// The watched endpoints that are not ready in the discovery list.
     pub missing_endpoints: Vec<String>,
-    /// How its reqs have ended, and what it has open still.
+    /// Outcomes of its requests, and how many are open.
     pub request_counts: RequestCounts,
     pub open_requests: u64,
-    twin: bool,
+    duplicate_process: bool,
     superseded: bool,
-    /// Counted for operators.
+    /// Statistics for operators.
     pub observations_received: u64,
     pub last_answer_at: Option<Moment>,
 }
 
 impl Member {
     pub fn new(now: Moment, setup: MemberConfig, seed: u64) -> Member {
-        let mut chance = Rand64::new(u128::from(seed));
-        let at = chance.rand_range(0..setup.daemons.len().max(1) as u64) as usize;
-        // Danger: a whole fleet that starts together would ask together.
-        let first = now + setup.heartbeat * chance.rand_float();
+        let mut rng = Rand64::new(u128::from(seed));
+        let daemon_index = rng.rand_range(0..setup.daemons.len().max(1) as u64) as usize;
+        // Danger: members that start together would otherwise all connect at the same time.
+        let first = now + setup.heartbeat * rng.rand_float();
         let (version, limits) = (setup.version, setup.limits.clone());
         Member {
             setup,
-            chance,
-            at,
-            link: Link::Off(first),
-            speaks: VERSION,
-            up_since: first,
+            rng,
+            daemon_index,
+            link: Link::Disconnected(first),
+            protocol_version: VERSION,
+            connected_at: first,
             unscoped: false,
-            leaderless: None,
-            vain: 0,
+            leaderless_since: None,
+            failed_attempts: 0,
             lost: None,
             next_beat: first,
-            standing: MemberStatus::Joining,
-            acts_on: version,
-            knows: version,
-            booked: VecDeque::new(),
+            status: MemberStatus::Joining,
+            active_version: version,
+            latest_known: version,
+            pending: VecDeque::new(),
             sequence: 0,
-            told: 0,
-            answered: 0,
+            sent_up_to: 0,
+            acknowledged: 0,
             known: KnownSequences::default(),
             decoder: Decoder::default(),
-            catches_up: true,
-            asked: VecDeque::new(),
-            reports: 0,
+            wants_catch_up: true,
+            sent_reports: VecDeque::new(),
+            report_count: 0,
             sole_at_address: false,
             limits,
             drain_requests: DrainRequests::default(),
             outs: LogPosition::default(),
             endpoints_in_use: Vec::new(),
             sent: false,
-            looks: 0,
-            looked: BTreeMap::new(),
+            watch_list_hash: 0,
+            watched: BTreeMap::new(),
             missing_endpoints: Vec::new(),
             request_counts: RequestCounts::default(),
             open_requests: 0,
-            twin: false,
+            duplicate_process: false,
             superseded: false,
             observations_received: 0,
             last_answer_at: None,
@@ -203,131 +203,142 @@
     }
 
     pub fn active_version(&self) -> Version {
-        self.acts_on
+        self.active_version
     }
 
     pub fn latest_known(&self) -> Version {
-        self.knows
+        self.latest_known
     }
 
-    /// What it belongs to.
+    /// The locality of the member.
     pub fn locality(&self) -> Option<&Locality> {
         self.setup.locality.as_ref()
     }
 
-    /// Whether what it acts on is not merged for what it belongs to: it was told by a daemon that knows no scopes, and may not
-    /// be kept as if it were.
+    /// Whether the active settings are not merged for the member's locality, as they came from a daemon without support for
+    /// scopes. Such settings must not be stored as merged ones.
     pub fn is_unscoped(&self) -> bool {
         self.unscoped
     }
 
-    /// Whether a connection is up over which something may be asked.
+    /// Whether a connection is established.
     pub fn is_connected(&self) -> bool {
-        matches!(self.link, Link::On(_))
+        matches!(self.link, Link::Connected(_))
     }
 
-    /// The endpoints that it is to look for.
+    /// The endpoints that it watches.
     pub fn watched_endpoints(&self) -> impl Iterator<Item = &String> {
-        self.looked.values().map(|(name, _)| name)
+        self.watched.values().map(|(name, _)| name)
     }
 
-    /// Whether a daemon has answered lately.
+    /// Whether a daemon has answered recently.
     pub fn has_recent_answer(&self, now: Moment) -> bool {
-        self.last_answer_at.is_some_and(|at| now.since(at) <= self.setup.heartbeat * PATIENCE_BEATS)
+        self.last_answer_at.is_some_and(|at| now.since(at) <= self.setup.heartbeat * ANSWER_TIMEOUT_BEATS)
     }
 
-    /// When `due` is to be called at the latest.
+    /// The latest time for the next call of `on_timer`.
     pub fn next_due(&self) -> Moment {
         match self.link {
-            Link::Off(at) => at,
-            Link::Dialed(since) => since + self.patience(),
-            Link::On(heard) => self.next_beat.min(heard + self.patience()).min(self.older_until()),
+            Link::Disconnected(at) => at,
+            Link::Connecting(since) => since + self.answer_timeout(),
+            Link::Connected(heard) => {
+                self.next_beat.min(heard + self.answer_timeout()).min(self.old_version_deadline())
+            }
         }
     }
 
-    /// Until when it stays with a connection that knows no scopes.
-    fn older_until(&self) -> Moment {
-        if self.speaks >= VERSION || self.setup.locality.is_none() {
+    /// When it closes a connection without support for scopes.
+    fn old_version_deadline(&self) -> Moment {
+        if self.protocol_version >= VERSION || self.setup.locality.is_none() {
             return Moment::from_nanos(u64::MAX);
         }
-        self.up_since + self.setup.heartbeat * OLDER_BEATS_MOST
+        self.connected_at + self.setup.heartbeat * MAX_OLD_VERSION_BEATS
     }
 
-    /// Whether it takes settings of the version that it knows once more, merged for what it belongs to.
-    fn asks_anew(&self) -> bool {
-        self.unscoped && self.speaks >= VERSION
+    /// Whether it wants the settings of its latest known version again, merged for its locality.
+    fn wants_settings_again(&self) -> bool {
+        self.unscoped && self.protocol_version >= VERSION
     }
 
-    fn patience(&self) -> Span {
-        self.setup.heartbeat * PATIENCE_BEATS
+    fn answer_timeout(&self) -> Span {
+        self.setup.heartbeat * ANSWER_TIMEOUT_BEATS
     }
 
-    /// Keeps how a write-out ended, for the others.
-    pub fn record_attempt(&mut self, now: Moment, endpoint: u32, method: u32, outcome: u8, part: f32) {
+    /// Records the outcome of an attempt for the other members.
+    pub fn record_attempt(
+        &mut self,
+        now: Moment,
+        endpoint: u32,
+        method: u32,
+        outcome: u8,
+        budget_fraction: f32,
+    ) {
         self.sequence += 1;
-        if let Some((_, figures)) = self.looked.get_mut(&endpoint) {
+        if let Some((_, figures)) = self.watched.get_mut(&endpoint) {
             let served = evidence::outcome_from_code(outcome) == Some(Outcome::Satisfied);
             figures.served += u64::from(served);
             figures.failed += u64::from(!served);
-            figures.slow += u64::from(served && part > 1.0);
+            figures.slow += u64::from(served && budget_fraction > 1.0);
         }
-        let seen = Observation {
-            sequence: self.sequence,
-            age_ms: 0,
-            endpoint,
-            method,
-            outcome,
-            budget_fraction: part,
-        };
-        self.booked.push_back((now, seen));
-        if self.booked.len() > BOOKED_MOST {
-            self.booked.pop_front();
+        let seen =
+            Observation { sequence: self.sequence, age_ms: 0, endpoint, method, outcome, budget_fraction };
+        self.pending.push_back((now, seen));
+        if self.pending.len() > MAX_PENDING_OBSERVATIONS {
+            self.pending.pop_front();
         }
     }
 
-    /// It acts on this version from now on.
+    /// Sets the active version of the settings.
     pub fn set_active_version(&mut self, version: Version) {
-        self.acts_on = self.acts_on.max(version);
-        self.knows = self.knows.max(version);
+        self.active_version = self.active_version.max(version);
+        self.latest_known = self.latest_known.max(version);
     }
 
-    /// How it stands; a change is told at once.
-    pub fn set_status(&mut self, now: Moment, standing: MemberStatus) -> Vec<HostAction> {
-        if std::mem::replace(&mut self.standing, standing) == standing || !matches!(self.link, Link::On(_)) {
+    /// Sets the status; a change is reported at once.
+    pub fn set_status(&mut self, now: Moment, status: MemberStatus) -> Vec<HostAction> {
+        if std::mem::replace(&mut self.status, status) == status || !matches!(self.link, Link::Connected(_)) {
             return Vec::new();
         }
         vec![HostAction::SendReport(self.report(now))]
     }
 
     fn report(&mut self, now: Moment) -> Box<Report> {
-        // Danger: one that was stopped has missed more than a beat, and acts on what is old until it has heard.
-        self.catches_up |= now.since(self.next_beat) > MAX_AGE;
-        self.next_beat = now + self.setup.heartbeat * (0.9 + 0.2 * self.chance.rand_float());
-        while self.booked.front().is_some_and(|(at, _)| now.since(*at) > MAX_AGE) {
-            self.booked.pop_front();
+        // Danger: a process that was stopped has missed observations, and acts on outdated ones until it catches up.
+        self.wants_catch_up |= now.since(self.next_beat) > MAX_AGE;
+        self.next_beat = now + self.setup.heartbeat * (0.9 + 0.2 * self.rng.rand_float());
+        while self.pending.front().is_some_and(|(at, _)| now.since(*at) > MAX_AGE) {
+            self.pending.pop_front();
         }
-        let new = self.booked.iter().filter(|(_, seen)| seen.sequence > self.answered).take(TOLD_MOST);
+        let new = self
+            .pending
+            .iter()
+            .filter(|(_, seen)| seen.sequence > self.acknowledged)
+            .take(MAX_OBSERVATIONS_PER_REPORT);
         let seen: Vec<Observation> = new
             .map(|(at, seen)| Observation { age_ms: (now.since(*at).nanos() / 1_000_000) as u32, ..*seen })
             .collect();
-        self.reports += 1;
-        self.asked.push_back((self.reports, now));
-        if self.asked.len() > ASKED_MOST {
-            self.asked.pop_front();
+        self.report_count += 1;
+        self.sent_reports.push_back((self.report_count, now));
+        if self.sent_reports.len() > MAX_UNANSWERED_REPORTS {
+            self.sent_reports.pop_front();
         }
-        // Danger: what another daemon's scopes make of this version is another text.
-        let (version, knows) = if self.asks_anew() { Default::default() } else { (self.acts_on, self.knows) };
-        self.told = seen.last().map_or(self.answered, |seen| seen.sequence);
+        // Danger: the same version is another text once a daemon with scopes has merged it.
+        let (version, latest_known) = if self.wants_settings_again() {
+            Default::default()
+        } else {
+            (self.active_version, self.latest_known)
+        };
+        self.sent_up_to = seen.last().map_or(self.acknowledged, |seen| seen.sequence);
         Box::new(Report {
             name: self.setup.name.clone(),
             incarnation: self.setup.incarnation,
             process_nonce: self.setup.process_nonce,
-            status: self.standing,
+            status: self.status,
             version,
-            latest_known: knows,
+            latest_known,
             observations: seen,
-            wants_catch_up: self.catches_up,
-            number: self.reports,
+            wants_catch_up: self.wants_catch_up,
+            number: self.report_count,
             usage: self.limits.usage(now),
             groups: self.setup.groups.clone(),
             settled_requests: self.drain_requests.settled(),
@@ -337,187 +348,198 @@
             program_version: self.setup.program_version.clone(),
             request_counts: self.request_counts,
             endpoint_counts: self
-                .looked
+                .watched
                 .values()
                 .filter(|(_, figures)| figures.total() > 0)
                 .cloned()
                 .collect(),
             open_requests: self.open_requests,
             drained_by_release: self.sent,
-            watch_list_hash: self.looks,
+            watch_list_hash: self.watch_list_hash,
             missing_endpoints: self.missing_endpoints.clone(),
         })
     }
 
-    /// The connection that was dialed is up, and speaks this version (`messages::greeted`).
-    pub fn on_connected(&mut self, now: Moment, speaks: u16) -> Vec<HostAction> {
-        if !matches!(self.link, Link::Dialed(_)) {
+    /// The connection is established with this protocol version (`messages::check_hello`).
+    pub fn on_connected(&mut self, now: Moment, protocol_version: u16) -> Vec<HostAction> {
+        if !matches!(self.link, Link::Connecting(_)) {
             return Vec::new();
         }
-        self.link = Link::On(now);
-        (self.speaks, self.up_since) = (speaks, now);
-        // This daemon may be another than the last, and know nothing: what it has heard before, it does not count twice.
-        (self.told, self.answered, self.leaderless) = (0, 0, None);
+        self.link = Link::Connected(now);
+        (self.protocol_version, self.connected_at) = (protocol_version, now);
+        // This daemon may be a different one without earlier observations, so all are sent again; known ones do not count twice.
+        (self.sent_up_to, self.acknowledged, self.leaderless_since) = (0, 0, None);
         self.decoder = Decoder::default();
-        let belongs = self.setup.locality.clone().filter(|_| speaks >= VERSION).map(HostAction::SendLocality);
+        let locality =
+            self.setup.locality.clone().filter(|_| protocol_version >= VERSION).map(HostAction::SendLocality);
         let report = HostAction::SendReport(self.report(now));
-        belongs.into_iter().chain([report]).collect()
+        locality.into_iter().chain([report]).collect()
     }
 
-    /// The connection has ended, or never came up.
+    /// The connection was closed or could not be established.
     pub fn on_disconnected(&mut self, now: Moment) {
-        if matches!(self.link, Link::Off(_)) {
+        if matches!(self.link, Link::Disconnected(_)) {
             return;
         }
-        self.vain += 1;
-        self.lost = Some((self.at, now));
-        self.at = (self.at + 1) % self.setup.daemons.len().max(1);
-        let rounds = self.vain / self.setup.daemons.len().max(1) as u32;
-        let pause = 2.0_f64.powi(rounds.min(10) as i32).min(PAUSE_BEATS_MOST);
-        // All that are not reached are tried in turn soon, then with longer pauses; by chance, as all ask at once.
-        let wait = if rounds == 0 { 0.2 } else { pause } * (0.5 + self.chance.rand_float() / 2.0);
-        self.link = Link::Off(now + self.setup.heartbeat * wait);
-    }
-
-    /// What falls due.
+        self.failed_attempts += 1;
+        self.lost = Some((self.daemon_index, now));
+        self.daemon_index = (self.daemon_index + 1) % self.setup.daemons.len().max(1);
+        let rounds = self.failed_attempts / self.setup.daemons.len().max(1) as u32;
+        let pause = 2.0_f64.powi(rounds.min(10) as i32).min(MAX_PAUSE_BEATS);
+        // In the first round each daemon is tried soon after the other, later with longer pauses; with jitter, as many members
+        // reconnect at once.
+        let wait = if rounds == 0 { 0.2 } else { pause } * (0.5 + self.rng.rand_float() / 2.0);
+        self.link = Link::Disconnected(now + self.setup.heartbeat * wait);
+    }
+
+    /// Handles the timers that are due.
     pub fn on_timer(&mut self, now: Moment) -> Vec<HostAction> {
         match self.link {
-            Link::Off(at) if at <= now => {
-                self.link = Link::Dialed(now);
-                self.setup.daemons.get(self.at).map(|place| HostAction::Dial(*place)).into_iter().collect()
+            Link::Disconnected(at) if at <= now => {
+                self.link = Link::Connecting(now);
+                self.setup
+                    .daemons
+                    .get(self.daemon_index)
+                    .map(|place| HostAction::Dial(*place))
+                    .into_iter()
+                    .collect()
             }
-            Link::Dialed(since) | Link::On(since) if now >= since + self.patience() => {
+            Link::Connecting(since) | Link::Connected(since) if now >= since + self.answer_timeout() => {
                 self.on_disconnected(now);
                 vec![HostAction::Close]
             }
-            Link::On(_) if now >= self.older_until() => {
+            Link::Connected(_) if now >= self.old_version_deadline() => {
                 self.on_disconnected(now);
                 vec![HostAction::Close]
             }
-            Link::On(_) if now >= self.next_beat => vec![HostAction::SendReport(self.report(now))],
+            Link::Connected(_) if now >= self.next_beat => vec![HostAction::SendReport(self.report(now))],
             _ => Vec::new(),
         }
     }
 
-    /// A daemon's answer with coded records. Where these are faulty the rest of it is taken all the same, and the next report asks
-    /// for what has been missed, by dictionaries that begin anew.
+    /// Handles an answer with coded observations. If these are invalid, the rest of the answer is still used, and the next report
+    /// asks for the missed observations, with new dictionaries.
     pub fn on_coded_answer(
         &mut self,
         now: Moment,
-        mut told: ReportAnswer,
+        mut answer: ReportAnswer,
         coded: &CodedRecords,
     ) -> Vec<HostAction> {
-        if !matches!(self.link, Link::On(_)) {
+        if !matches!(self.link, Link::Connected(_)) {
             return Vec::new();
         }
         let fault = match self.decoder.decode(coded) {
             Ok(mut passed) => {
-                passed.append(&mut told.observations);
-                told.observations = passed;
+                passed.append(&mut answer.observations);
+                answer.observations = passed;
                 None
             }
             Err(why) => {
-                // Danger: of one writer only later records count, so those behind would hide the ones that are asked for again.
-                told.observations.clear();
+                // Danger: only increasing sequences of a writer count, so the uncoded rest would hide the records that are requested
+                // again.
+                answer.observations.clear();
                 Some(why)
             }
         };
-        let mut done = self.on_answer(now, told);
+        let mut actions = self.on_answer(now, answer);
         if let Some(why) = fault {
-            self.catches_up = true;
-            done.push(HostAction::AnswerError(why));
+            self.wants_catch_up = true;
+            actions.push(HostAction::AnswerError(why));
         }
-        done
+        actions
     }
 
-    /// A daemon's answer.
-    pub fn on_answer(&mut self, now: Moment, told: ReportAnswer) -> Vec<HostAction> {
-        if !matches!(self.link, Link::On(_)) {
+    /// Handles a daemon's answer.
+    pub fn on_answer(&mut self, now: Moment, answer: ReportAnswer) -> Vec<HostAction> {
+        if !matches!(self.link, Link::Connected(_)) {
             return Vec::new();
         }
-        self.link = Link::On(now);
-        self.answered = self.answered.max(self.told);
-        let mut done = Vec::new();
-        // Danger: a lease that is counted from the answer's arrival outlasts the one that its giver counts.
-        let asked = self.asked.iter().find(|(number, _)| *number == told.number).map(|(_, at)| *at);
-        if let (Some(asked), Some(grants)) = (asked, &told.grants) {
-            self.limits.apply_grants(asked, grants);
+        self.link = Link::Connected(now);
+        self.acknowledged = self.acknowledged.max(self.sent_up_to);
+        let mut actions = Vec::new();
+        // Danger: a lease counted from the arrival of the answer would outlast the one that the leader counts.
+        let asked_at =
+            self.sent_reports.iter().find(|(number, _)| *number == answer.number).map(|(_, at)| *at);
+        if let (Some(asked_at), Some(grants)) = (asked_at, &answer.grants) {
+            self.limits.apply_grants(asked_at, grants);
         }
-        // Danger: a copy that is behind, or a fleet that was put back, would take a member to what it has left behind.
-        if let Some((version, settings)) = told.settings
-            && (version > self.knows || self.asks_anew() && version == self.knows)
+        // Danger: a lagging replica or a restored fleet must not take a member back to an earlier version.
+        if let Some((version, settings)) = answer.settings
+            && (version > self.latest_known || self.wants_settings_again() && version == self.latest_known)
         {
-            self.knows = version;
-            self.unscoped = self.setup.locality.is_some() && self.speaks < VERSION;
-            done.push(HostAction::ApplySettings(version, settings));
+            self.latest_known = version;
+            self.unscoped = self.setup.locality.is_some() && self.protocol_version < VERSION;
+            actions.push(HostAction::ApplySettings(version, settings));
         }
-        if let Some((since, outs)) = told.drained_endpoints
+        if let Some((since, outs)) = answer.drained_endpoints
             && since > self.outs
         {
             self.outs = since;
-            // Until it has looked it may hold something at each of them.
+            // Until the host has checked, each of them may still be in use.
             self.endpoints_in_use.clone_from(&outs);
-            done.push(HostAction::SetDrainedEndpoints(outs));
+            actions.push(HostAction::SetDrainedEndpoints(outs));
         }
-        // Danger: an answer that was held back on its way sends out one whom the fleet has counted as back since.
-        let fresh = asked.is_some_and(|asked| now.since(asked) <= DRAIN_ORDER_MAX_AGE);
-        if let Some(sent) = told.drain_for_release.filter(|sent| fresh && *sent != self.sent) {
+        // Danger: a delayed answer could drain a member that the fleet has counted as serving since.
+        let fresh = asked_at.is_some_and(|asked_at| now.since(asked_at) <= DRAIN_ORDER_MAX_AGE);
+        if let Some(sent) = answer.drain_for_release.filter(|sent| fresh && *sent != self.sent) {
             self.sent = sent;
-            done.push(HostAction::SetReleaseDrain(sent));
+            actions.push(HostAction::SetReleaseDrain(sent));
         }
-        if let Some((looks, names)) = told.watch_list {
-            self.looks = looks;
-            let before = std::mem::take(&mut self.looked);
+        if let Some((watch_list_hash, names)) = answer.watch_list {
+            self.watch_list_hash = watch_list_hash;
+            let before = std::mem::take(&mut self.watched);
             let row = |name: String| {
                 let mark = ids::mark(&name);
                 (mark, before.get(&mark).cloned().unwrap_or((name, RequestCounts::default())))
             };
-            self.looked = names.into_iter().map(row).collect();
+            self.watched = names.into_iter().map(row).collect();
         }
         let known = &mut self.known;
-        let new = told.observations.into_iter().filter(|passed| {
+        let new = answer.observations.into_iter().filter(|passed| {
             let RelayedObservation { writer, incarnation, observation: seen } = passed;
             known.insert_if_new(*writer, *incarnation, seen.sequence)
         });
         let new: Vec<RelayedObservation> = new.collect();
         if !new.is_empty() {
             self.observations_received += new.len() as u64;
-            done.push(HostAction::DeliverObservations(new));
+            actions.push(HostAction::DeliverObservations(new));
         }
-        if std::mem::replace(&mut self.twin, told.duplicate_process) != told.duplicate_process {
-            done.push(HostAction::DuplicateProcess(told.duplicate_process));
+        if std::mem::replace(&mut self.duplicate_process, answer.duplicate_process)
+            != answer.duplicate_process
+        {
+            actions.push(HostAction::DuplicateProcess(answer.duplicate_process));
         }
-        if std::mem::replace(&mut self.superseded, told.superseded) != told.superseded {
-            done.push(HostAction::Superseded(told.superseded));
+        if std::mem::replace(&mut self.superseded, answer.superseded) != answer.superseded {
+            actions.push(HostAction::Superseded(answer.superseded));
         }
-        // Danger: a daemon that is cut off from the others reaches members all the same, and knows nothing new.
-        let led = told.is_leader || told.leader.is_some();
-        let since = *self.leaderless.get_or_insert(now);
+        // Danger: a daemon that is partitioned from the others may still reach members, but has no new state.
+        let led = answer.is_leader || answer.leader.is_some();
+        let since = *self.leaderless_since.get_or_insert(now);
         if led {
-            self.leaderless = None;
+            self.leaderless_since = None;
         }
-        if told.excluded || !led && now.since(since) >= self.patience() {
+        if answer.excluded || !led && now.since(since) >= self.answer_timeout() {
             self.on_disconnected(now);
-            done.push(HostAction::Close);
-            return done;
+            actions.push(HostAction::Close);
+            return actions;
         }
-        (self.vain, self.last_answer_at, self.catches_up) = (0, Some(now), false);
-        // Whether it is there is the leader's to know.
-        let leader = told.leader.filter(|_| !told.is_leader);
-        // Danger: followers name a leader that was killed until the next one is elected. A fleet that goes to it at each word
-        // dials some ten times a second a member, and keeps those who elect busy with it.
+        (self.failed_attempts, self.last_answer_at, self.wants_catch_up) = (0, Some(now), false);
+        // Only the leader tracks which members are present, so the member moves to it.
+        let leader = answer.leader.filter(|_| !answer.is_leader);
+        // Danger: followers name a killed leader until the next one is elected. Members that followed each such hint would dial
+        // some ten times a second each, and keep the electing daemons busy.
         let lost = self.lost.filter(|(_, at)| now.since(*at) < self.setup.heartbeat * UNREACHED_BEATS);
         if let Some(leader) =
             leader.and_then(|leader| self.setup.daemons.iter().position(|place| *place == leader))
-            && leader != self.at
-            && lost.is_none_or(|(at, _)| at != leader)
+            && leader != self.daemon_index
+            && lost.is_none_or(|(daemon_index, _)| daemon_index != leader)
         {
-            self.at = leader;
-            self.link = Link::Dialed(now);
-            done.push(HostAction::Close);
-            done.push(HostAction::Dial(self.setup.daemons[leader]));
+            self.daemon_index = leader;
+            self.link = Link::Connecting(now);
+            actions.push(HostAction::Close);
+            actions.push(HostAction::Dial(self.setup.daemons[leader]));
         }
-        done
+        actions
     }
 }
 
@@ -553,8 +575,8 @@
         use crate::limits::Grant;
         let mut member = member();
         on(&mut member, BEAT);
-        let done = member.on_timer(at(2 * BEAT + 60));
-        let [HostAction::SendReport(report)] = &done[..] else { panic!("{done:?}") };
+        let actions = member.on_timer(at(2 * BEAT + 60));
+        let [HostAction::SendReport(report)] = &actions[..] else { panic!("{actions:?}") };
         let of = Resource::Attempts;
         let budget = Budget {
             resource: of,
@@ -566,17 +588,17 @@
         };
         let since = LogPosition { generation: 0, index: 7 };
         let grants = Some(vec![Grant { budget, share: 9, since, lease_ms: 1000 }]);
-        // The answer is late by most of its lease.
-        let told = ReportAnswer {
+        // The answer is delayed by most of its lease.
+        let answer = ReportAnswer {
             number: report.number,
             grants: grants.clone(),
             is_leader: true,
             ..ReportAnswer::default()
         };
-        member.on_answer(at(2 * BEAT + 900), told);
+        member.on_answer(at(2 * BEAT + 900), answer);
         assert_eq!(member.limits.allowed(at(2 * BEAT + 1000), of), Some(10));
         assert_eq!(member.limits.allowed(at(2 * BEAT + 1041), of), Some(1));
-        // An answer to nothing that it asked grants nothing.
+        // An answer to an unknown report grants nothing.
         member.on_answer(
             at(2 * BEAT + 1042),
             ReportAnswer { number: 99, grants, is_leader: true, ..ReportAnswer::default() },
@@ -588,43 +610,44 @@
     fn a_word_that_was_held_back_on_its_way_sends_nobody_out() {
         let mut member = member();
         on(&mut member, BEAT);
-        let mut asked = |ms: u64| match &member.on_timer(at(ms))[..] {
+        let mut report_number = |ms: u64| match &member.on_timer(at(ms))[..] {
             [HostAction::SendReport(report)] => report.number,
             other => panic!("{other:?}"),
         };
-        let (early, late) = (asked(2 * BEAT + 60), asked(3 * BEAT + 120));
-        let told = |number| ReportAnswer {
+        let (early, late) = (report_number(2 * BEAT + 60), report_number(3 * BEAT + 120));
+        let answer = |number| ReportAnswer {
             number,
             drain_for_release: Some(true),
             is_leader: true,
             ..ReportAnswer::default()
         };
-        let sent =
-            |done: &[HostAction]| done.iter().any(|what| matches!(what, HostAction::SetReleaseDrain(true)));
+        let sent = |actions: &[HostAction]| {
+            actions.iter().any(|what| matches!(what, HostAction::SetReleaseDrain(true)))
+        };
         let fresh = DRAIN_ORDER_MAX_AGE.nanos() / 1_000_000;
-        assert!(!sent(&member.on_answer(at(2 * BEAT + 61 + fresh), told(early))));
-        assert!(sent(&member.on_answer(at(2 * BEAT + 62 + fresh), told(late))));
+        assert!(!sent(&member.on_answer(at(2 * BEAT + 61 + fresh), answer(early))));
+        assert!(sent(&member.on_answer(at(2 * BEAT + 62 + fresh), answer(late))));
     }
 
     fn number(number: u64) -> Version {
         Version { generation: 0, number }
     }
 
-    fn dialed(done: &[HostAction]) -> u16 {
-        match done {
+    fn dialed(actions: &[HostAction]) -> u16 {
+        match actions {
             [HostAction::Dial(place)] => *place,
             other => panic!("{other:?}"),
         }
     }
 
-    /// A member that was answered by this place, which leads.
+    /// Connects a member to a daemon that answers as the leader.
     fn on(member: &mut Member, ms: u64) {
         dialed(&member.on_timer(at(ms)));
         assert!(
             matches!(&member.on_connected(at(ms), VERSION)[..], [HostAction::SendReport(report)] if report.wants_catch_up)
         );
-        let told = ReportAnswer { is_leader: true, ..ReportAnswer::default() };
-        assert_eq!(member.on_answer(at(ms), told), []);
+        let answer = ReportAnswer { is_leader: true, ..ReportAnswer::default() };
+        assert_eq!(member.on_answer(at(ms), answer), []);
     }
 
     #[test]
@@ -635,7 +658,7 @@
         member.on_disconnected(at(BEAT));
         let second = dialed(&member.on_timer(at(2 * BEAT)));
         assert_ne!(first, second);
-        // It hangs: after some beats another is asked.
+        // It does not answer: after some heartbeats another is tried.
         assert_eq!(member.on_timer(at(4 * BEAT)), []);
         assert_eq!(member.on_timer(at(5 * BEAT)), [HostAction::Close]);
         let third = dialed(&member.on_timer(at(7 * BEAT)));
@@ -646,10 +669,10 @@
             [HostAction::Close, HostAction::Dial(first)]
         );
         assert_ne!(third, first);
-        // A daemon that does not serve is left, whatever it says.
+        // A daemon that does not serve members is left, whatever else it answers.
         member.on_connected(at(8 * BEAT), VERSION);
-        let told = ReportAnswer { excluded: true, is_leader: true, ..ReportAnswer::default() };
-        assert_eq!(member.on_answer(at(8 * BEAT), told), [HostAction::Close]);
+        let answer = ReportAnswer { excluded: true, is_leader: true, ..ReportAnswer::default() };
+        assert_eq!(member.on_answer(at(8 * BEAT), answer), [HostAction::Close]);
     }
 
     #[test]
@@ -664,7 +687,7 @@
             assert!(now < 20 * BEAT, "it stays for ever");
         }
         assert!(now >= 5 * BEAT, "an election takes its time");
-        // One that leads again in between is stayed with.
+        // A daemon that leads again in between is kept.
         dialed(&member.on_timer(at(now + BEAT)));
         member.on_connected(at(now + BEAT), VERSION);
         member.on_answer(at(now + BEAT), alone());
@@ -700,10 +723,10 @@
         };
         assert_eq!(tell(&mut member, 3), [HostAction::ApplySettings(number(3), "v3".into())]);
         member.set_active_version(number(3));
-        // A daemon that is behind.
+        // A lagging daemon.
         assert_eq!(tell(&mut member, 2), []);
         assert_eq!(tell(&mut member, 3), []);
-        // The host finds this one faulty: it acts on what it has, and says which that is.
+        // The host rejects this one as invalid: the member keeps the active version, and reports both.
         assert_eq!(tell(&mut member, 4).len(), 1);
         let report = member.report(at(3 * BEAT));
         assert_eq!((report.version, report.latest_known), (number(3), number(4)));
@@ -715,12 +738,12 @@
         on(&mut member, BEAT);
         (0..100).for_each(|endpoint| member.record_attempt(at(BEAT), endpoint, 1, 0, 0.5));
         let sent = |member: &mut Member, ms| {
-            let done = member.on_timer(at(ms));
-            let [HostAction::SendReport(report)] = &done[..] else { panic!("{done:?}") };
+            let actions = member.on_timer(at(ms));
+            let [HostAction::SendReport(report)] = &actions[..] else { panic!("{actions:?}") };
             report.observations.iter().map(|seen| seen.sequence).collect::<Vec<_>>()
         };
         let first = sent(&mut member, 2 * BEAT + 60);
-        assert_eq!((first.len(), first[0]), (TOLD_MOST, 1));
+        assert_eq!((first.len(), first[0]), (MAX_OBSERVATIONS_PER_REPORT, 1));
         // The answer was lost.
         assert_eq!(sent(&mut member, 2 * BEAT + 660), first);
         member.on_answer(at(2 * BEAT + 661), ReportAnswer { is_leader: true, ..ReportAnswer::default() });
@@ -729,7 +752,7 @@
         dialed(&member.on_timer(at(7 * BEAT)));
         let HostAction::SendReport(report) = &member.on_connected(at(7 * BEAT), VERSION)[0] else { panic!() };
         assert_eq!(report.observations[0].sequence, 1);
-        // What is old is told to nobody.
+        // Expired observations are not sent.
         member.on_disconnected(at(60 * BEAT));
         dialed(&member.on_timer(at(61 * BEAT)));
         let HostAction::SendReport(report) = &member.on_connected(at(61 * BEAT), VERSION)[0] else {
@@ -745,14 +768,14 @@
         let seen =
             Observation { sequence: 1, age_ms: 0, endpoint: 9, method: 1, outcome: 1, budget_fraction: 0.1 };
         let passed = vec![RelayedObservation { writer: 3, incarnation: 1, observation: seen }; 2];
-        let told = ReportAnswer { observations: passed, is_leader: true, ..ReportAnswer::default() };
-        let done = member.on_answer(at(2 * BEAT), told.clone());
+        let answer = ReportAnswer { observations: passed, is_leader: true, ..ReportAnswer::default() };
+        let actions = member.on_answer(at(2 * BEAT), answer.clone());
         assert!(
-            matches!(&done[..], [HostAction::DeliverObservations(passed)] if passed.len() == 1),
-            "{done:?}"
+            matches!(&actions[..], [HostAction::DeliverObservations(passed)] if passed.len() == 1),
+            "{actions:?}"
         );
-        assert_eq!(member.on_answer(at(2 * BEAT), told), []);
-        // A minute passes between two beats: it was stopped. The link is left first, as nothing was heard.
+        assert_eq!(member.on_answer(at(2 * BEAT), answer), []);
+        // A minute passes between two heartbeats: the process was stopped. It first closes the connection, as no answer came.
         assert_eq!(member.on_timer(at(120_000)), [HostAction::Close]);
         dialed(&member.on_timer(at(121_000)));
         assert!(
@@ -764,9 +787,13 @@
     fn twins_and_followers_are_told_of_once() {
         let mut member = member();
         on(&mut member, BEAT);
-        let twin = ReportAnswer { duplicate_process: true, is_leader: true, ..ReportAnswer::default() };
-        assert_eq!(member.on_answer(at(2 * BEAT), twin.clone()), [HostAction::DuplicateProcess(true)]);
-        assert_eq!(member.on_answer(at(2 * BEAT), twin), []);
+        let duplicate_process =
+            ReportAnswer { duplicate_process: true, is_leader: true, ..ReportAnswer::default() };
+        assert_eq!(
+            member.on_answer(at(2 * BEAT), duplicate_process.clone()),
+            [HostAction::DuplicateProcess(true)]
+        );
+        assert_eq!(member.on_answer(at(2 * BEAT), duplicate_process), []);
         let alone = ReportAnswer { is_leader: true, superseded: true, ..ReportAnswer::default() };
         assert_eq!(
             member.on_answer(at(2 * BEAT), alone),
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,23 +1,23 @@
-//! Members and how they stand, as the fleet has agreed on it.
+//! Members and their status in the replicated state.
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes that a name, a person or a reason may have.
+/// Maximum size of a name, an author or a reason, in bytes.
 pub const MAX_TEXT_BYTES: usize = 256;
-/// Groups that a member may belong to: its zone, tier and pool, and some.
+/// Maximum number of groups of a member: its zone, tier and pool, and a few more.
 pub const MAX_GROUPS: usize = 8;
 
-/// How a member stands.
+/// The status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberStatus {
     Joining,
     Serving,
-    /// It turns clients away by an operator's word, and may take them again.
+    /// It turns clients away because an operator drained it, and may accept them again.
     Drained,
     Leaving,
-    /// Not heard for a lease.
+    /// Without a report for a lease.
     Silent,
-    /// It has said that it ends, or an operator or a long silence has said so for it.
+    /// It reported that it ends, an operator confirmed that it has ended, or it was silent for long.
     Gone,
 }
 
@@ -39,8 +39,8 @@
     pub incarnation: u64,
     pub status: MemberStatus,
     pub groups: Vec<String>,
-    /// The ask by which it may be out.
+    /// The drain request that it has permission for.
     pub drain_request: Option<u64>,
-    /// A release has sent it out.
+    /// A release drains it.
     pub drained_by_release: bool,
 }
--- a/crates/fleet/src/release_runner.rs
+++ b/crates/fleet/src/release_runner.rs
@@ -1,5 +1,5 @@
-//! How a leader carries a release on: its own memory, by its own clock. All that it finds becomes entries of the log, and
-//! `releases` keeps the order whatever it finds. Under another leader all waits begin anew.
+//! Drives releases on the leader. This state is local to the leader and uses its clock; its decisions become log entries, and
+//! `releases` enforces the order of steps whatever is decided here. After a change of leader all timeouts start again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,51 +14,51 @@
 };
 use crate::state::Fleet;
 
-/// How long a member takes a daemon's word that it is sent out, from before it asked. One that is not to go after all may
-/// drain still for so long.
+/// How long a member obeys an order to drain, counted from before it sent the report that the order answers. A member whose
+/// drain is cancelled may still start to drain for this long.
 pub const DRAIN_ORDER_MAX_AGE: Span = Span::from_millis(2000);
-/// After which an order that has not shown is proposed again: several commits.
-const AGAIN: Span = Span::from_millis(1000);
-/// How long what members count is kept at the least: what the group did before a release is taken from that.
-const HORIZON: Span = Span::from_millis(60_000);
-/// Looks at what members count within that.
-const LOOKS: f64 = 240.0;
-/// How much longer than its time an action's agent may be silent: an election or two.
-const SILENT_MORE: Span = Span::from_millis(5000);
+/// A proposal that was not applied within this time is repeated: several commits.
+const RETRY_AFTER: Span = Span::from_millis(1000);
+/// Minimum time for which request counts are kept: the baseline of a release is taken from them.
+const MIN_HISTORY: Span = Span::from_millis(60_000);
+/// Samples of the request counts within that time.
+const SAMPLES: f64 = 240.0;
+/// How long after the timeout of an action its agent may stay silent: an election or two.
+const AGENT_GRACE: Span = Span::from_millis(5000);
 
-/// What one has counted, summed over its processes, at some moments.
+/// Samples of the request counts of one target, summed over its processes.
 #[derive(Clone, Debug, Default)]
 struct Series {
-    /// By who told it: which process of it, and what that had counted.
+    /// By reporting member: the incarnation, and its last counts.
     last: BTreeMap<String, (u64, RequestCounts)>,
     sum: RequestCounts,
-    looks: VecDeque<(Moment, RequestCounts)>,
+    samples: VecDeque<(Moment, RequestCounts)>,
 }
 
 impl Series {
-    fn hear(&mut self, from: &str, incarnation: u64, figures: &RequestCounts) {
-        let before = self.last.insert(from.to_string(), (incarnation, *figures));
-        let more = match before {
-            Some((same, before)) if same == incarnation => figures.since(&before),
-            // A process that has just started counts from nought.
-            Some(_) => *figures,
-            // Danger: what came before this leader heard of it is not of the time that it judges.
+    fn add_report(&mut self, from: &str, incarnation: u64, counts: &RequestCounts) {
+        let previous = self.last.insert(from.to_string(), (incarnation, *counts));
+        let added = match previous {
+            Some((same, previous)) if same == incarnation => counts.since(&previous),
+            // A process that has just started counts from zero.
+            Some(_) => *counts,
+            // Danger: requests from before this leader's first report of it are not in the time that it judges.
             None => RequestCounts::default(),
         };
-        self.sum.add(&more);
+        self.sum.add(&added);
     }
 
-    fn look(&mut self, now: Moment, horizon: Span) {
-        self.looks.push_back((now, self.sum));
-        while self.looks.len() > 2 && now.since(self.looks[1].0) > horizon {
-            self.looks.pop_front();
+    fn sample(&mut self, now: Moment, horizon: Span) {
+        self.samples.push_back((now, self.sum));
+        while self.samples.len() > 2 && now.since(self.samples[1].0) > horizon {
+            self.samples.pop_front();
         }
     }
 
-    /// What came since this moment, up to the last look.
+    /// The counts from this moment up to the last sample.
     fn since(&self, from: Moment) -> RequestCounts {
-        let at = self.looks.partition_point(|(at, _)| *at < from);
-        match (self.looks.get(at), self.looks.back()) {
+        let at = self.samples.partition_point(|(at, _)| *at < from);
+        match (self.samples.get(at), self.samples.back()) {
             (Some((_, first)), Some((_, last))) => last.since(first),
             _ => RequestCounts::default(),
         }
@@ -67,47 +67,47 @@
 
 #[derive(Clone, Debug)]
 pub struct ReleaseRunner {
-    /// Since when one is in the stage that it is in, by release and name; and since when one is moved.
+    /// By release and target: the current transition, and since when it is in its stage; or since when there is none.
     seen: BTreeMap<(String, String), (Option<Transition>, Moment)>,
     halted: BTreeMap<String, Moment>,
     members: BTreeMap<String, Series>,
     endpoints: BTreeMap<String, Series>,
-    looked: Option<Moment>,
+    sampled_at: Option<Moment>,
     proposed: BTreeMap<(String, String), (ReleaseUpdate, Moment)>,
 }
 
-/// What one look at a release came to.
-enum Found {
-    Order(String, ReleaseUpdate),
+/// The result of examining a release.
+enum Step {
+    Update(String, ReleaseUpdate),
     Halt(String, bool),
 }
 
 impl ReleaseRunner {
-    /// The memory of one that leads from now on.
+    /// The state of a new leader.
     pub fn new() -> ReleaseRunner {
         ReleaseRunner {
             seen: BTreeMap::new(),
             halted: BTreeMap::new(),
             members: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            looked: None,
+            sampled_at: None,
             proposed: BTreeMap::new(),
         }
     }
 
-    /// What a group did within the last minute, or as long as this leader has heard it.
-    pub fn baseline(&self, now: Moment, fleet: &Fleet, group: &str, moves: TargetKind) -> RequestCounts {
-        self.sum(moves, of_group(fleet, group, moves), ago(now, HORIZON))
+    /// The request counts of a group in the last minute, or since this leader began.
+    pub fn baseline(&self, now: Moment, fleet: &Fleet, group: &str, kind: TargetKind) -> RequestCounts {
+        self.sum(kind, group_targets(fleet, group, kind), ago(now, MIN_HISTORY))
     }
 
-    /// What these have counted together since a moment.
+    /// The sum of the counts of these targets since a moment.
     fn sum<'a>(
         &self,
-        moves: TargetKind,
+        kind: TargetKind,
         names: impl IntoIterator<Item = &'a String>,
         from: Moment,
     ) -> RequestCounts {
-        let series = match moves {
+        let series = match kind {
             TargetKind::Sidecars => &self.members,
             TargetKind::Endpoints => &self.endpoints,
         };
@@ -118,210 +118,224 @@
         sum
     }
 
-    fn look(&mut self, now: Moment, fleet: &Fleet, heard: &MemberTracker) -> bool {
+    fn sample(&mut self, now: Moment, fleet: &Fleet, tracker: &MemberTracker) -> bool {
         let longest = fleet.releases().iter().filter(|(_, release)| !release.is_ended());
         let longest = longest.map(|(_, r)| Span::from_millis(r.plan.settle_ms + r.plan.max_watch_ms)).max();
-        let horizon = longest.unwrap_or(HORIZON).max(HORIZON);
-        if self.looked.is_some_and(|at| now.since(at) < horizon * (1.0 / LOOKS)) {
+        let horizon = longest.unwrap_or(MIN_HISTORY).max(MIN_HISTORY);
+        if self.sampled_at.is_some_and(|at| now.since(at) < horizon * (1.0 / SAMPLES)) {
             return false;
         }
-        self.looked = Some(now);
-        for (name, last) in heard.last_reports() {
-            self.members.entry(name.clone()).or_default().hear(name, last.incarnation, &last.request_counts);
-            for (endpoint, figures) in &last.endpoint_counts {
-                self.endpoints.entry(endpoint.clone()).or_default().hear(name, last.incarnation, figures);
+        self.sampled_at = Some(now);
+        for (name, last) in tracker.last_reports() {
+            self.members.entry(name.clone()).or_default().add_report(
+                name,
+                last.incarnation,
+                &last.request_counts,
+            );
+            for (endpoint, counts) in &last.endpoint_counts {
+                self.endpoints.entry(endpoint.clone()).or_default().add_report(
+                    name,
+                    last.incarnation,
+                    counts,
+                );
             }
         }
         self.members.retain(|name, _| fleet.members().contains_key(name));
         let listed: BTreeSet<&String> = fleet.watched_endpoints().collect();
         self.endpoints.retain(|name, _| listed.contains(name));
-        self.members.values_mut().chain(self.endpoints.values_mut()).for_each(|s| s.look(now, horizon));
+        self.members.values_mut().chain(self.endpoints.values_mut()).for_each(|s| s.sample(now, horizon));
         true
     }
 
-    /// What is to be proposed now.
-    pub fn proposals(&mut self, now: Moment, fleet: &Fleet, heard: &MemberTracker) -> Vec<ReleaseUpdate> {
-        let looked = self.look(now, fleet, heard);
-        let mut orders = Vec::new();
+    /// The updates to propose now.
+    pub fn proposals(&mut self, now: Moment, fleet: &Fleet, tracker: &MemberTracker) -> Vec<ReleaseUpdate> {
+        let sampled = self.sample(now, fleet, tracker);
+        let mut updates = Vec::new();
         let releases = fleet.releases();
         self.seen.retain(|(name, _), _| releases.get(name).is_some_and(|release| !release.is_ended()));
         self.halted.retain(|name, _| releases.get(name).is_some_and(|r| r.state == ReleaseState::Halted));
         for (name, release) in releases.iter().filter(|(_, release)| !release.is_ended()) {
-            for (who, step) in &release.steps {
-                let seen = self.seen.entry((name.clone(), who.clone())).or_insert((step.transition, now));
+            for (target, step) in &release.steps {
+                let seen = self.seen.entry((name.clone(), target.clone())).or_insert((step.transition, now));
                 if seen.0 != step.transition {
                     *seen = (step.transition, now);
                 }
             }
-            let found = match release.state {
-                ReleaseState::Halted => self.halted(now, name, release, fleet, heard),
-                _ => self.runs(now, name, release, fleet, heard, looked),
+            let steps = match release.state {
+                ReleaseState::Halted => self.halted_steps(now, name, release, fleet, tracker),
+                _ => self.active_steps(now, name, release, fleet, tracker, sampled),
             };
-            for found in found {
-                let (who, order) = match found {
-                    Found::Order(who, order) => (who, order),
-                    Found::Halt(why, worse) => {
+            for step in steps {
+                let (target, update) = match step {
+                    Step::Update(target, update) => (target, update),
+                    Step::Halt(why, worse) => {
                         (String::new(), ReleaseUpdate::Halt { release: name.clone(), why, worse })
                     }
                 };
-                let of = (name.clone(), who);
-                let waits =
-                    self.proposed.get(&of).is_some_and(|(was, at)| *was == order && now.since(*at) < AGAIN);
+                let of = (name.clone(), target);
+                let waits = self
+                    .proposed
+                    .get(&of)
+                    .is_some_and(|(was, at)| *was == update && now.since(*at) < RETRY_AFTER);
                 if !waits {
-                    self.proposed.insert(of, (order.clone(), now));
-                    orders.push(order);
+                    self.proposed.insert(of, (update.clone(), now));
+                    updates.push(update);
                 }
             }
         }
-        orders
+        updates
     }
 
-    fn since(&self, name: &str, who: &str, now: Moment) -> Span {
-        let seen = self.seen.get(&(name.to_string(), who.to_string()));
+    fn time_in_stage(&self, name: &str, target: &str, now: Moment) -> Span {
+        let seen = self.seen.get(&(name.to_string(), target.to_string()));
         seen.map_or(Span::ZERO, |(_, at)| now.since(*at))
     }
 
-    /// A release that halted sends nobody out, and lets those under way come back.
-    fn halted(
+    /// A halted release begins no transitions, and ends those in progress once their targets serve again.
+    fn halted_steps(
         &mut self,
         now: Moment,
         name: &str,
         release: &Release,
         fleet: &Fleet,
-        heard: &MemberTracker,
-    ) -> Vec<Found> {
+        tracker: &MemberTracker,
+    ) -> Vec<Step> {
         let since = *self.halted.entry(name.to_string()).or_insert(now);
-        // Danger: one that was told to go out by an answer on its way still drains after it was counted as back.
+        // Danger: a member that gets a delayed order to drain would do so after it was counted as serving.
         let settled = now.since(since) >= DRAIN_ORDER_MAX_AGE * (1.0 + MAX_CLOCK_DRIFT);
-        let mut found = Vec::new();
-        for (who, going) in release.transitions() {
-            let moved = match release.plan.target_kind {
+        let mut steps = Vec::new();
+        for (target, transition) in release.transitions() {
+            let reached = match release.plan.target_kind {
                 TargetKind::Sidecars => {
-                    let Some(last) = heard.serving(now, fleet, who).filter(|last| !last.drained_by_release)
+                    let Some(last) =
+                        tracker.serving(now, fleet, target).filter(|last| !last.drained_by_release)
                     else {
                         continue;
                     };
-                    let later = last.incarnation > going.incarnation;
-                    if going.stage == Stage::ActionRunning && !later {
+                    let later = last.incarnation > transition.incarnation;
+                    if transition.stage == Stage::ActionRunning && !later {
                         continue;
                     }
-                    last.program_version == release.plan.version_on(going.to)
+                    last.program_version == release.plan.version_on(transition.to)
                 }
-                // Whether an action on an endpoint took place nobody tells but its agent.
-                TargetKind::Endpoints if going.stage == Stage::ActionRunning => continue,
-                TargetKind::Endpoints => going.stage >= Stage::ActionDone,
+                // Only the agent knows whether an action on an endpoint has taken place.
+                TargetKind::Endpoints if transition.stage == Stage::ActionRunning => continue,
+                TargetKind::Endpoints => transition.stage >= Stage::ActionDone,
             };
             if settled {
-                found.push(settle(name, who, going, moved));
+                steps.push(finish(name, target, transition, reached));
             }
         }
-        let by_itself = match release.plan.rollback {
+        let automatic = match release.plan.rollback {
             RollbackPolicy::Never => false,
             RollbackPolicy::Always => true,
             RollbackPolicy::WhenWorse => release.halted.as_ref().is_some_and(|(_, worse)| *worse),
         };
-        let goes = release.rollback_pending || by_itself && !release.rolled_back;
-        if goes && release.transitions().next().is_none() {
-            found.push(Found::Order(String::new(), ReleaseUpdate::Rollback(name.to_string())));
+        let rolls_back = release.rollback_pending || automatic && !release.rolled_back;
+        if rolls_back && release.transitions().next().is_none() {
+            steps.push(Step::Update(String::new(), ReleaseUpdate::Rollback(name.to_string())));
         }
-        found
+        steps
     }
 
-    fn runs(
+    fn active_steps(
         &self,
         now: Moment,
         name: &str,
         release: &Release,
         fleet: &Fleet,
-        heard: &MemberTracker,
-        looked: bool,
-    ) -> Vec<Found> {
+        tracker: &MemberTracker,
+        sampled: bool,
+    ) -> Vec<Step> {
         let plan = &release.plan;
-        let mut found = Vec::new();
-        let verdict = if looked { Some(self.verdict(now, name, release, fleet)) } else { None };
+        let mut steps = Vec::new();
+        let verdict = if sampled { Some(self.verdict(now, name, release, fleet)) } else { None };
         if let Some(Verdict::Worse(why)) = &verdict {
-            return vec![Found::Halt(why.clone(), true)];
+            return vec![Step::Halt(why.clone(), true)];
         }
         if let Some(Verdict::Outage(why)) = &verdict {
-            return vec![Found::Halt(why.clone(), false)];
+            return vec![Step::Halt(why.clone(), false)];
         }
         if release.state == ReleaseState::RollingOut
-            && let Some(why) = exceeded(fleet, heard, release)
+            && let Some(why) = exceeded_limit(fleet, tracker, release)
         {
-            return vec![Found::Halt(why, false)];
+            return vec![Step::Halt(why, false)];
         }
-        for (who, going) in release.transitions() {
-            let took = self.since(name, who, now);
-            let over = |ms: u64| took > Span::from_millis(ms);
-            let further = |to| {
-                let (release, who, since, agent) =
-                    (name.to_string(), who.clone(), going.started_at, going.agent);
-                Found::Order(
-                    who.clone(),
-                    ReleaseUpdate::AdvanceTransition { release, target: who, started_at: since, to, agent },
+        for (target, transition) in release.transitions() {
+            let elapsed = self.time_in_stage(name, target, now);
+            let exceeds = |ms: u64| elapsed > Span::from_millis(ms);
+            let advance = |to| {
+                let (release, target, started_at, agent) =
+                    (name.to_string(), target.clone(), transition.started_at, transition.agent);
+                Step::Update(
+                    target.clone(),
+                    ReleaseUpdate::AdvanceTransition { release, target, started_at, to, agent },
                 )
             };
-            let back = || match plan.target_kind {
-                TargetKind::Endpoints => Ok(going.stage == Stage::ActionDone),
+            let returned = || match plan.target_kind {
+                TargetKind::Endpoints => Ok(transition.stage == Stage::ActionDone),
                 TargetKind::Sidecars => {
-                    let last = heard.serving(now, fleet, who);
-                    let Some(last) = last.filter(|last| last.incarnation > going.incarnation) else {
+                    let last = tracker.serving(now, fleet, target);
+                    let Some(last) = last.filter(|last| last.incarnation > transition.incarnation) else {
                         return Ok(false);
                     };
-                    let wanted = plan.version_on(going.to);
+                    let wanted = plan.version_on(transition.to);
                     match last.program_version == wanted {
                         true => Ok(true),
                         false => Err(format!(
-                            "{who} came back with {}, {wanted} was expected",
+                            "{target} came back with {}, {wanted} was expected",
                             last.program_version
                         )),
                     }
                 }
             };
-            match going.stage {
-                Stage::Draining if self.is_empty(now, release, who, going, fleet, heard) => {
-                    found.push(further(Stage::Drained));
+            match transition.stage {
+                Stage::Draining if self.is_empty(now, release, target, transition, fleet, tracker) => {
+                    steps.push(advance(Stage::Drained));
                 }
-                Stage::Draining if over(plan.drain_timeout_ms) => {
-                    return vec![Found::Halt(
-                        format!("{who} is not empty after {} ms", plan.drain_timeout_ms),
+                Stage::Draining if exceeds(plan.drain_timeout_ms) => {
+                    return vec![Step::Halt(
+                        format!("{target} is not empty after {} ms", plan.drain_timeout_ms),
                         false,
                     )];
                 }
                 Stage::Drained | Stage::ActionDone
-                    if going.stage == Stage::ActionDone || plan.action.is_none() =>
+                    if transition.stage == Stage::ActionDone || plan.action.is_none() =>
                 {
-                    match back() {
-                        Ok(true) => found.push(further(Stage::Watched)),
-                        Ok(false) if over(plan.return_timeout_ms) => {
-                            let why = format!("{who} is not back after {} ms", plan.return_timeout_ms);
-                            return vec![Found::Halt(why, false)];
+                    match returned() {
+                        Ok(true) => steps.push(advance(Stage::Watched)),
+                        Ok(false) if exceeds(plan.return_timeout_ms) => {
+                            let why = format!("{target} is not back after {} ms", plan.return_timeout_ms);
+                            return vec![Step::Halt(why, false)];
                         }
                         Ok(false) => {}
-                        Err(why) => return vec![Found::Halt(why, false)],
+                        Err(why) => return vec![Step::Halt(why, false)],
                     }
                 }
-                Stage::Drained if over(plan.return_timeout_ms) => {
+                Stage::Drained if exceeds(plan.return_timeout_ms) => {
                     let why = format!(
-                        "no agent beside {who} has begun its action after {} ms",
+                        "no agent beside {target} has begun its action after {} ms",
                         plan.return_timeout_ms
                     );
-                    return vec![Found::Halt(why, false)];
+                    return vec![Step::Halt(why, false)];
                 }
                 Stage::ActionRunning => {
                     let within = plan.action.as_ref().map_or(0, |action| action.timeout_ms);
-                    if took > Span::from_millis(within) + SILENT_MORE {
-                        let why = format!("what became of the action on {who} is unknown");
-                        return vec![Found::Halt(why, false)];
+                    if elapsed > Span::from_millis(within) + AGENT_GRACE {
+                        let why = format!("what became of the action on {target} is unknown");
+                        return vec![Step::Halt(why, false)];
                     }
                 }
                 Stage::Watched => {
-                    let judged = over(plan.settle_ms + plan.watch_ms);
+                    let judged = exceeds(plan.settle_ms + plan.watch_ms);
                     match &verdict {
-                        Some(Verdict::Healthy) if judged => found.push(settle(name, who, going, true)),
-                        Some(Verdict::Undecided) if over(plan.settle_ms + plan.max_watch_ms) => {
-                            let why = format!("too few reqs to judge {who} after {} ms", plan.max_watch_ms);
-                            return vec![Found::Halt(why, false)];
+                        Some(Verdict::Healthy) if judged => {
+                            steps.push(finish(name, target, transition, true))
+                        }
+                        Some(Verdict::Undecided) if exceeds(plan.settle_ms + plan.max_watch_ms) => {
+                            let why =
+                                format!("too few reqs to judge {target} after {} ms", plan.max_watch_ms);
+                            return vec![Step::Halt(why, false)];
                         }
                         _ => {}
                     }
@@ -330,144 +344,149 @@
             }
         }
         let side = if release.state == ReleaseState::RollingOut { Side::New } else { Side::Old };
-        found.extend(self.next(now, name, release, side, fleet, heard));
-        found
+        steps.extend(self.next_step(now, name, release, side, fleet, tracker));
+        steps
     }
 
     fn is_empty(
         &self,
         now: Moment,
         release: &Release,
-        who: &str,
-        going: &Transition,
+        target: &str,
+        transition: &Transition,
         fleet: &Fleet,
-        heard: &MemberTracker,
+        tracker: &MemberTracker,
     ) -> bool {
         match release.plan.target_kind {
             TargetKind::Sidecars => {
-                let known = fleet.members().get(who).map_or(0, |member| member.incarnation);
-                // A later process is there: the one that was sent out has ended, and holds nothing.
-                known > going.incarnation || heard.is_drained(now, who, going.incarnation)
+                let known = fleet.members().get(target).map_or(0, |member| member.incarnation);
+                // A later process is present: the drained one has ended.
+                known > transition.incarnation || tracker.is_drained(now, target, transition.incarnation)
             }
-            TargetKind::Endpoints => heard.members_using(now, fleet, who).is_empty(),
+            TargetKind::Endpoints => tracker.members_using(now, fleet, target).is_empty(),
         }
     }
 
-    /// Who goes next; that one has the version already; or that all is done.
-    fn next(
+    /// The next step: begin the transition of a target, record that a target has its version already, or end the release.
+    fn next_step(
         &self,
         now: Moment,
         name: &str,
         release: &Release,
         side: Side,
         fleet: &Fleet,
-        heard: &MemberTracker,
-    ) -> Option<Found> {
+        tracker: &MemberTracker,
+    ) -> Option<Step> {
         let plan = &release.plan;
-        let runs = |who: &str| {
-            let last = heard.serving(now, fleet, who).filter(|_| plan.target_kind == TargetKind::Sidecars)?;
+        let runs = |target: &str| {
+            let last =
+                tracker.serving(now, fleet, target).filter(|_| plan.target_kind == TargetKind::Sidecars)?;
             Some(last.program_version.as_str())
         };
         let mut wanted: Vec<&String> = release
             .order
             .iter()
-            .filter(|who| {
-                let step = &release.steps[*who];
+            .filter(|target| {
+                let step = &release.steps[*target];
                 match (side, step.reached) {
                     _ if step.transition.is_some() => false,
-                    (Side::New, moved) => moved.is_none_or(|(at, _)| at != Side::New),
+                    (Side::New, reached) => reached.is_none_or(|(at, _)| at != Side::New),
                     (Side::Old, Some((Side::New, _))) => true,
-                    // What a backup does not know of, its member tells.
-                    (Side::Old, _) => runs(who) == Some(&plan.to),
+                    // After a restore the state may miss an upgrade, but the member reports its version.
+                    (Side::Old, _) => runs(target) == Some(&plan.to),
                 }
             })
             .collect();
         if side == Side::Old {
-            wanted.sort_by_key(|who| std::cmp::Reverse(release.steps[*who].reached.map(|(_, at)| at)));
+            wanted.sort_by_key(|target| std::cmp::Reverse(release.steps[*target].reached.map(|(_, at)| at)));
         }
         if wanted.is_empty() && release.transitions().next().is_none() {
             let how = if side == Side::New { "all are moved" } else { "all are back" };
-            return Some(Found::Order(String::new(), ReleaseUpdate::End(name.to_string(), how.to_string())));
+            return Some(Step::Update(String::new(), ReleaseUpdate::End(name.to_string(), how.to_string())));
         }
         let release_name = || name.to_string();
-        for who in wanted {
-            if runs(who) == Some(plan.version_on(side)) {
-                let order = ReleaseUpdate::MarkReached { release: release_name(), target: who.clone(), side };
-                return Some(Found::Order(who.clone(), order));
+        for target in wanted {
+            if runs(target) == Some(plan.version_on(side)) {
+                let update =
+                    ReleaseUpdate::MarkReached { release: release_name(), target: target.clone(), side };
+                return Some(Step::Update(target.clone(), update));
             }
             if release.transitions().count() >= plan.max_out as usize {
                 return None;
             }
             let missing = match plan.target_kind {
                 TargetKind::Sidecars => {
-                    // One that is not there is moved once it is.
-                    if heard.serving(now, fleet, who).is_none()
-                        || drains::check_member_out(fleet.groups(), fleet.members(), who).is_err()
+                    // A member that is not serving is upgraded once it is.
+                    if tracker.serving(now, fleet, target).is_none()
+                        || drains::check_member_out(fleet.groups(), fleet.members(), target).is_err()
                     {
                         continue;
                     }
                     Vec::new()
                 }
-                TargetKind::Endpoints => heard.missing_endpoints(),
+                TargetKind::Endpoints => tracker.missing_endpoints(),
             };
-            let order = ReleaseUpdate::BeginTransition {
+            let update = ReleaseUpdate::BeginTransition {
                 release: release_name(),
-                target: who.clone(),
+                target: target.clone(),
                 to: side,
                 missing,
             };
-            return Some(Found::Order(who.clone(), order));
+            return Some(Step::Update(target.clone(), update));
         }
         None
     }
 
-    /// How what is moved does, against the others and against what was before.
+    /// Compares the upgraded targets with the others and with the baseline.
     fn verdict(&self, now: Moment, name: &str, release: &Release, fleet: &Fleet) -> Verdict {
         let plan = &release.plan;
         let side = if release.state == ReleaseState::RollingOut { Side::New } else { Side::Old };
         let (settle, watch) = (Span::from_millis(plan.settle_ms), Span::from_millis(plan.watch_ms));
-        // Danger: held against each other over other times, an outage that has just begun shows on one side first.
+        // Danger: both sides must be compared over the same time, as otherwise a new outage would show on one side first.
         let sum = |names: &[&String], from: Moment| self.sum(plan.target_kind, names.iter().copied(), from);
         let (mut watched, mut earlier, mut others) = (Vec::new(), Vec::new(), Vec::new());
-        for (who, step) in &release.steps {
+        for (target, step) in &release.steps {
             match (&step.transition, step.reached) {
-                (Some(going), _) if going.stage == Stage::Watched && going.to == side => {
-                    let back = self.seen.get(&(name.to_string(), who.clone())).map_or(now, |(_, at)| *at);
-                    if back + settle <= now {
-                        watched.push((who, back + settle));
+                (Some(transition), _) if transition.stage == Stage::Watched && transition.to == side => {
+                    let returned =
+                        self.seen.get(&(name.to_string(), target.clone())).map_or(now, |(_, at)| *at);
+                    if returned + settle <= now {
+                        watched.push((target, returned + settle));
                     }
                 }
                 (Some(_), _) => {}
-                (None, Some((at, _))) if at == side => earlier.push(who),
-                // On the way back those that are not back yet are what is to be left: nothing to be held against.
+                (None, Some((at, _))) if at == side => earlier.push(target),
+                // During a rollback, targets that still have the new version are no reference to compare with.
                 (None, Some(_)) if side == Side::Old => {}
-                (None, _) => others.push(who),
+                (None, _) => others.push(target),
             }
         }
-        // Those of the group that this release does not move at all are as good to compare.
-        let beside = of_group(fleet, &plan.group, plan.target_kind).into_iter();
-        others.extend(beside.filter(|who| !release.steps.contains_key(*who)));
-        let judge = |who: &[&String], from: Moment| {
-            let (moved, mut others) = (sum(who, from), sum(&others, from));
-            let few = |figures: &RequestCounts| figures.total() < plan.criteria.min_requests;
+        // Members of the group that this release does not include are a valid reference too.
+        let beside = group_targets(fleet, &plan.group, plan.target_kind).into_iter();
+        others.extend(beside.filter(|target| !release.steps.contains_key(*target)));
+        let judge = |target: &[&String], from: Moment| {
+            let (reached, mut others) = (sum(target, from), sum(&others, from));
+            let few = |counts: &RequestCounts| counts.total() < plan.criteria.min_requests;
             if few(&others) && few(&release.baseline) {
-                // Nobody is left that was not moved, and before is not known: those that were found well are what there is.
-                let found: Vec<&String> =
-                    earlier.iter().filter(|other| !who.contains(other)).copied().collect();
-                others = sum(&found, from);
+                // No other targets are left and there is no baseline: compare with those that were already found healthy.
+                let healthy: Vec<&String> =
+                    earlier.iter().filter(|other| !target.contains(other)).copied().collect();
+                others = sum(&healthy, from);
             }
-            plan.criteria.judge(&moved, &others, &release.baseline)
+            plan.criteria.judge(&reached, &others, &release.baseline)
         };
         let start = ago(now, watch);
         let latest = watched.iter().map(|(_, from)| *from).max().unwrap_or(start).max(start);
-        let all: Vec<&String> = watched.iter().map(|(who, _)| *who).chain(earlier.iter().copied()).collect();
+        let all: Vec<&String> =
+            watched.iter().map(|(target, _)| *target).chain(earlier.iter().copied()).collect();
         let mut verdict = match judge(&all, latest) {
             Verdict::Undecided => Verdict::Healthy,
-            found => found,
+            verdict => verdict,
         };
-        // One of many that does badly does not show in the sum of them. The longer it is watched, the more is known.
-        for (who, from) in watched {
-            match (judge(&[who], from), &verdict) {
+        // One bad target among many does not show in their sum, so each is judged alone. The longer it is watched, the more is
+        // known.
+        for (target, from) in watched {
+            match (judge(&[target], from), &verdict) {
                 (_, Verdict::Worse(_)) | (Verdict::Healthy, _) => {}
                 (Verdict::Worse(why), _) => verdict = Verdict::Worse(why),
                 (Verdict::Outage(why), _) => verdict = Verdict::Outage(why),
@@ -489,9 +508,9 @@
     Moment::from_nanos(now.nanos().saturating_sub(span.nanos()))
 }
 
-/// The names in a group, of what a release moves.
-fn of_group<'a>(fleet: &'a Fleet, group: &str, moves: TargetKind) -> Vec<&'a String> {
-    match moves {
+/// The names of a group's members or endpoints.
+fn group_targets<'a>(fleet: &'a Fleet, group: &str, kind: TargetKind) -> Vec<&'a String> {
+    match kind {
         TargetKind::Sidecars => {
             let of = fleet.members().iter().filter(|(_, m)| m.groups.iter().any(|own| own == group));
             of.map(|(name, _)| name).collect()
@@ -503,21 +522,16 @@
     }
 }
 
-fn settle(name: &str, who: &str, going: &Transition, moved: bool) -> Found {
-    let (release, since) = (name.to_string(), going.started_at);
-    Found::Order(
-        who.to_string(),
-        ReleaseUpdate::FinishTransition {
-            release,
-            target: who.to_string(),
-            started_at: since,
-            reached: moved,
-        },
+fn finish(name: &str, target: &str, transition: &Transition, reached: bool) -> Step {
+    let (release, started_at) = (name.to_string(), transition.started_at);
+    Step::Update(
+        target.to_string(),
+        ReleaseUpdate::FinishTransition { release, target: target.to_string(), started_at, reached },
     )
 }
 
-/// Whether more are out than may be, as some failed by themselves.
-fn exceeded(fleet: &Fleet, heard: &MemberTracker, release: &Release) -> Option<String> {
+/// Whether more are out than allowed, as some have failed by themselves.
+fn exceeded_limit(fleet: &Fleet, tracker: &MemberTracker, release: &Release) -> Option<String> {
     let group = fleet.groups().iter().find(|group| group.name == release.plan.group)?;
     let (size, out): (usize, Vec<String>) = match release.plan.target_kind {
         TargetKind::Sidecars => {
@@ -526,7 +540,7 @@
             (of.count(), out.collect())
         }
         TargetKind::Endpoints => {
-            let missing = heard.missing_endpoints();
+            let missing = tracker.missing_endpoints();
             let (_, outs) = fleet.drained_endpoints();
             let out = group.endpoints.iter().filter(|name| outs.contains(*name) || missing.contains(*name));
             (group.endpoints.len(), out.cloned().collect())
--- a/crates/fleet/src/scopes.rs
+++ b/crates/fleet/src/scopes.rs
@@ -1,5 +1,5 @@
-//! Settings for a part of the fleet: what is put for each scope, and what a member's locality makes of it. Scopes of more
-//! members come first, and those of fewer win, key by key at the top of the settings.
+//! Settings for scopes, and how they are merged for a member by its locality. Settings of wider scopes come first, and those of
+//! narrower scopes override them, key by key at the top level.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -12,18 +12,18 @@
 use crate::members::MAX_TEXT_BYTES;
 use crate::version::Version;
 
-/// Versions of one scope that are kept for a look back and a way back.
+/// Versions of one scope that are kept for inspection and rollback.
 pub const MAX_SCOPE_HISTORY: usize = 16;
-/// Scopes at the most: several times the services, zones and regions of the largest fleet, and some single members.
+/// Maximum number of scopes: several times the services, zones and regions of the largest fleet, and some single members.
 pub const MAX_SCOPES: usize = 1024;
-/// Bytes of all that is put for scopes together, their histories too: a snapshot goes in one frame (`messages::FRAME_MOST`, 32 MiB), half
-/// of which may hold the versions of what is put for all.
+/// Maximum total size of the settings of all scopes with their histories: a snapshot has to fit into one frame
+/// (`messages::MAX_FRAME_BYTES`, 32 MiB), half of which may be taken by the versions of the settings for the whole fleet.
 pub const MAX_SCOPED_BYTES: usize = 12 << 20;
 
-/// What a member belongs to, as its own file says.
+/// The locality of a member, from its own configuration file.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Locality {
-    /// The service that it sends to, whose list of endpoints it follows.
+    /// The service that it sends requests to, whose endpoints it discovers.
     pub service: Option<String>,
     pub zone: Option<String>,
     pub region: Option<String>,
@@ -31,7 +31,7 @@
 
 impl Locality {
     /// # Errors
-    /// Which of the names is none.
+    /// The invalid name.
     pub fn check(&self) -> Result<(), String> {
         for (key, name) in [("service", &self.service), ("zone", &self.zone), ("region", &self.region)] {
             if name.as_ref().is_some_and(|name| name.is_empty() || name.len() > MAX_TEXT_BYTES) {
@@ -41,13 +41,13 @@
         Ok(())
     }
 
-    /// By which evidence is kept apart: nought for none.
+    /// The key by which evidence is separated: 0 without a service.
     pub fn service_hash(&self) -> u32 {
         self.service.as_ref().map_or(0, |name| XxHash32::oneshot(0, name.as_bytes()).max(1))
     }
 }
 
-/// A part of the fleet that settings are put for, in the order of precedence: later ones win.
+/// A part of the fleet that settings are written for, in order of precedence: later variants override earlier ones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Scope {
     All,
@@ -58,7 +58,7 @@
 }
 
 impl Scope {
-    /// Whether a member of this name and locality belongs to it.
+    /// Whether a member with this name and locality belongs to it.
     pub fn contains(&self, name: &str, locality: &Locality) -> bool {
         let is = |own: &Option<String>, of: &String| own.as_ref() == Some(of);
         match self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// All scopes that a member of this name and locality belongs to but `All`, in the order of precedence.
+    /// All scopes except `All` that a member with this name and locality belongs to, in order of precedence.
     fn of(name: &str, locality: &Locality) -> impl Iterator<Item = Scope> {
         let Locality { service, zone, region } = locality.clone();
         let scopes = [
@@ -90,7 +90,7 @@
     }
 
     /// # Errors
-    /// What is wrong with its name.
+    /// Why its name is invalid.
     pub fn check(&self) -> Result<(), String> {
         if *self != Scope::All && (self.name().is_empty() || self.name().len() > MAX_TEXT_BYTES) {
             return Err(format!("expected a name of {MAX_TEXT_BYTES} bytes at the most in '{self}'"));
@@ -129,19 +129,19 @@
     }
 }
 
-/// A version of what is put for one scope.
+/// A version of the settings of one scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScopedSettings {
     pub version: Version,
-    /// As JSON text; none where the scope has been taken away.
+    /// JSON text, or `None` if the settings were removed.
     pub settings: Option<String>,
     #[serde(rename = "by")]
     pub author: String,
     #[serde(rename = "why")]
     pub reason: String,
-    /// Of the operator's clock: to be shown, and for nothing else.
+    /// By the operator's clock; for display only.
     pub at_ms: u64,
-    /// The version that it goes back to.
+    /// The version whose settings it restores, if it is a rollback.
     #[serde(rename = "back_to")]
     pub rollback_to: Option<Version>,
 }
@@ -152,7 +152,7 @@
     }
 }
 
-/// Why nothing is put for a scope.
+/// The limit that prevents a write for a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ScopeLimit {
     Scopes,
@@ -170,32 +170,31 @@
     }
 }
 
-/// What is put for scopes other than `All`.
+/// The settings of all scopes other than `All`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Scopes {
     of: BTreeMap<Scope, VecDeque<ScopedSettings>>,
-    /// As of which version all are told anew, whatever concerns them: a state that was put back, or a scope of which nothing
-    /// is kept any more.
+    /// Every member gets its settings again as of this version: after a restore, or when a removed scope was evicted.
     floor: Version,
 }
 
 impl Scopes {
-    /// Whether nothing was ever put: then all is as in a fleet without scopes.
+    /// Whether nothing was ever written for a scope.
     pub fn is_empty(&self) -> bool {
         *self == Scopes::default()
     }
 
-    /// Of a scope, what was put last.
+    /// The latest write for a scope.
     pub fn latest(&self, scope: &Scope) -> Option<&ScopedSettings> {
         self.of.get(scope)?.back()
     }
 
-    /// The versions of a scope that are kept, the oldest first.
+    /// The kept versions of a scope, oldest first.
     pub fn history(&self, scope: &Scope) -> impl Iterator<Item = &ScopedSettings> {
         self.of.get(scope).into_iter().flatten()
     }
 
-    /// All scopes for which something was put, and what was put last.
+    /// All scopes with a kept version, and their latest write.
     pub fn iter(&self) -> impl Iterator<Item = (&Scope, &ScopedSettings)> {
         self.of.iter().filter_map(|(scope, history)| Some((scope, history.back()?)))
     }
@@ -204,13 +203,13 @@
         self.of.values().flatten().map(ScopedSettings::bytes).sum()
     }
 
-    /// Takes what is put for a scope. Where there is no room for all, scopes that were removed and the oldest versions of all
-    /// that hold no more give way.
+    /// Stores a write for a scope. If there is no room, scopes whose settings were removed, and the oldest versions that are
+    /// not current, are evicted.
     ///
     /// # Errors
-    /// What there is no room for; nothing has changed then.
+    /// The exceeded limit; then nothing has changed.
     pub fn put(&mut self, scope: &Scope, scoped: ScopedSettings) -> Result<(), ScopeLimit> {
-        // Danger: were versions that hold no more counted here, removing a scope would make no room.
+        // Danger: versions that are not current must not be counted here, or removing a scope would make no room.
         let others = self.iter().filter(|(other, _)| *other != scope);
         if others.map(|(_, last)| last.bytes()).sum::<usize>() + scoped.bytes() > MAX_SCOPED_BYTES {
             return Err(ScopeLimit::Bytes);
@@ -220,7 +219,7 @@
             let oldest = removed.min_by_key(|(_, last)| last.version);
             let (gone, version) =
                 oldest.map(|(scope, last)| (scope.clone(), last.version)).ok_or(ScopeLimit::Scopes)?;
-            // Danger: who was away when that scope was removed would never hear of it.
+            // Danger: a member that was away when that scope was removed would never learn of it.
             self.of.remove(&gone);
             self.floor = self.floor.max(version);
         }
@@ -239,21 +238,21 @@
         Ok(())
     }
 
-    /// Everybody is told anew as of this version.
+    /// Makes every member get its settings again as of this version.
     pub fn raise_floor(&mut self, version: Version) {
         self.floor = self.floor.max(version);
     }
 
-    /// The version of what holds for a member, as `merged` has it, without its text.
+    /// The version of the settings that apply to a member, as in `merged`, without the text.
     pub fn version_for(&self, all: Option<Version>, name: &str, locality: &Locality) -> Option<Version> {
         let own = Scope::of(name, locality).filter_map(|scope| Some(self.latest(&scope)?.version));
-        // Danger: what concerned a member may be gone from here, and nothing else be put that does.
+        // Danger: a scope that contained a member may have been evicted, with no other scope left that does.
         let floor = (self.floor != Version::default()).then_some(self.floor);
         own.chain(all).chain(floor).max()
     }
 
-    /// What holds for a member: the version by which it knows whether it has it, and the text. None where nothing was ever put
-    /// that concerns it, and it is not known otherwise. `all` is what was put for all.
+    /// The settings that apply to a member: their version, by which it knows whether it has them, and the merged text. `None` if
+    /// nothing was ever written for the member. `all` is the write for the whole fleet.
     pub fn merged(
         &self,
         all: Option<(Version, &str)>,
@@ -265,30 +264,30 @@
         let texts = own.iter().filter_map(|scoped| scoped.settings.as_deref());
         let texts: Vec<&str> = all.iter().map(|(_, text)| *text).chain(texts).collect();
         let version = self.version_for(all.map(|(version, _)| version), name, locality)?;
-        // As it was put, where nothing else concerns it.
-        Some((version, if let [one] = texts[..] { one.to_string() } else { overlaid(&texts) }))
+        // A single text is returned as it was written.
+        Some((version, if let [one] = texts[..] { one.to_string() } else { merge_texts(&texts) }))
     }
 
-    /// Each way in which these members' scopes come together, with one name for it: what is put is checked for all of them.
+    /// Each combination of scopes among these members, with one member as an example: a write is checked for all combinations.
     pub fn combinations<'a>(
         &self,
         members: impl Iterator<Item = (&'a str, &'a Locality)>,
     ) -> BTreeMap<Vec<Scope>, (&'a str, &'a Locality)> {
-        let ways = members.map(|(name, locality)| {
+        let combinations = members.map(|(name, locality)| {
             let there = |scope: &Scope| self.latest(scope).is_some_and(|last| last.settings.is_some());
             (Scope::of(name, locality).filter(there).collect(), (name, locality))
         });
-        ways.collect()
+        combinations.collect()
     }
 }
 
-/// One text of several: keys at the top of later ones stand in place of those of earlier ones. What is no object has none.
-fn overlaid(texts: &[&str]) -> String {
-    let mut whole = Map::new();
+/// Merges texts: top-level keys of later ones replace those of earlier ones. A text that is not a JSON object is ignored.
+fn merge_texts(texts: &[&str]) -> String {
+    let mut merged = Map::new();
     for text in texts {
         if let Ok(Value::Object(fields)) = serde_json::from_str(text) {
-            whole.extend(fields);
+            merged.extend(fields);
         }
     }
-    Value::Object(whole).to_string()
+    Value::Object(merged).to_string()
 }
--- a/crates/fleet/src/version.rs
+++ b/crates/fleet/src/version.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A version of the settings. A state that was put back from a backup begins another generation, so that what comes after
-/// is later than all that came before it.
+/// A version of the settings. Restoring from a backup begins a new generation, so that later versions compare greater than
+/// all from before the restore.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     pub generation: u64,
