--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the listener, requests in, answers out. One request at a time on a connection.
+//! Client connections: the listener, incoming requests and their responses. A connection carries one request at a time.
 
 use std::collections::HashSet;
 use std::io;
@@ -19,58 +19,59 @@
 use super::servers::Message;
 use super::slots::{Key, Peer, Slots};
 
-/// The label that tells a request's work, in nanoseconds.
-const WORK: &str = "costGuessNs";
-/// Part of all connections that clients may take. Danger: with none left for endpoints nothing can be served.
-const CLIENTS_SHARE: f64 = 0.75;
-/// How long a connection may stand idle between requests: longer than most clients pause, and those that ask once
-/// and never close are not to fill the house.
-const IDLE_MOST: Span = Span::from_millis(10_000);
-/// In which a new connection must have brought a whole head, any other from its first byte on: a client may take
-/// 2 s for it, and who says nothing, or never ends one, is owed an end within 3 s.
-const HEAD_IN: Span = Span::from_millis(2600);
-/// How long a body may bring nothing, and the rate that it has to keep up over that, in bytes a second: half of the
-/// slowest that is expected. Danger: who brings a byte at a time would hold a place for hours.
-const BODY_SILENT: Span = Span::from_millis(2000);
-const BODY_RATE: u64 = 32_000;
-/// How long a client may take nothing of its answer: peers take seconds to read.
-const UNREAD_MOST: Span = Span::from_millis(15_000);
-/// How long a connection that is being closed may take to read its last answer.
-const LINGER: Span = Span::from_millis(1000);
-/// How long a connection may bring its next request once connections part: it was opened for one.
-const LEAVE_IDLE: Span = Span::from_millis(300);
-/// The same for the rest of a request that it has begun: clients may be slow.
-const LEAVE_BEGUN: Span = Span::from_millis(1200);
-/// How long a new connection, or one with part of a request, is safe from making room: the rest is on its way.
-const FRESH: Span = Span::from_millis(1000);
-/// Once others have waited outside for `FRESH` on end, only who has brought something within this time is. Danger: a crowd
-/// that rests, silent or with half a head, goes through the places once in that time, and whoever asks for health waits
-/// behind all of it. Age alone would take those first that write slowly: for a new client none goes that has not paused so long.
-const PAUSE_MOST: Span = Span::from_millis(100);
-/// In which the health check is answered behind a crowd that fills the backlog: the shortest time by which an answer of it
-/// has to have been heard, after a drain. And the fewest places of clients that this holds for: what 256 descriptors
-/// leave them, the least that is expected, while two processes share these.
-const HEALTH_IN: Span = Span::from_millis(4000);
-const PLACES_LEAST: u64 = 80;
+/// The label with the estimated cost of a request, in nanoseconds.
+const COST_LABEL: &str = "costGuessNs";
+/// The share of all connections that clients may use. Danger: without connections to endpoints nothing can be served.
+const CLIENT_CONNECTIONS_SHARE: f64 = 0.75;
+/// How long a connection may be idle between requests: longer than most clients pause, but short enough that clients
+/// which send one request and never close do not use up the connections.
+const MAX_IDLE: Span = Span::from_millis(10_000);
+/// Time limit for a complete request head, from accept on a new connection and from the first byte on any other. A client
+/// may take 2 s for it; a client that sends nothing, or never completes a head, must be closed within 3 s.
+const HEAD_TIMEOUT: Span = Span::from_millis(2600);
+/// How long a body may stall, and the rate that it must sustain, in bytes per second: half of the slowest rate expected.
+/// Danger: a client that sends a byte at a time would hold a connection for hours.
+const BODY_TIMEOUT: Span = Span::from_millis(2000);
+const MIN_BODY_RATE: u64 = 32_000;
+/// How long a client may read nothing of its response: peers can pause for seconds.
+const WRITE_TIMEOUT: Span = Span::from_millis(15_000);
+/// How long a client may take to read the last response of a connection that is being closed.
+const CLOSE_TIMEOUT: Span = Span::from_millis(1000);
+/// While draining, how long an idle connection may wait for a request before it is closed.
+const DRAIN_IDLE_TIMEOUT: Span = Span::from_millis(300);
+/// While draining, how long a client may take to complete a partly received request: clients may be slow.
+const DRAIN_PARTIAL_TIMEOUT: Span = Span::from_millis(1200);
+/// How long a new connection, or one with a partial request, is protected from eviction: the rest is likely on its way.
+const EVICTION_GRACE: Span = Span::from_millis(1000);
+/// Once connections have queued_for in the backlog for all of `EVICTION_GRACE`, only those with input within this time are protected.
+/// Danger: a crowd of clients that stay silent, or stop within a head, would otherwise be replaced only once per `EVICTION_GRACE`, and
+/// a health check would wait behind all of them. Evicting by age alone would hit slow writers first, so no connection is
+/// evicted for a new client unless it has paused for this long.
+const MAX_PAUSE: Span = Span::from_millis(100);
+/// Time limit for answering a health check behind a full backlog: the shortest time within which its response must be body_seen
+/// after a drain begins. The limit holds from this many client connections on: what a limit of 256 descriptors, the lowest
+/// expected, leaves to clients while two processes share it.
+const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(4000);
+const MIN_CLIENT_CONNECTIONS: u64 = 80;
 const _: () = {
-    let fillings = (BACKLOG as u64).div_ceil(PLACES_LEAST);
-    let each = PAUSE_MOST.nanos() + ACCEPT_AGAIN.nanos();
-    assert!(FRESH.nanos() + fillings * each <= HEALTH_IN.nanos());
+    let batches = (BACKLOG as u64).div_ceil(MIN_CLIENT_CONNECTIONS);
+    let batch_time = MAX_PAUSE.nanos() + ACCEPT_RETRY.nanos();
+    assert!(EVICTION_GRACE.nanos() + batches * batch_time <= HEALTH_CHECK_TIMEOUT.nanos());
 };
-/// Buffers that are read and thrown away at one event, of a connection that is being closed.
-const DISCARD_TURNS: usize = 64;
-/// Bytes that are read beyond a message to find whether a client's end stands behind them.
-const SIGHT_MORE: usize = 16 * 1024;
-/// Connections that may wait to be taken. Danger: the connect of a health check that finds it full is lost, and made again
-/// by its machine after 1, 3 and 7 s.
+/// The number of full buffers to read and discard per event on a connection that is being closed.
+const MAX_DISCARD_READS: usize = 64;
+/// Bytes to read beyond a message to find out whether the client has closed the connection behind them.
+const PRESENCE_READ_AHEAD: usize = 16 * 1024;
+/// The listener's backlog. Danger: when it is full, the connect of a health check is dropped, and the peer's kernel
+/// retries it only after 1, 3 and 7 s.
 const BACKLOG: i32 = 1024;
-/// Until accepting is tried again where there was no room.
-const ACCEPT_AGAIN: Span = Span::from_millis(100);
+/// Delay before accepting is retried after no connection was free.
+const ACCEPT_RETRY: Span = Span::from_millis(100);
 
-/// Stands for a request where a connection has an answer due that is not of one.
+/// Used in place of a request's index for a response that the sidecar writes itself.
 const NO_REQUEST: usize = usize::MAX;
-/// The header that holds a request's id.
-const ID: &str = "X-Txn";
+/// The header with the request's id.
+const ID_HEADER: &str = "X-Txn";
 
 enum Stage {
     Reading,
@@ -78,42 +79,42 @@
         request: usize,
         frame: Frame,
     },
-    /// Its answer passes through, from this connection of an endpoint.
-    Passing {
+    /// The response is being streamed from this endpoint connection.
+    Forwarding {
         from: Key,
         keep: bool,
         length: Length,
     },
-    /// The last answer is out, or on its way.
+    /// The last response has been sent or queued.
     Closing,
 }
 
 struct Client {
     connection: Connection,
     stage: Stage,
-    /// Part of a request has come, and there is a time for the rest.
-    timed: bool,
-    /// Leave to send a body was given.
-    leave_given: bool,
-    /// What is still to come of the request that it waits for, behind the head, where that is long.
-    coming: Option<Body>,
-    /// Since when, with this request, more may stand unread than is taken from it.
-    full_since: Option<Moment>,
-    /// How long its first request may have waited outside to be taken. Danger: its time runs from its last byte, and an
-    /// attempt would tell its endpoint more than is left of it.
-    waited: Span,
-    /// How much had come at the last look at a body, and by when there must be more.
-    seen: usize,
-    body_until: Option<Moment>,
-    /// When it came, or was last answered.
-    since: Moment,
-    /// When it has brought something last, or since then.
-    heard: Moment,
-    answered: bool,
+    /// Part of a request has been received, and a deadline for the rest is set.
+    partial: bool,
+    /// `100 Continue` was sent for this request.
+    continue_sent: bool,
+    /// The rest of the body of the request in progress, if it is streamed.
+    remaining_body: Option<Body>,
+    /// Since when, during this request, the socket may hold more input than the buffer takes.
+    unread_since: Option<Moment>,
+    /// How long the first request may have queued_for in the backlog. Danger: a client's deadline runs from the last byte that it
+    /// sent, so without this an attempt would tell its endpoint more remaining time than there is.
+    queued_for: Span,
+    /// Input length at the last look at a body, and the deadline for more of it.
+    body_seen: usize,
+    body_deadline: Option<Moment>,
+    /// When it was accepted, or its last response was sent.
+    waiting_since: Moment,
+    /// When input last arrived, and `since` if none has.
+    last_input: Moment,
+    has_answered: bool,
     deadline: Option<Moment>,
 }
 
-/// What a client's connection brought.
+/// What an event on a client's connection led to.
 pub enum Said {
     Nothing,
     Arrival {
@@ -125,80 +126,80 @@
     Hangup {
         request: usize,
     },
-    /// More of the body of the request that it waits for.
+    /// There may be more of the body of the request in progress.
     More,
-    /// It has taken what was there of the answer that passes from this connection.
+    /// All that was written of the response streamed from this endpoint connection has been sent.
     Takes {
         from: Key,
     },
-    /// It has gone in the middle of that.
+    /// The client disconnected while that response was streamed.
     Gone {
         from: Key,
     },
-    /// It has brought something while its time ran out.
+    /// There may be unread input that no event will report, so the connection has to be looked at again.
     Brought,
-    /// Its body fell silent: the request that it waits for is to be answered so.
+    /// The request's body stalled, so the request is to be has_answered with a timeout.
     Silent {
         request: usize,
     },
 }
 
-/// Whether a client that waits for an answer is there.
+/// Whether a client that waits for a response is still connected.
 pub enum Sight {
     Here,
     Left,
-    /// More stands unread, for longer than asked about, than this side may read to know.
+    /// More input has been unread, for longer than the given time, than may be read to find out.
     Unknown,
 }
 
-/// Until when more of a body must have come, now that so many bytes have.
-fn body_until(until: Option<Moment>, bytes: usize, now: Moment) -> Moment {
-    let most = now + BODY_SILENT;
-    let earned = Span::from_nanos(bytes as u64 * (1_000_000_000 / BODY_RATE));
-    until.map_or(most, |until| (until + earned).min(most))
+/// Returns the deadline for more of a body, extended by what `bytes` earn at `MIN_BODY_RATE`.
+fn body_deadline(until: Option<Moment>, bytes: usize, now: Moment) -> Moment {
+    let latest = now + BODY_TIMEOUT;
+    let earned = Span::from_nanos(bytes as u64 * (1_000_000_000 / MIN_BODY_RATE));
+    until.map_or(latest, |until| (until + earned).min(latest))
 }
 
 pub struct Clients {
     listener: Option<TcpListener>,
     slots: Slots<Client>,
-    /// The ids of the requests that clients wait for.
-    open: HashSet<Box<str>>,
-    /// Most connections that clients may take.
-    most: usize,
-    /// Connections may be waiting that could not be taken.
+    /// The ids of the requests in progress.
+    open_ids: HashSet<Box<str>>,
+    /// The maximum number of client connections.
+    max_connections: usize,
+    /// Connections may be waiting in the backlog that could not be accepted.
     pub held_back: bool,
-    /// There was no descriptor for one.
+    /// The last accept failed for lack of a file descriptor.
     pub lacks_descriptor: bool,
-    accept_at: Option<Moment>,
-    /// Since when some have been held back all the time.
-    held_since: Option<Moment>,
-    /// New clients are to go elsewhere, but those that come are served.
-    away: bool,
-    /// Connections close between requests.
-    parting: bool,
+    accept_retry_at: Option<Moment>,
+    /// Since when accepting has been paused without a break.
+    accept_paused_since: Option<Moment>,
+    /// Health checks fail so that new clients go elsewhere; connections are still served.
+    failing_health_checks: bool,
+    /// Connections are closed between requests.
+    draining: bool,
     last_accept: Moment,
-    /// Since when what a turn finds may have stood there.
+    /// The earliest time at which input found in this turn of the event loop may have arrived.
     pub came_since: Moment,
     head: Vec<u8>,
 }
 
-/// What a request's head asks for.
-enum Asked {
+/// What a request head asks for.
+enum Parsed {
     Health,
-    Request { method: usize, left: Span, work: Option<Span>, id: Box<str> },
+    Request { method: usize, remaining: Span, cost: Option<Span>, id: Box<str> },
 }
 
-fn id(head: &[u8]) -> Box<str> {
-    http::with_request(head, |request| http::find(request.headers, ID).unwrap_or("").into())
+fn request_id(head: &[u8]) -> Box<str> {
+    http::with_request(head, |request| http::find(request.headers, ID_HEADER).unwrap_or("").into())
         .unwrap_or_default()
 }
 
-fn asked(head: &[u8], terms: &Terms) -> Result<Asked, Bad> {
+fn parse_head(head: &[u8], terms: &Terms) -> Result<Parsed, Bad> {
     let read = |request: &httparse::Request| {
         let (verb, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
         let path = http::origin_form(target).split('?').next().unwrap_or("");
         if path == "/healthz" {
-            return if verb == "GET" { Ok(Asked::Health) } else { Err(Bad(405)) };
+            return if verb == "GET" { Ok(Parsed::Health) } else { Err(Bad(405)) };
         }
         let text = |name| http::only(request.headers, name);
         let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
@@ -208,29 +209,29 @@
         if (verb == "GET") != (m.effect == Effect::Retryable) {
             return Err(Bad(405));
         }
-        // Danger: a request that no endpoint can tell from its repeats would have its effect twice.
-        let mark = |name| text(name)?.filter(|mark| !mark.is_empty()).ok_or(Bad(400));
-        let id = mark(ID)?.into();
+        // Danger: if endpoints cannot recognize a retried request by its id or key, its effect could happen twice.
+        let required = |name| text(name)?.filter(|value| !value.is_empty()).ok_or(Bad(400));
+        let id = required(ID_HEADER)?.into();
         if m.effect == Effect::Deduplicated {
-            mark("Idempotency-Key")?;
+            required("Idempotency-Key")?;
         }
-        let left = match text("X-Remaining-Ms")? {
+        let remaining = match text("X-Remaining-Ms")? {
             None => m.deadline,
             Some(millis) if !millis.bytes().all(|byte| byte.is_ascii_digit()) => return Err(Bad(400)),
             Some(millis) => millis.parse().map(Span::from_millis).map_err(|_| Bad(400))?.min(m.deadline),
         };
-        // A hint that cannot be read is none: it is not for a client's figure to cost it its answer.
+        // The cost is a hint: a value that does not parse is ignored and does not fail the request.
         let labels = text("X-Labels").ok().flatten().unwrap_or("");
         let mut labels = labels.split(',').filter_map(|label| label.trim().split_once('='));
-        let work = labels.find(|(name, _)| *name == WORK).and_then(|(_, nanos)| nanos.parse().ok());
-        Ok(Asked::Request { method, left, work: work.map(Span::from_nanos), id })
+        let cost = labels.find(|(name, _)| *name == COST_LABEL).and_then(|(_, nanos)| nanos.parse().ok());
+        Ok(Parsed::Request { method, remaining, cost: cost.map(Span::from_nanos), id })
     };
     http::with_request(head, read).unwrap_or(Err(Bad(400)))
 }
 
-/// Most connections of clients among so many.
-fn most(connections: usize) -> usize {
-    (connections as f64 * CLIENTS_SHARE) as usize
+/// Returns the maximum number of client connections out of a total.
+fn max_clients(connections: usize) -> usize {
+    (connections as f64 * CLIENT_CONNECTIONS_SHARE) as usize
 }
 
 fn listen(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
@@ -251,26 +252,26 @@
         Ok(Clients {
             listener: Some(listener),
             slots: Slots::default(),
-            open: HashSet::new(),
-            most: most(turn.room as usize),
+            open_ids: HashSet::new(),
+            max_connections: max_clients(turn.room as usize),
             held_back: false,
             lacks_descriptor: false,
-            accept_at: None,
-            held_since: None,
-            away: false,
-            parting: false,
+            accept_retry_at: None,
+            accept_paused_since: None,
+            failing_health_checks: false,
+            draining: false,
             last_accept: turn.now,
             came_since: turn.now,
             head: Vec::new(),
         })
     }
 
-    /// Where it listens, which the machine chose if the port was 0.
+    /// The listening address. The operating system has chosen the port if it was given as 0.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Connections of clients.
+    /// The number of client connections.
     pub fn count(&self) -> usize {
         self.slots.len()
     }
@@ -279,19 +280,20 @@
         self.listener.is_none() && self.slots.is_empty()
     }
 
-    /// Takes all connections that wait, as far as there is room; idle ones go first. Those that are found to
-    /// have brought something after all are returned.
+    /// Accepts all waiting connections, closing idle ones where no connection is free. Returns the connections that were
+    /// to be closed but turned out to have unread input.
     pub fn accept(&mut self, turn: &mut Turn) -> Vec<Key> {
-        let mut brought = Vec::new();
+        let mut with_input = Vec::new();
         self.held_back = false;
-        let lacked = std::mem::take(&mut self.lacks_descriptor);
-        // Danger: where the machine has none left, others take what is freed here, and all would go for nothing.
-        let mut may_make = true;
+        let lacked_before = std::mem::take(&mut self.lacks_descriptor);
+        // Danger: if the whole machine is out of descriptors, other processes take each one freed here, and every connection
+        // would be closed for nothing. So only one is evicted per accepted connection.
+        let mut may_evict = true;
         loop {
-            // One more than the most may come in, as only then it is known that room is needed.
-            let full = turn.room < 0 || self.slots.len() > self.most;
-            if full && !self.make_room_for(true, turn, &mut brought) {
-                self.hold_back(turn);
+            // One connection above the maximum is accepted, because only then is it known that another must be evicted.
+            let full = turn.room < 0 || self.slots.len() > self.max_connections;
+            if full && !self.evict_for(true, turn, &mut with_input) {
+                self.pause_accepting(turn);
                 break;
             }
             let Some(listener) = &self.listener else { break };
@@ -300,97 +302,101 @@
                 Ok(None) => break,
                 Err(e) => {
                     self.lacks_descriptor = connection::lacks_descriptor(&e);
-                    let make = self.lacks_descriptor && std::mem::take(&mut may_make);
-                    if make && self.make_room_for(true, turn, &mut brought) {
+                    let evict = self.lacks_descriptor && std::mem::take(&mut may_evict);
+                    if evict && self.evict_for(true, turn, &mut with_input) {
                         continue;
                     }
-                    // Danger: told at each try, it would keep all other lines out of the log.
-                    if !(lacked && self.lacks_descriptor) {
+                    // Danger: logged at every retry, this would crowd all other lines out of the log.
+                    if !(lacked_before && self.lacks_descriptor) {
                         log::warn!("accept: {e}");
                     }
-                    self.hold_back(turn);
+                    self.pause_accepting(turn);
                     break;
                 }
             };
-            (self.last_accept, may_make) = (turn.now, true);
+            (self.last_accept, may_evict) = (turn.now, true);
             self.lacks_descriptor = false;
-            // Danger: what it brings may be as old as its wait outside, and its end stand behind that.
-            let full_since = Some(self.held_since.unwrap_or(self.came_since));
-            let waited = self.held_since.map_or(Span::ZERO, |since| turn.now.since(since));
+            // Danger: its input may be as old as its time in the backlog, and the client may have disconnected since.
+            let unread_since = Some(self.accept_paused_since.unwrap_or(self.came_since));
+            let queued_for = self.accept_paused_since.map_or(Span::ZERO, |since| turn.now.since(since));
             let added = self.slots.insert_with(|key| {
                 let connection = Connection::take(stream, &turn.registry, Peer::Client(key).token())?;
                 let stage = Stage::Reading;
                 Ok::<_, io::Error>(Client {
                     connection,
                     stage,
-                    timed: false,
-                    leave_given: false,
-                    coming: None,
-                    full_since,
-                    waited,
-                    seen: 0,
-                    body_until: None,
-                    since: turn.now,
-                    heard: turn.now,
-                    answered: false,
+                    partial: false,
+                    continue_sent: false,
+                    remaining_body: None,
+                    unread_since,
+                    queued_for,
+                    body_seen: 0,
+                    body_deadline: None,
+                    waiting_since: turn.now,
+                    last_input: turn.now,
+                    has_answered: false,
                     deadline: None,
                 })
             });
             match added {
                 Ok(key) => {
                     turn.room -= 1;
-                    self.time_out(key, turn.now + HEAD_IN, turn);
+                    self.set_deadline(key, turn.now + HEAD_TIMEOUT, turn);
                 }
                 Err(e) => log::warn!("client: {e}"),
             }
         }
         if !self.held_back {
-            self.held_since = None;
+            self.accept_paused_since = None;
         }
-        brought
+        with_input
     }
 
-    /// Danger: what waits to be taken brings no further event, and trying again at once would spin.
-    fn hold_back(&mut self, turn: &mut Turn) {
+    /// Schedules another try to accept. Danger: waiting connections raise no further event, and retrying at once would spin.
+    fn pause_accepting(&mut self, turn: &mut Turn) {
         self.held_back = true;
-        self.held_since.get_or_insert(turn.now);
-        turn.deadlines.shift(Due::Accept, &mut self.accept_at, Some(turn.now + ACCEPT_AGAIN));
+        self.accept_paused_since.get_or_insert(turn.now);
+        turn.deadlines.shift(Due::Accept, &mut self.accept_retry_at, Some(turn.now + ACCEPT_RETRY));
     }
 
-    /// Closes the connection that has been idle for longest. Danger: clients that never end a request could keep
-    /// all others out, so these go next, and first those that have brought nothing for longest.
-    pub fn make_room(&mut self, turn: &mut Turn, brought: &mut Vec<Key>) -> bool {
-        self.make_room_for(false, turn, brought)
+    /// Closes the connection that has been idle for longest, and otherwise the one with a partial request that has sent nothing
+    /// for longest. Danger: clients that never complete a request could otherwise keep all others out.
+    pub fn make_room(&mut self, turn: &mut Turn, with_input: &mut Vec<Key>) -> bool {
+        self.evict_for(false, turn, with_input)
     }
 
-    fn make_room_for(&mut self, new_client: bool, turn: &mut Turn, brought: &mut Vec<Key>) -> bool {
-        let crowded = self.held_since.is_some_and(|since| turn.now.since(since) >= FRESH);
+    fn evict_for(&mut self, new_client: bool, turn: &mut Turn, with_input: &mut Vec<Key>) -> bool {
+        let crowded = self.accept_paused_since.is_some_and(|since| turn.now.since(since) >= EVICTION_GRACE);
         loop {
-            let may_go = self.slots.iter().filter(|(_, c)| c.may_go(turn.now, crowded, new_client));
-            let may_go = may_go.filter(|(key, _)| !brought.contains(key));
-            let Some((key, _)) = may_go.min_by_key(|(_, c)| (c.begun(), c.heard)) else { return false };
-            if self.close_unread(key, turn) {
+            let evictable = self.slots.iter().filter(|(_, c)| c.is_evictable(turn.now, crowded, new_client));
+            let evictable = evictable.filter(|(key, _)| !with_input.contains(key));
+            let Some((key, _)) = evictable.min_by_key(|(_, c)| (c.has_partial_request(), c.last_input))
+            else {
+                return false;
+            };
+            if self.close_unless_input(key, turn) {
                 return true;
             }
-            brought.push(key);
+            with_input.push(key);
         }
     }
 
-    /// Danger: a request that the kernel already holds is taken; so a last look before a connection goes that
-    /// waits for one. Who has brought part of a request is told to come again.
-    fn close_unread(&mut self, key: Key, turn: &mut Turn) -> bool {
+    /// Closes a connection that waits for a request, unless a last read finds input. Danger: a request that has already
+    /// reached the kernel counts as accepted. A client that has sent part of a request gets a 503 with Retry-After.
+    fn close_unless_input(&mut self, key: Key, turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get_mut(key) else { return false };
         let before = client.connection.input.len();
         let works = client.connection.fill(http::MESSAGE_MOST).is_ok() && !client.connection.ended;
-        let goes = !works || client.connection.input.len() == before;
-        if !goes {
-            client.heard = turn.now;
+        let close = !works || client.connection.input.len() == before;
+        if !close {
+            client.last_input = turn.now;
             return false;
         }
-        if works && client.begun() {
+        if works && client.has_partial_request() {
             self.head.clear();
-            http::own_answer(&mut self.head, 503, Some(ACCEPT_AGAIN), false);
-            // All that came has been read, so this arrives; one that takes no more has gone.
+            http::own_answer(&mut self.head, 503, Some(ACCEPT_RETRY), false);
+            // All input has been read, so the close does not reset the connection and the response arrives; if the write
+            // fails, the client has disconnected.
             let _ = client.connection.send(&[&self.head]);
         }
         self.close(key, turn);
@@ -398,81 +404,82 @@
     }
 
     fn close(&mut self, key: Key, turn: &mut Turn) {
-        self.end_request(key);
+        self.release_request_id(key);
         let Some(mut client) = self.slots.remove(key) else { return };
         turn.room += 1;
         turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
         client.connection.close(&turn.registry);
     }
 
-    /// The client waits no more for the request that this connection has brought, if there is one.
-    fn end_request(&mut self, key: Key) {
+    /// Releases the id of the request in progress on this connection, if there is one.
+    fn release_request_id(&mut self, key: Key) {
         let Some(client) = self.slots.get(key) else { return };
         if let Stage::Waiting { request, frame } = client.stage
             && request != NO_REQUEST
         {
-            self.open.remove(&id(frame.head_in(&client.connection.input)));
+            self.open_ids.remove(&request_id(frame.head_in(&client.connection.input)));
         }
     }
 
     fn wait_for_request(&mut self, key: Key, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
-        (client.stage, client.timed, client.leave_given, client.since) =
+        (client.stage, client.partial, client.continue_sent, client.waiting_since) =
             (Stage::Reading, false, false, turn.now);
-        client.heard = turn.now;
-        (client.coming, client.full_since, client.seen, client.body_until) = (None, None, 0, None);
-        self.time_out(key, turn.now + IDLE_MOST, turn);
+        client.last_input = turn.now;
+        (client.remaining_body, client.unread_since, client.body_seen, client.body_deadline) =
+            (None, None, 0, None);
+        self.set_deadline(key, turn.now + MAX_IDLE, turn);
     }
 
-    fn time_out(&mut self, key: Key, at: Moment, turn: &mut Turn) {
+    fn set_deadline(&mut self, key: Key, at: Moment, turn: &mut Turn) {
         if let Some(client) = self.slots.get_mut(key) {
             turn.deadlines.shift(Due::Client(key), &mut client.deadline, Some(at));
         }
     }
 
-    /// The client sends nothing more than what has come already.
+    /// Records that the client has closed its sending side.
     pub fn ends(&mut self, key: Key) {
         self.slots.get_mut(key).into_iter().for_each(|client| client.connection.ended = true);
     }
 
-    /// Whether a client is there for whom an attempt is about to begin. Danger: its end may stand behind so much that the
-    /// machine takes no more of it, and is told by no event. A long request is read on as it goes, up to its client's end.
+    /// Whether the client is still connected, to be parse_head before an attempt starts. Danger: a close behind more input than the
+    /// socket's buffer takes raises no event. A streamed request is read on anyway, up to the close.
     pub fn sight(&mut self, key: Key, within: Span, now: Moment) -> Sight {
         let Some(client) = self.slots.get_mut(key) else { return Sight::Left };
-        let since = client.full_since.filter(|_| client.coming.is_none());
+        let since = client.unread_since.filter(|_| client.remaining_body.is_none());
         if since.is_none_or(|since| now.since(since) < within) {
             return Sight::Here;
         }
-        let most = http::MESSAGE_MOST + SIGHT_MORE;
-        let works = client.connection.fill(most).is_ok();
+        let limit = http::MESSAGE_MOST + PRESENCE_READ_AHEAD;
+        let works = client.connection.fill(limit).is_ok();
         match () {
             _ if !works || client.connection.ended => Sight::Left,
-            _ if client.connection.input.len() >= most => Sight::Unknown,
-            // All that came has been read, so its end would have been told.
+            _ if client.connection.input.len() >= limit => Sight::Unknown,
+            // All input has been read, so a close would have been noticed.
             _ => Sight::Here,
         }
     }
 
-    /// Whether more stands unread than is taken from it.
+    /// Whether reading stopped at the limit, with more input possibly unread.
     pub fn is_full(&self, key: Key) -> bool {
         self.slots.get(key).is_some_and(|client| client.connection.full)
     }
 
-    /// Reads and writes what a connection is ready for, and says what it brought. To be called again after an
-    /// answer, as the next request may have come already.
+    /// Reads and writes what a connection is ready for, and returns what came of it. Call it again after each
+    /// response, as the next request may have arrived already.
     pub fn ready(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> Said {
         let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
         let (unsent, before) = (client.connection.unsent(), client.connection.input.len());
         let works = client.connection.flush().is_ok() && client.connection.fill(http::MESSAGE_MOST).is_ok();
         if client.connection.input.len() > before {
-            client.heard = turn.now;
+            client.last_input = turn.now;
         }
         let moved = client.connection.unsent() < unsent;
-        client.full_since = client.connection.full.then(|| client.full_since.unwrap_or(self.came_since));
+        client.unread_since = client.connection.full.then(|| client.unread_since.unwrap_or(self.came_since));
         if matches!(client.stage, Stage::Closing) {
-            // Nothing is owed for what comes now. Danger: what is left unread brings no event, and a client that is
-            // still sending would not get to read its answer.
-            for _ in 0..DISCARD_TURNS {
+            // Input is discarded from here on. Danger: input left unread raises no event, and a client that is still
+            // sending would not get to read its response.
+            for _ in 0..MAX_DISCARD_READS {
                 client.connection.input.clear();
                 if !client.connection.full || client.connection.fill(http::MESSAGE_MOST).is_err() {
                     break;
@@ -480,11 +487,11 @@
             }
             client.connection.input.clear();
         }
-        // A client that ends its sending has gone away.
+        // A client that closes its sending side counts as disconnected.
         if !works || client.connection.ended {
             let said = match client.stage {
                 Stage::Waiting { request, .. } => Said::Hangup { request },
-                Stage::Passing { from, .. } => Said::Gone { from },
+                Stage::Forwarding { from, .. } => Said::Gone { from },
                 _ => Said::Nothing,
             };
             self.close(key, turn);
@@ -492,16 +499,16 @@
         }
         let all_sent = client.connection.all_sent();
         if moved && !all_sent {
-            self.time_out(key, turn.now + UNREAD_MOST, turn);
+            self.set_deadline(key, turn.now + WRITE_TIMEOUT, turn);
         }
         let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
         match client.stage {
-            Stage::Passing { from, .. } if all_sent => return Said::Takes { from },
-            Stage::Waiting { .. } if client.coming.is_some() => return Said::More,
+            Stage::Forwarding { from, .. } if all_sent => return Said::Takes { from },
+            Stage::Waiting { .. } if client.remaining_body.is_some() => return Said::More,
             Stage::Closing if client.connection.all_sent() => client.connection.finish(),
             Stage::Reading if client.connection.all_sent() && !client.connection.input.is_empty() => {
                 let said = self.read_request(key, terms, turn);
-                // Danger: no event tells of what is left behind that much, and no answer of an endpoint either.
+                // Danger: neither an event nor an endpoint's response would lead back to the input left beyond the read limit.
                 let left = self.slots.get(key).is_some_and(|c| c.reading() && c.connection.full);
                 return if left && matches!(said, Said::Nothing) { Said::Brought } else { said };
             }
@@ -516,11 +523,11 @@
             let input = &mut client.connection.input;
             let read = http::request(input);
             if matches!(read, Ok(Read::Body { .. } | Read::Long(..)))
-                && !client.leave_given
+                && !client.continue_sent
                 && http::expects_leave(input)
             {
-                client.leave_given = true;
-                // A failure shows at the next read.
+                client.continue_sent = true;
+                // A failed write shows up at the next read.
                 let _ = client.connection.send(&[b"HTTP/1.1 100 Continue\r\n\r\n"]);
             }
             let input = &mut client.connection.input;
@@ -528,43 +535,43 @@
                 Ok(Read::Whole(frame)) => (frame, None),
                 Ok(Read::Long(frame, body)) => (frame, Some(body)),
                 Ok(Read::Head) => {
-                    // Danger: the time of a first request that began anew with its first byte would be twice as long.
-                    if !std::mem::replace(&mut client.timed, true) && client.answered {
-                        self.time_out(key, turn.now + HEAD_IN, turn);
+                    // Danger: if a first request's time limit restarted at its first byte, it would be twice as long.
+                    if !std::mem::replace(&mut client.partial, true) && client.has_answered {
+                        self.set_deadline(key, turn.now + HEAD_TIMEOUT, turn);
                     }
                     return Said::Nothing;
                 }
                 Ok(Read::Body { .. }) => {
-                    client.timed = true;
+                    client.partial = true;
                     let more =
-                        input.len() - std::mem::replace(&mut client.seen, input.len()).min(input.len());
-                    let until = body_until(client.body_until, more, turn.now);
-                    client.body_until = Some(until);
-                    self.time_out(key, until, turn);
+                        input.len() - std::mem::replace(&mut client.body_seen, input.len()).min(input.len());
+                    let until = body_deadline(client.body_deadline, more, turn.now);
+                    client.body_deadline = Some(until);
+                    self.set_deadline(key, until, turn);
                     return Said::Nothing;
                 }
                 Err(Bad(status)) => {
-                    self.answer_last(key, status, turn);
+                    self.respond_and_close(key, status, turn);
                     return Said::Nothing;
                 }
             };
-            let head = asked(frame.head_in(input), terms);
-            client.coming = long;
+            let head = parse_head(frame.head_in(input), terms);
+            client.remaining_body = long;
             match head {
-                Ok(Asked::Request { method, left, work, id }) => {
-                    // Danger: two requests of one id would pass for repeats of each other wherever they go.
-                    if self.open.insert(id) {
+                Ok(Parsed::Request { method, remaining, cost, id }) => {
+                    // Danger: two requests with one id would be taken for retries of each other by every endpoint.
+                    if self.open_ids.insert(id) {
                         turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
-                        let left = left.less(std::mem::take(&mut client.waited));
-                        return Said::Arrival { method, left, work, frame };
+                        let left = remaining.less(std::mem::take(&mut client.queued_for));
+                        return Said::Arrival { method, left, work: cost, frame };
                     }
-                    self.answer_own(key, frame, 409, turn);
+                    self.respond_directly(key, frame, 409, turn);
                 }
-                Ok(Asked::Health) => {
-                    let status = if self.away { 503 } else { 200 };
-                    self.answer_own(key, frame, status, turn);
+                Ok(Parsed::Health) => {
+                    let status = if self.failing_health_checks { 503 } else { 200 };
+                    self.respond_directly(key, frame, status, turn);
                 }
-                Err(Bad(status)) => self.answer_own(key, frame, status, turn),
+                Err(Bad(status)) => self.respond_directly(key, frame, status, turn),
             }
             let more = |c: &Client| c.reading() && !c.connection.input.is_empty();
             if !self.slots.get(key).is_some_and(more) {
@@ -573,64 +580,67 @@
         }
     }
 
-    /// Answers what this connection has brought, with no request of it.
-    fn answer_own(&mut self, key: Key, frame: Frame, status: u16, turn: &mut Turn) {
+    /// Writes a response of the sidecar's own to the request in this frame.
+    fn respond_directly(&mut self, key: Key, frame: Frame, status: u16, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         client.stage = Stage::Waiting { request: NO_REQUEST, frame };
         let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, None, keep);
         self.answer(key, head, b"", turn);
     }
 
-    /// The same where what has come cannot be told apart from what may follow.
-    fn answer_last(&mut self, key: Key, status: u16, turn: &mut Turn) {
+    /// The same for input whose end is unknown, so the connection is closed after it.
+    fn respond_and_close(&mut self, key: Key, status: u16, turn: &mut Turn) {
         let Some(client) = self.slots.get(key) else { return };
         let frame = Frame { head: 0, body: 0, end: client.connection.input.len(), keep: false };
-        self.answer_own(key, frame, status, turn);
+        self.respond_directly(key, frame, status, turn);
     }
 
-    /// The connection now waits for the answer to this request.
+    /// Records that the connection now waits for the response to this request.
     pub fn waits(&mut self, key: Key, request: usize, frame: Frame) {
         if let Some(client) = self.slots.get_mut(key) {
             client.stage = Stage::Waiting { request, frame };
         }
     }
 
-    /// The request that this connection waits for, as it goes to an endpoint.
+    /// The request in progress on this connection, as it is sent to an endpoint.
     pub fn message(&self, key: Key) -> Option<Message<'_>> {
         let client = self.slots.get(key)?;
         let Stage::Waiting { frame, .. } = client.stage else { return None };
         let input = &client.connection.input;
-        let coming = client.coming.as_ref().map(|body| body.length().map_or(Length::Chunked, Length::Known));
+        let coming =
+            client.remaining_body.as_ref().map(|body| body.length().map_or(Length::Chunked, Length::Known));
         Some(Message { head: frame.head_in(input), body: frame.body_in(input), coming })
     }
 
-    // Long requests.
+    // Streamed requests.
 
-    /// The request that this connection waits for, of which more is to come.
+    /// The request in progress on this connection, if its body is not complete.
     pub fn brings(&self, key: Key) -> Option<usize> {
         let client = self.slots.get(key)?;
         match client.stage {
-            Stage::Waiting { request, .. } if client.coming.as_ref().is_some_and(|body| !body.done()) => {
+            Stage::Waiting { request, .. }
+                if client.remaining_body.as_ref().is_some_and(|body| !body.done()) =>
+            {
                 Some(request)
             }
             _ => None,
         }
     }
 
-    /// What stands next of its body.
+    /// The next piece of that request's body.
     pub fn piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
         let Some(client) = self.slots.get_mut(key) else { return Piece::Broken };
-        let (Stage::Waiting { frame, .. }, Some(body)) = (&client.stage, &mut client.coming) else {
+        let (Stage::Waiting { frame, .. }, Some(body)) = (&client.stage, &mut client.remaining_body) else {
             return Piece::Broken;
         };
-        // Danger: the last bytes of a client that has gone could make its request whole, and it would run.
+        // Danger: the last bytes from a client that has disconnected could complete its request, which would then run.
         let piece = body.next(&mut client.connection, frame.end, false);
         let until = match piece {
-            Piece::Later => Some(body_until(client.body_until, 0, turn.now)),
+            Piece::Later => Some(body_deadline(client.body_deadline, 0, turn.now)),
             Piece::End => None,
             _ => return piece,
         };
-        client.body_until = until;
+        client.body_deadline = until;
         turn.deadlines.shift(Due::Client(key), &mut client.deadline, until);
         piece
     }
@@ -639,26 +649,26 @@
         self.slots.get(key).map_or(&[], |client| &client.connection.input[range.clone()])
     }
 
-    /// A piece has gone on.
+    /// Drops a piece of the body that has been forwarded, and extends the deadline for the next.
     pub fn taken(&mut self, key: Key, range: &Range<usize>, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Waiting { frame, .. } = client.stage else { return };
         client.connection.consume_at(frame.end, range.end - frame.end);
-        client.body_until = Some(body_until(client.body_until, range.len(), turn.now));
+        client.body_deadline = Some(body_deadline(client.body_deadline, range.len(), turn.now));
     }
 
-    /// The endpoint has to take more before the client may bring it: that is not to be held against its time.
+    /// Stops the clock for the body while the endpoint has not taken what was written: the client is not to blame.
     pub fn rest(&mut self, key: Key, turn: &mut Turn) {
         if let Some(client) = self.slots.get_mut(key) {
-            client.body_until = None;
+            client.body_deadline = None;
             turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
         }
     }
 
-    // Long answers.
+    // Streamed responses.
 
-    /// Begins the answer to the request that this connection waits for; the rest passes through, from this connection of
-    /// an endpoint. `head` writes its head. Returns whether that could be.
+    /// Begins the response to the request in progress; its body will be streamed from the endpoint connection `from`.
+    /// `head` writes the response's head. Returns whether the client is still connected.
     pub fn begin(
         &mut self,
         key: Key,
@@ -667,58 +677,59 @@
         head: impl FnOnce(&mut Vec<u8>, Length, bool),
         turn: &mut Turn,
     ) -> bool {
-        self.end_request(key);
+        self.release_request_id(key);
         let Some(client) = self.slots.get_mut(key) else { return false };
         let Stage::Waiting { frame, .. } = client.stage else { return false };
         let chunks = http::takes_chunks(frame.head_in(&client.connection.input));
         let unknown = if chunks { Length::Chunked } else { Length::ToEnd };
         let length = length.map_or(unknown, Length::Known);
-        let keep = client.keeps(frame) && !self.parting && length != Length::ToEnd;
-        // Danger: broken off, by whatever ends this process too, an answer that only an end ends would pass for whole.
+        let keep = client.keeps_alive(frame) && !self.draining && length != Length::ToEnd;
+        // Danger: a response delimited by the connection's close would look complete when cut short, even by the end of
+        // this process, so the connection is set up to be reset.
         if length == Length::ToEnd {
             client.connection.reset_at_close();
         }
         self.head.clear();
         head(&mut self.head, length, keep);
         client.connection.consume(frame.end);
-        (client.stage, client.answered) = (Stage::Passing { from, keep, length }, true);
+        (client.stage, client.has_answered) = (Stage::Forwarding { from, keep, length }, true);
         let head = std::mem::take(&mut self.head);
-        let there = self.send_piece(key, &[&head], turn);
+        let there = self.send_parts(key, &[&head], turn);
         self.head = head;
         there
     }
 
-    /// Whether the client has taken all of the answer that was there.
+    /// Whether all that was written of the streamed response has been sent to the client.
     pub fn takes_more(&self, key: Key) -> bool {
         self.slots
             .get(key)
-            .is_some_and(|c| matches!(c.stage, Stage::Passing { .. }) && c.connection.all_sent())
+            .is_some_and(|c| matches!(c.stage, Stage::Forwarding { .. }) && c.connection.all_sent())
     }
 
-    /// A piece of the answer that passes; whether the client is still there.
+    /// Sends a piece of the streamed response. Returns whether the client is still connected.
     pub fn pass(&mut self, key: Key, data: &[u8], turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get(key) else { return false };
-        let Stage::Passing { length, .. } = client.stage else { return false };
+        let Stage::Forwarding { length, .. } = client.stage else { return false };
         let (before, behind) = http::chunk_frame(length, Some(data));
-        self.send_piece(key, &[before.as_bytes(), data, behind], turn)
+        self.send_parts(key, &[before.as_bytes(), data, behind], turn)
     }
 
-    fn send_piece(&mut self, key: Key, parts: &[&[u8]], turn: &mut Turn) -> bool {
+    fn send_parts(&mut self, key: Key, parts: &[&[u8]], turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get_mut(key) else { return false };
         if client.connection.send(parts).is_err() {
             self.close(key, turn);
             return false;
         }
-        // While the endpoint brings nothing the client has nothing to take.
-        let until = (!client.connection.all_sent()).then(|| turn.now + UNREAD_MOST);
+        // With nothing left to send, the endpoint is awaited and the client has no deadline.
+        let until = (!client.connection.all_sent()).then(|| turn.now + WRITE_TIMEOUT);
         turn.deadlines.shift(Due::Client(key), &mut client.deadline, until);
         true
     }
 
-    /// The answer has passed. Danger: one that is not whole must end in a way that the client can tell.
+    /// Ends the streamed response. Danger: one that is not complete must end in a way that the client can detect.
     pub fn end_pass(&mut self, key: Key, whole: bool, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
-        let Stage::Passing { keep, length, .. } = client.stage else { return };
+        let Stage::Forwarding { keep, length, .. } = client.stage else { return };
         if !whole {
             return self.close(key, turn);
         }
@@ -727,64 +738,68 @@
         if client.connection.send(&[end.as_bytes()]).is_err() {
             return self.close(key, turn);
         }
-        self.after_answer(key, keep, turn);
+        self.after_response(key, keep, turn);
     }
 
-    /// Answers the request that this connection waits for. `head` writes the answer's head, and is told whether
-    /// the connection stays open.
+    /// Responds to the request in progress. `head` writes the response's head; its argument says whether the connection
+    /// stays open.
     pub fn answer(&mut self, key: Key, head: impl FnOnce(&mut Vec<u8>, bool), body: &[u8], turn: &mut Turn) {
-        self.end_request(key);
+        self.release_request_id(key);
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Waiting { frame, .. } = client.stage else { return };
-        let keep = client.keeps(frame) && !self.parting;
+        let keep = client.keeps_alive(frame) && !self.draining;
         self.head.clear();
         head(&mut self.head, keep);
         client.connection.consume(frame.end);
-        (client.stage, client.answered) = (Stage::Closing, true);
+        (client.stage, client.has_answered) = (Stage::Closing, true);
         if client.connection.send(&[&self.head, body]).is_err() {
             return self.close(key, turn);
         }
-        self.after_answer(key, keep, turn);
+        self.after_response(key, keep, turn);
     }
 
-    /// An answer has gone out, or waits for the client to take it.
-    fn after_answer(&mut self, key: Key, keep: bool, turn: &mut Turn) {
+    /// A response has been sent, or is queued until the client reads it.
+    fn after_response(&mut self, key: Key, keep: bool, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         let all_sent = client.connection.all_sent();
         if keep {
             self.wait_for_request(key, turn);
         } else if all_sent {
-            // Danger: closed outright with something unread, the answer itself could be lost on the way.
+            // Danger: closing a socket with unread input resets it, and the response itself could be lost.
             client.connection.finish();
         }
         if !(keep && all_sent) {
-            self.time_out(key, turn.now + if all_sent { LINGER } else { UNREAD_MOST }, turn);
+            self.set_deadline(key, turn.now + if all_sent { CLOSE_TIMEOUT } else { WRITE_TIMEOUT }, turn);
         }
     }
 
-    /// Whether the connection may hold a request that is still to be read.
+    /// Whether the connection may hold a request that has not been parsed yet.
     pub fn has_more(&self, key: Key) -> bool {
         let more = |c: &Client| c.reading() && (c.connection.full || !c.connection.input.is_empty());
         self.slots.get(key).is_some_and(more)
     }
 
-    /// A connection's time is up.
+    /// Handles a connection whose deadline has passed.
     pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> Said {
         let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
         client.deadline = None;
         match client.stage {
             _ if client.idle() => {
-                if self.close_unread(key, turn) {
+                if self.close_unless_input(key, turn) {
                     return Said::Nothing;
                 }
-                // Danger: what has come in this moment may be half a request, and would have no time left to be ended by.
-                self.time_out(key, turn.now + LEAVE_IDLE, turn);
+                // Danger: the input just found may be a partial request, which would be left without a deadline.
+                self.set_deadline(key, turn.now + DRAIN_IDLE_TIMEOUT, turn);
                 return Said::Brought;
             }
-            // What is not whole was never taken: it may come again, where this process leaves.
-            _ if client.begun() => self.answer_last(key, if self.parting { 503 } else { 408 }, turn),
-            Stage::Waiting { request, .. } if client.coming.is_some() => return Said::Silent { request },
-            Stage::Passing { from, .. } => {
+            // A partial request was never accepted, so it may be retried: a draining process answers 503.
+            _ if client.has_partial_request() => {
+                self.respond_and_close(key, if self.draining { 503 } else { 408 }, turn)
+            }
+            Stage::Waiting { request, .. } if client.remaining_body.is_some() => {
+                return Said::Silent { request };
+            }
+            Stage::Forwarding { from, .. } => {
                 self.close(key, turn);
                 return Said::Gone { from };
             }
@@ -793,71 +808,73 @@
         Said::Nothing
     }
 
-    /// Who asks for its health hears from now on that clients are to go elsewhere.
+    /// Fails health checks from now on, so that new clients go elsewhere.
     pub fn turn_away(&mut self) {
-        self.away = true;
+        self.failing_health_checks = true;
     }
 
-    /// Clients may come and stay again.
+    /// Passes health checks and keeps_alive connections open again.
     pub fn take_again(&mut self) {
-        (self.away, self.parting) = (false, false);
+        (self.failing_health_checks, self.draining) = (false, false);
     }
 
-    /// Nobody is here, or has come of late.
+    /// Whether there are no connections and none has been accepted recently.
     pub fn quiet(&self, turn: &Turn) -> bool {
-        self.slots.is_empty() && turn.now.since(self.last_accept) >= LEAVE_IDLE
+        self.slots.is_empty() && turn.now.since(self.last_accept) >= DRAIN_IDLE_TIMEOUT
     }
 
-    /// There is room for so many connections in all from now on.
+    /// Sets the total number of connections, of which clients have their share.
     pub fn resize(&mut self, connections: usize) {
-        self.most = most(connections);
+        self.max_connections = max_clients(connections);
     }
 
-    /// Another process takes what comes from now on: takes all of the backlog and listens no more. Connections
-    /// close with their next answer. Those that have brought something are returned.
+    /// Leaves new connections to another process: accepts all of the backlog and stops listening. Connections close with
+    /// their next response. Returns those that have unread input.
     pub fn hand_over(&mut self, turn: &mut Turn) -> Vec<Key> {
-        self.parting = true;
-        let brought = self.accept(turn);
+        self.draining = true;
+        let with_input = self.accept(turn);
         self.stop_listening(turn);
-        brought
+        with_input
     }
 
-    /// Connections close between requests, those that still come too. To be called until none is left or clients
-    /// may stay again. Those that have brought something are returned.
+    /// Closes connections between requests, also those still to be accepted. Call it until none is left or
+    /// connections may stay open again. Returns those that have unread input.
     pub fn part(&mut self, turn: &mut Turn) -> Vec<Key> {
-        self.parting = true;
-        let brought = self.accept(turn);
-        // The next request of any of them may be under way, so it has a moment for it.
+        self.draining = true;
+        let with_input = self.accept(turn);
+        // The next request may be on its way to any of them, so each has a short time for it.
         let between = self.slots.iter().filter_map(|(key, c)| {
             let until = match c {
-                _ if c.idle() => turn.now + LEAVE_IDLE,
-                _ if c.begun() => turn.now + LEAVE_BEGUN,
+                _ if c.idle() => turn.now + DRAIN_IDLE_TIMEOUT,
+                _ if c.has_partial_request() => turn.now + DRAIN_PARTIAL_TIMEOUT,
                 _ => return None,
             };
             c.deadline.is_none_or(|at| at > until).then_some((key, until))
         });
         for (key, until) in between.collect::<Vec<_>>() {
-            self.time_out(key, until, turn);
+            self.set_deadline(key, until, turn);
         }
-        brought
+        with_input
     }
 
-    /// All must have been taken by now: what waits for a request goes, and half a request is told to come again. Those that have
-    /// brought something are returned. Danger: a request that is whole only after the last look has no answer.
+    /// The drain's time is over: closes connections that wait for a request and answers partial requests with 503. Returns
+    /// those that have unread input. Danger: a request completed after this last read gets no response.
     pub fn part_at_once(&mut self, turn: &mut Turn) -> Vec<Key> {
-        let mut brought = self.part(turn);
-        let between = self.slots.iter().filter(|(_, c)| c.idle() || c.begun());
-        for (key, begun) in between.map(|(key, c)| (key, c.begun())).collect::<Vec<_>>() {
-            if begun {
-                self.answer_last(key, 503, turn);
-            } else if !self.close_unread(key, turn) {
-                brought.push(key);
+        let mut with_input = self.part(turn);
+        let between = self.slots.iter().filter(|(_, c)| c.idle() || c.has_partial_request());
+        for (key, has_partial_request) in
+            between.map(|(key, c)| (key, c.has_partial_request())).collect::<Vec<_>>()
+        {
+            if has_partial_request {
+                self.respond_and_close(key, 503, turn);
+            } else if !self.close_unless_input(key, turn) {
+                with_input.push(key);
             }
         }
-        brought
+        with_input
     }
 
-    /// Listens no more, once all of the backlog has been taken.
+    /// Stops listening, unless accepting is paused with connections still in the backlog.
     pub fn stop_listening(&mut self, turn: &mut Turn) {
         if let Some(mut listener) = self.listener.take_if(|_| !self.held_back) {
             let _ = turn.registry.deregister(&mut listener);
@@ -866,30 +883,31 @@
 }
 
 impl Client {
-    /// Whether the connection may carry another request after this one: not where part of its body is left.
-    fn keeps(&self, frame: Frame) -> bool {
-        frame.keep && self.coming.as_ref().is_none_or(Body::done)
+    /// Whether the connection may carry another request after this one: not while part of its body is unread.
+    fn keeps_alive(&self, frame: Frame) -> bool {
+        frame.keep && self.remaining_body.as_ref().is_none_or(Body::done)
     }
 
-    /// Danger: a first request that comes just after its connection was closed is lost, as its client does not
-    /// send it again. One between requests does so with the next.
-    fn may_go(&self, now: Moment, crowded: bool, for_new_client: bool) -> bool {
-        if self.idle() && self.answered {
-            return now > self.since;
+    /// Whether the connection may be closed to free it for another. Danger: a first request that arrives just after the close
+    /// is lost, as clients do not retry it. On a connection that has carried a request before, they do.
+    fn is_evictable(&self, now: Moment, crowded: bool, for_new_client: bool) -> bool {
+        if self.idle() && self.has_answered {
+            return now > self.waiting_since;
         }
-        let (rests, old) = (now.since(self.heard) >= PAUSE_MOST, now.since(self.since) >= FRESH);
-        // Danger: for a new client, which may be of a crowd, one goes that writes slowly. What has come whole comes first.
-        let goes = if for_new_client { rests && (crowded || old) } else { old || rests && crowded };
-        (self.idle() || self.begun()) && goes
+        let (paused, old) =
+            (now.since(self.last_input) >= MAX_PAUSE, now.since(self.waiting_since) >= EVICTION_GRACE);
+        // Danger: a new client may be one of a crowd, and slow writers would be evicted for it. Complete requests matter more.
+        let evictable = if for_new_client { paused && (crowded || old) } else { old || paused && crowded };
+        (self.idle() || self.has_partial_request()) && evictable
     }
 
     fn reading(&self) -> bool {
         matches!(self.stage, Stage::Reading)
     }
 
-    /// Part of a request has come.
-    fn begun(&self) -> bool {
-        self.timed && self.reading()
+    /// Whether part of a request has been received.
+    fn has_partial_request(&self) -> bool {
+        self.partial && self.reading()
     }
 
     fn idle(&self) -> bool {
@@ -902,7 +920,7 @@
     use super::*;
 
     #[test]
-    fn a_hint_of_the_work_is_read_among_the_labels_and_a_bad_one_costs_nothing() {
+    fn cost_label_is_parsed_and_an_invalid_one_is_ignored() {
         let terms = crate::launch::plain_terms("view", &[]);
         for (labels, wanted) in [
             ("X-Labels: size=3, costGuessNs=12000000\r\n", Some(Span::from_millis(12))),
@@ -911,17 +929,17 @@
             ("", None),
         ] {
             let head = format!("GET /view HTTP/1.1\r\nX-Txn: 1\r\n{labels}\r\n");
-            let Ok(Asked::Request { work, .. }) = asked(head.as_bytes(), &terms) else {
-                panic!("refused: {labels}")
+            let Ok(Parsed::Request { cost, .. }) = parse_head(head.as_bytes(), &terms) else {
+                panic!("rejected: {labels}")
             };
-            assert_eq!(work, wanted, "{labels}");
+            assert_eq!(cost, wanted, "{labels}");
         }
     }
 
-    /// Danger: a connection whose time was up in the moment in which its first byte came had no time left to be ended by,
-    /// and held its place for ever.
+    /// Danger: a connection whose deadline passed just as its first byte arrived was left without a deadline and was never
+    /// closed.
     #[test]
-    fn half_a_request_that_comes_as_its_connection_is_timed_out_has_a_time_to_end() {
+    fn partial_request_found_when_its_connection_times_out_gets_a_deadline() {
         let poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let now = Moment::from_nanos(1);
@@ -931,9 +949,11 @@
         while clients.count() == 0 {
             clients.accept(&mut turn);
         }
-        turn.now = turn.now + HEAD_IN;
-        let Some(Due::Client(key)) = turn.deadlines.pop(turn.now) else { panic!("its time is up") };
-        // No event has told of these.
+        turn.now = turn.now + HEAD_TIMEOUT;
+        let Some(Due::Client(key)) = turn.deadlines.pop(turn.now) else {
+            panic!("the client's deadline is due")
+        };
+        // No event has been handled for these bytes.
         io::Write::write_all(&mut peer, b"GET /vi").unwrap();
         while clients.slots.get(key).unwrap().connection.input.is_empty() {
             clients.slots.get_mut(key).unwrap().connection.fill(1).unwrap();
@@ -942,22 +962,22 @@
         assert!(matches!(clients.timed_out(key, &mut turn), Said::Brought));
         let terms = crate::launch::plain_terms("view", &[]);
         assert!(matches!(clients.ready(key, &terms, &mut turn), Said::Nothing));
-        assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= LEAVE_IDLE));
+        assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= DRAIN_IDLE_TIMEOUT));
     }
 
-    /// Danger: what stands behind as much as is read at a time brings no event, and was left there where all before it was
-    /// answered without an endpoint.
+    /// Danger: input beyond the read limit raises no event, and was left unread when all requests before it were has_answered
+    /// without an endpoint.
     #[test]
-    fn many_requests_that_are_there_at_once_are_all_answered_whoever_answers_them() {
+    fn pipelined_requests_beyond_the_read_limit_are_all_answered_without_an_endpoint() {
         let mut poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 8 };
         let mut clients = Clients::listen("127.0.0.1:0".parse().unwrap(), false, &mut turn).unwrap();
-        // Connections have it from their listener.
+        // Accepted connections inherit the buffer size from their listener.
         socket2::SockRef::from(clients.listener.as_ref().unwrap()).set_recv_buffer_size(1 << 20).unwrap();
         let mut peer = std::net::TcpStream::connect(clients.address().unwrap()).unwrap();
-        const MANY: usize = 3000;
-        let requests = "GET /none HTTP/1.1\r\nX-Txn: 1\r\n\r\n".repeat(MANY);
+        const REQUESTS: usize = 3000;
+        let requests = "GET /none HTTP/1.1\r\nX-Txn: 1\r\n\r\n".repeat(REQUESTS);
         assert!(requests.len() > http::MESSAGE_MOST);
         io::Write::write_all(&mut peer, requests.as_bytes()).unwrap();
         peer.set_nonblocking(true).unwrap();
@@ -968,10 +988,10 @@
         let terms = crate::launch::plain_terms("view", &[]);
         let (mut events, mut answers) = (mio::Events::with_capacity(8), String::new());
         let mut again = false;
-        while answers.matches("HTTP/1.1 404 ").count() < MANY {
+        while answers.matches("HTTP/1.1 404 ").count() < REQUESTS {
             if !again {
                 poll.poll(&mut events, Some(std::time::Duration::from_secs(2))).unwrap();
-                assert!(!events.is_empty(), "nothing tells of the rest");
+                assert!(!events.is_empty(), "no event for the remaining requests");
             }
             again = matches!(clients.ready(key, &terms, &mut turn), Said::Brought);
             let _ = io::Read::read_to_string(&mut peer, &mut answers);
