--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -115,7 +115,7 @@
 }
 
 /// What an event on a client's connection led to.
-pub enum Said {
+pub enum ClientEvent {
     Nothing,
     Arrival {
         method: usize,
@@ -123,31 +123,31 @@
         work: Option<Span>,
         frame: Frame,
     },
-    Hangup {
+    Disconnected {
         request: usize,
     },
     /// There may be more of the body of the request in progress.
-    More,
+    BodyReadable,
     /// All that was written of the response streamed from this endpoint connection has been sent.
-    Takes {
+    ResponseSent {
         from: Key,
     },
     /// The client disconnected while that response was streamed.
-    Gone {
+    DisconnectedMidResponse {
         from: Key,
     },
     /// There may be unread input that no event will report, so the connection has to be looked at again.
-    Brought,
+    InputPending,
     /// The request's body stalled, so the request is to be has_answered with a timeout.
-    Silent {
+    BodyTimedOut {
         request: usize,
     },
 }
 
 /// Whether a client that waits for a response is still connected.
-pub enum Sight {
-    Here,
-    Left,
+pub enum ClientState {
+    Connected,
+    Disconnected,
     /// More input has been unread, for longer than the given time, than may be read to find out.
     Unknown,
 }
@@ -167,7 +167,7 @@
     /// The maximum number of client connections.
     max_connections: usize,
     /// Connections may be waiting in the backlog that could not be accepted.
-    pub held_back: bool,
+    pub accept_paused: bool,
     /// The last accept failed for lack of a file descriptor.
     pub lacks_descriptor: bool,
     accept_retry_at: Option<Moment>,
@@ -179,7 +179,7 @@
     draining: bool,
     last_accept: Moment,
     /// The earliest time at which input found in this turn of the event loop may have arrived.
-    pub came_since: Moment,
+    pub input_since: Moment,
     head: Vec<u8>,
 }
 
@@ -254,14 +254,14 @@
             slots: Slots::default(),
             open_ids: HashSet::new(),
             max_connections: max_clients(turn.room as usize),
-            held_back: false,
+            accept_paused: false,
             lacks_descriptor: false,
             accept_retry_at: None,
             accept_paused_since: None,
             failing_health_checks: false,
             draining: false,
             last_accept: turn.now,
-            came_since: turn.now,
+            input_since: turn.now,
             head: Vec::new(),
         })
     }
@@ -276,7 +276,7 @@
         self.slots.len()
     }
 
-    pub fn none_left(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.listener.is_none() && self.slots.is_empty()
     }
 
@@ -284,7 +284,7 @@
     /// to be closed but turned out to have unread input.
     pub fn accept(&mut self, turn: &mut Turn) -> Vec<Key> {
         let mut with_input = Vec::new();
-        self.held_back = false;
+        self.accept_paused = false;
         let lacked_before = std::mem::take(&mut self.lacks_descriptor);
         // Danger: if the whole machine is out of descriptors, other processes take each one freed here, and every connection
         // would be closed for nothing. So only one is evicted per accepted connection.
@@ -317,7 +317,7 @@
             (self.last_accept, may_evict) = (turn.now, true);
             self.lacks_descriptor = false;
             // Danger: its input may be as old as its time in the backlog, and the client may have disconnected since.
-            let unread_since = Some(self.accept_paused_since.unwrap_or(self.came_since));
+            let unread_since = Some(self.accept_paused_since.unwrap_or(self.input_since));
             let queued_for = self.accept_paused_since.map_or(Span::ZERO, |since| turn.now.since(since));
             let added = self.slots.insert_with(|key| {
                 let connection = Connection::take(stream, &turn.registry, Peer::Client(key).token())?;
@@ -346,7 +346,7 @@
                 Err(e) => log::warn!("client: {e}"),
             }
         }
-        if !self.held_back {
+        if !self.accept_paused {
             self.accept_paused_since = None;
         }
         with_input
@@ -354,14 +354,14 @@
 
     /// Schedules another try to accept. Danger: waiting connections raise no further event, and retrying at once would spin.
     fn pause_accepting(&mut self, turn: &mut Turn) {
-        self.held_back = true;
+        self.accept_paused = true;
         self.accept_paused_since.get_or_insert(turn.now);
         turn.deadlines.shift(Due::Accept, &mut self.accept_retry_at, Some(turn.now + ACCEPT_RETRY));
     }
 
     /// Closes the connection that has been idle for longest, and otherwise the one with a partial request that has sent nothing
     /// for longest. Danger: clients that never complete a request could otherwise keep all others out.
-    pub fn make_room(&mut self, turn: &mut Turn, with_input: &mut Vec<Key>) -> bool {
+    pub fn evict(&mut self, turn: &mut Turn, with_input: &mut Vec<Key>) -> bool {
         self.evict_for(false, turn, with_input)
     }
 
@@ -438,25 +438,25 @@
     }
 
     /// Records that the client has closed its sending side.
-    pub fn ends(&mut self, key: Key) {
+    pub fn mark_peer_closed(&mut self, key: Key) {
         self.slots.get_mut(key).into_iter().for_each(|client| client.connection.ended = true);
     }
 
     /// Whether the client is still connected, to be parse_head before an attempt starts. Danger: a close behind more input than the
     /// socket's buffer takes raises no event. A streamed request is read on anyway, up to the close.
-    pub fn sight(&mut self, key: Key, within: Span, now: Moment) -> Sight {
-        let Some(client) = self.slots.get_mut(key) else { return Sight::Left };
+    pub fn check_connected(&mut self, key: Key, within: Span, now: Moment) -> ClientState {
+        let Some(client) = self.slots.get_mut(key) else { return ClientState::Disconnected };
         let since = client.unread_since.filter(|_| client.remaining_body.is_none());
         if since.is_none_or(|since| now.since(since) < within) {
-            return Sight::Here;
+            return ClientState::Connected;
         }
         let limit = http::MESSAGE_MOST + PRESENCE_READ_AHEAD;
         let works = client.connection.fill(limit).is_ok();
         match () {
-            _ if !works || client.connection.ended => Sight::Left,
-            _ if client.connection.input.len() >= limit => Sight::Unknown,
+            _ if !works || client.connection.ended => ClientState::Disconnected,
+            _ if client.connection.input.len() >= limit => ClientState::Unknown,
             // All input has been read, so a close would have been noticed.
-            _ => Sight::Here,
+            _ => ClientState::Connected,
         }
     }
 
@@ -467,15 +467,15 @@
 
     /// Reads and writes what a connection is ready for, and returns what came of it. Call it again after each
     /// response, as the next request may have arrived already.
-    pub fn ready(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> Said {
-        let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
+    pub fn ready(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> ClientEvent {
+        let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
         let (unsent, before) = (client.connection.unsent(), client.connection.input.len());
         let works = client.connection.flush().is_ok() && client.connection.fill(http::MESSAGE_MOST).is_ok();
         if client.connection.input.len() > before {
             client.last_input = turn.now;
         }
         let moved = client.connection.unsent() < unsent;
-        client.unread_since = client.connection.full.then(|| client.unread_since.unwrap_or(self.came_since));
+        client.unread_since = client.connection.full.then(|| client.unread_since.unwrap_or(self.input_since));
         if matches!(client.stage, Stage::Closing) {
             // Input is discarded from here on. Danger: input left unread raises no event, and a client that is still
             // sending would not get to read its response.
@@ -489,37 +489,41 @@
         }
         // A client that closes its sending side counts as disconnected.
         if !works || client.connection.ended {
-            let said = match client.stage {
-                Stage::Waiting { request, .. } => Said::Hangup { request },
-                Stage::Forwarding { from, .. } => Said::Gone { from },
-                _ => Said::Nothing,
+            let event = match client.stage {
+                Stage::Waiting { request, .. } => ClientEvent::Disconnected { request },
+                Stage::Forwarding { from, .. } => ClientEvent::DisconnectedMidResponse { from },
+                _ => ClientEvent::Nothing,
             };
             self.close(key, turn);
-            return said;
+            return event;
         }
         let all_sent = client.connection.all_sent();
         if moved && !all_sent {
             self.set_deadline(key, turn.now + WRITE_TIMEOUT, turn);
         }
-        let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
+        let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
         match client.stage {
-            Stage::Forwarding { from, .. } if all_sent => return Said::Takes { from },
-            Stage::Waiting { .. } if client.remaining_body.is_some() => return Said::More,
+            Stage::Forwarding { from, .. } if all_sent => return ClientEvent::ResponseSent { from },
+            Stage::Waiting { .. } if client.remaining_body.is_some() => return ClientEvent::BodyReadable,
             Stage::Closing if client.connection.all_sent() => client.connection.finish(),
             Stage::Reading if client.connection.all_sent() && !client.connection.input.is_empty() => {
-                let said = self.read_request(key, terms, turn);
+                let event = self.read_request(key, terms, turn);
                 // Danger: neither an event nor an endpoint's response would lead back to the input left beyond the read limit.
-                let left = self.slots.get(key).is_some_and(|c| c.reading() && c.connection.full);
-                return if left && matches!(said, Said::Nothing) { Said::Brought } else { said };
+                let unread = self.slots.get(key).is_some_and(|c| c.reading() && c.connection.full);
+                return if unread && matches!(event, ClientEvent::Nothing) {
+                    ClientEvent::InputPending
+                } else {
+                    event
+                };
             }
             _ => {}
         }
-        Said::Nothing
+        ClientEvent::Nothing
     }
 
-    fn read_request(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> Said {
+    fn read_request(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> ClientEvent {
         loop {
-            let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
+            let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
             let input = &mut client.connection.input;
             let read = http::request(input);
             if matches!(read, Ok(Read::Body { .. } | Read::Long(..)))
@@ -539,7 +543,7 @@
                     if !std::mem::replace(&mut client.partial, true) && client.has_answered {
                         self.set_deadline(key, turn.now + HEAD_TIMEOUT, turn);
                     }
-                    return Said::Nothing;
+                    return ClientEvent::Nothing;
                 }
                 Ok(Read::Body { .. }) => {
                     client.partial = true;
@@ -548,11 +552,11 @@
                     let until = body_deadline(client.body_deadline, more, turn.now);
                     client.body_deadline = Some(until);
                     self.set_deadline(key, until, turn);
-                    return Said::Nothing;
+                    return ClientEvent::Nothing;
                 }
                 Err(Bad(status)) => {
                     self.respond_and_close(key, status, turn);
-                    return Said::Nothing;
+                    return ClientEvent::Nothing;
                 }
             };
             let head = parse_head(frame.head_in(input), terms);
@@ -563,7 +567,7 @@
                     if self.open_ids.insert(id) {
                         turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
                         let left = remaining.less(std::mem::take(&mut client.queued_for));
-                        return Said::Arrival { method, left, work: cost, frame };
+                        return ClientEvent::Arrival { method, left, work: cost, frame };
                     }
                     self.respond_directly(key, frame, 409, turn);
                 }
@@ -575,7 +579,7 @@
             }
             let more = |c: &Client| c.reading() && !c.connection.input.is_empty();
             if !self.slots.get(key).is_some_and(more) {
-                return Said::Nothing;
+                return ClientEvent::Nothing;
             }
         }
     }
@@ -585,7 +589,7 @@
         let Some(client) = self.slots.get_mut(key) else { return };
         client.stage = Stage::Waiting { request: NO_REQUEST, frame };
         let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, None, keep);
-        self.answer(key, head, b"", turn);
+        self.respond(key, head, b"", turn);
     }
 
     /// The same for input whose end is unknown, so the connection is closed after it.
@@ -596,7 +600,7 @@
     }
 
     /// Records that the connection now waits for the response to this request.
-    pub fn waits(&mut self, key: Key, request: usize, frame: Frame) {
+    pub fn wait_for_response(&mut self, key: Key, request: usize, frame: Frame) {
         if let Some(client) = self.slots.get_mut(key) {
             client.stage = Stage::Waiting { request, frame };
         }
@@ -615,7 +619,7 @@
     // Streamed requests.
 
     /// The request in progress on this connection, if its body is not complete.
-    pub fn brings(&self, key: Key) -> Option<usize> {
+    pub fn streaming_request(&self, key: Key) -> Option<usize> {
         let client = self.slots.get(key)?;
         match client.stage {
             Stage::Waiting { request, .. }
@@ -628,7 +632,7 @@
     }
 
     /// The next piece of that request's body.
-    pub fn piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
+    pub fn next_piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
         let Some(client) = self.slots.get_mut(key) else { return Piece::Broken };
         let (Stage::Waiting { frame, .. }, Some(body)) = (&client.stage, &mut client.remaining_body) else {
             return Piece::Broken;
@@ -650,7 +654,7 @@
     }
 
     /// Drops a piece of the body that has been forwarded, and extends the deadline for the next.
-    pub fn taken(&mut self, key: Key, range: &Range<usize>, turn: &mut Turn) {
+    pub fn consume_piece(&mut self, key: Key, range: &Range<usize>, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Waiting { frame, .. } = client.stage else { return };
         client.connection.consume_at(frame.end, range.end - frame.end);
@@ -658,7 +662,7 @@
     }
 
     /// Stops the clock for the body while the endpoint has not taken what was written: the client is not to blame.
-    pub fn rest(&mut self, key: Key, turn: &mut Turn) {
+    pub fn pause_body_timeout(&mut self, key: Key, turn: &mut Turn) {
         if let Some(client) = self.slots.get_mut(key) {
             client.body_deadline = None;
             turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
@@ -669,7 +673,7 @@
 
     /// Begins the response to the request in progress; its body will be streamed from the endpoint connection `from`.
     /// `head` writes the response's head. Returns whether the client is still connected.
-    pub fn begin(
+    pub fn begin_response(
         &mut self,
         key: Key,
         from: Key,
@@ -700,14 +704,14 @@
     }
 
     /// Whether all that was written of the streamed response has been sent to the client.
-    pub fn takes_more(&self, key: Key) -> bool {
+    pub fn response_is_sent(&self, key: Key) -> bool {
         self.slots
             .get(key)
             .is_some_and(|c| matches!(c.stage, Stage::Forwarding { .. }) && c.connection.all_sent())
     }
 
     /// Sends a piece of the streamed response. Returns whether the client is still connected.
-    pub fn pass(&mut self, key: Key, data: &[u8], turn: &mut Turn) -> bool {
+    pub fn send_response_piece(&mut self, key: Key, data: &[u8], turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get(key) else { return false };
         let Stage::Forwarding { length, .. } = client.stage else { return false };
         let (before, behind) = http::chunk_frame(length, Some(data));
@@ -727,7 +731,7 @@
     }
 
     /// Ends the streamed response. Danger: one that is not complete must end in a way that the client can detect.
-    pub fn end_pass(&mut self, key: Key, whole: bool, turn: &mut Turn) {
+    pub fn end_response(&mut self, key: Key, whole: bool, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Forwarding { keep, length, .. } = client.stage else { return };
         if !whole {
@@ -743,7 +747,7 @@
 
     /// Responds to the request in progress. `head` writes the response's head; its argument says whether the connection
     /// stays open.
-    pub fn answer(&mut self, key: Key, head: impl FnOnce(&mut Vec<u8>, bool), body: &[u8], turn: &mut Turn) {
+    pub fn respond(&mut self, key: Key, head: impl FnOnce(&mut Vec<u8>, bool), body: &[u8], turn: &mut Turn) {
         self.release_request_id(key);
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Waiting { frame, .. } = client.stage else { return };
@@ -774,52 +778,52 @@
     }
 
     /// Whether the connection may hold a request that has not been parsed yet.
-    pub fn has_more(&self, key: Key) -> bool {
+    pub fn may_hold_request(&self, key: Key) -> bool {
         let more = |c: &Client| c.reading() && (c.connection.full || !c.connection.input.is_empty());
         self.slots.get(key).is_some_and(more)
     }
 
     /// Handles a connection whose deadline has passed.
-    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> Said {
-        let Some(client) = self.slots.get_mut(key) else { return Said::Nothing };
+    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> ClientEvent {
+        let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
         client.deadline = None;
         match client.stage {
             _ if client.idle() => {
                 if self.close_unless_input(key, turn) {
-                    return Said::Nothing;
+                    return ClientEvent::Nothing;
                 }
                 // Danger: the input just found may be a partial request, which would be left without a deadline.
                 self.set_deadline(key, turn.now + DRAIN_IDLE_TIMEOUT, turn);
-                return Said::Brought;
+                return ClientEvent::InputPending;
             }
             // A partial request was never accepted, so it may be retried: a draining process answers 503.
             _ if client.has_partial_request() => {
                 self.respond_and_close(key, if self.draining { 503 } else { 408 }, turn)
             }
             Stage::Waiting { request, .. } if client.remaining_body.is_some() => {
-                return Said::Silent { request };
+                return ClientEvent::BodyTimedOut { request };
             }
             Stage::Forwarding { from, .. } => {
                 self.close(key, turn);
-                return Said::Gone { from };
+                return ClientEvent::DisconnectedMidResponse { from };
             }
             _ => self.close(key, turn),
         }
-        Said::Nothing
+        ClientEvent::Nothing
     }
 
     /// Fails health checks from now on, so that new clients go elsewhere.
-    pub fn turn_away(&mut self) {
+    pub fn fail_health_checks(&mut self) {
         self.failing_health_checks = true;
     }
 
     /// Passes health checks and keeps_alive connections open again.
-    pub fn take_again(&mut self) {
+    pub fn resume(&mut self) {
         (self.failing_health_checks, self.draining) = (false, false);
     }
 
     /// Whether there are no connections and none has been accepted recently.
-    pub fn quiet(&self, turn: &Turn) -> bool {
+    pub fn is_quiet(&self, turn: &Turn) -> bool {
         self.slots.is_empty() && turn.now.since(self.last_accept) >= DRAIN_IDLE_TIMEOUT
     }
 
@@ -839,7 +843,7 @@
 
     /// Closes connections between requests, also those still to be accepted. Call it until none is left or
     /// connections may stay open again. Returns those that have unread input.
-    pub fn part(&mut self, turn: &mut Turn) -> Vec<Key> {
+    pub fn drain(&mut self, turn: &mut Turn) -> Vec<Key> {
         self.draining = true;
         let with_input = self.accept(turn);
         // The next request may be on its way to any of them, so each has a short time for it.
@@ -859,8 +863,8 @@
 
     /// The drain's time is over: closes connections that wait for a request and answers partial requests with 503. Returns
     /// those that have unread input. Danger: a request completed after this last read gets no response.
-    pub fn part_at_once(&mut self, turn: &mut Turn) -> Vec<Key> {
-        let mut with_input = self.part(turn);
+    pub fn drain_now(&mut self, turn: &mut Turn) -> Vec<Key> {
+        let mut with_input = self.drain(turn);
         let between = self.slots.iter().filter(|(_, c)| c.idle() || c.has_partial_request());
         for (key, has_partial_request) in
             between.map(|(key, c)| (key, c.has_partial_request())).collect::<Vec<_>>()
@@ -876,7 +880,7 @@
 
     /// Stops listening, unless accepting is paused with connections still in the backlog.
     pub fn stop_listening(&mut self, turn: &mut Turn) {
-        if let Some(mut listener) = self.listener.take_if(|_| !self.held_back) {
+        if let Some(mut listener) = self.listener.take_if(|_| !self.accept_paused) {
             let _ = turn.registry.deregister(&mut listener);
         }
     }
@@ -959,9 +963,9 @@
             clients.slots.get_mut(key).unwrap().connection.fill(1).unwrap();
         }
         clients.slots.get_mut(key).unwrap().connection.input.clear();
-        assert!(matches!(clients.timed_out(key, &mut turn), Said::Brought));
+        assert!(matches!(clients.timed_out(key, &mut turn), ClientEvent::InputPending));
         let terms = crate::launch::plain_terms("view", &[]);
-        assert!(matches!(clients.ready(key, &terms, &mut turn), Said::Nothing));
+        assert!(matches!(clients.ready(key, &terms, &mut turn), ClientEvent::Nothing));
         assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= DRAIN_IDLE_TIMEOUT));
     }
 
@@ -993,7 +997,7 @@
                 poll.poll(&mut events, Some(std::time::Duration::from_secs(2))).unwrap();
                 assert!(!events.is_empty(), "no event for the remaining requests");
             }
-            again = matches!(clients.ready(key, &terms, &mut turn), Said::Brought);
+            again = matches!(clients.ready(key, &terms, &mut turn), ClientEvent::InputPending);
             let _ = io::Read::read_to_string(&mut peer, &mut answers);
         }
     }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -24,7 +24,7 @@
 use crate::handover::{self, Latest};
 use crate::launch::{Fixed, Kept, Launch, Winner};
 use crate::net::body::{Body, Piece};
-use crate::net::clients::{Clients, Said, Sight};
+use crate::net::clients::{ClientEvent, ClientState, Clients};
 use crate::net::connection::Ending;
 use crate::net::deadlines::{Deadlines, Due};
 use crate::net::http::{Frame, Length};
@@ -294,7 +294,7 @@
             // Danger: what was there before the poll may have come at any time since the one before, or while the process
             // stood still, and how old it is tells whether its client may have left behind it.
             let waited = self.turn.now.since(self.looked) >= POLL_WAITED;
-            self.clients.came_since = if waited { self.turn.now } else { last };
+            self.clients.input_since = if waited { self.turn.now } else { last };
             // Danger: who is on call waits a second at the most, however much else a turn brings.
             let came: Vec<Peer> =
                 self.later.drain(..).chain(events.iter().map(|event| Peer::of(event.token()))).collect();
@@ -320,12 +320,12 @@
             }
             self.stand();
             self.decide();
-            if self.clients.held_back {
+            if self.clients.accept_paused {
                 self.accept();
                 self.decide();
             }
             let over = self.leaving.is_some_and(|leaving| self.all_over(leaving));
-            if over || self.clients.none_left() {
+            if over || self.clients.is_closed() {
                 self.tell_watch();
                 self.farewell();
                 log::info!("left with all answered");
@@ -383,7 +383,7 @@
         loop {
             let brought = self.clients.accept(&mut self.turn);
             self.look_again.extend(brought);
-            let full = self.clients.held_back && (self.turn.room < 0 || self.clients.lacks_descriptor);
+            let full = self.clients.accept_paused && (self.turn.room < 0 || self.clients.lacks_descriptor);
             if !full || !self.servers.make_room(&mut self.turn) {
                 return;
             }
@@ -406,8 +406,7 @@
     /// Closes an idle connection, of a client or an endpoint, for a descriptor that is needed for something else.
     fn make_room(&mut self) -> bool {
         let mut brought = Vec::new();
-        let made =
-            self.clients.make_room(&mut self.turn, &mut brought) || self.servers.make_room(&mut self.turn);
+        let made = self.clients.evict(&mut self.turn, &mut brought) || self.servers.make_room(&mut self.turn);
         self.look_again.extend(brought);
         made
     }
@@ -504,7 +503,7 @@
                 return;
             }
             let key = self.look_again.remove(0);
-            if self.clients.has_more(key) {
+            if self.clients.may_hold_request(key) {
                 looks += 1;
                 self.client_ready(key);
             }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -123,7 +123,7 @@
             log::info!("another process serves on");
             self.look_again.extend(self.clients.hand_over(&mut self.turn));
         } else {
-            self.clients.turn_away();
+            self.clients.fail_health_checks();
         }
         self.look_away(since);
     }
@@ -139,7 +139,7 @@
             (Some(leaving), _) => self.leave_further(leaving),
             (None, Some(since)) => {
                 if self.turn.now.since(since) >= DRAIN_GRACE {
-                    self.look_again.extend(self.clients.part(&mut self.turn));
+                    self.look_again.extend(self.clients.drain(&mut self.turn));
                 }
                 self.look_away(self.turn.now);
             }
@@ -249,7 +249,7 @@
         if self.draining.is_none() {
             log::info!("told to drain");
             self.draining = Some(self.turn.now);
-            self.clients.turn_away();
+            self.clients.fail_health_checks();
             self.look_away(self.turn.now);
         }
         "200 drains"
@@ -262,7 +262,7 @@
         self.sent_out = false;
         if self.draining.take().is_some() {
             log::info!("told to resume");
-            self.clients.take_again();
+            self.clients.resume();
         }
         "200 takes clients"
     }
@@ -293,16 +293,16 @@
     pub(super) fn leave_further(&mut self, Leaving { since, until, succeeded }: Leaving) {
         let now = self.turn.now;
         let gone = now.since(since);
-        let alone = !succeeded && gone >= LEAVE_LEAST && self.clients.quiet(&self.turn);
+        let alone = !succeeded && gone >= LEAVE_LEAST && self.clients.is_quiet(&self.turn);
         if succeeded {
             self.clients.stop_listening(&mut self.turn);
         }
         if alone || gone >= until.since(since) * LEAVE_TAKING {
-            self.look_again.extend(self.clients.part(&mut self.turn));
+            self.look_again.extend(self.clients.drain(&mut self.turn));
             self.clients.stop_listening(&mut self.turn);
         }
         if now >= until {
-            self.look_again.extend(self.clients.part_at_once(&mut self.turn));
+            self.look_again.extend(self.clients.drain_now(&mut self.turn));
             // What has come in this turn is decided first: a rejection invites a repeat elsewhere, a failure does not.
             self.decide();
             // Danger: what has no answer when this process is killed is lost.
@@ -312,7 +312,7 @@
                 self.client_disconnected(request);
             }
         }
-        if !self.clients.none_left() {
+        if !self.clients.is_closed() {
             self.look_away(now);
         }
     }
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -18,22 +18,22 @@
 
     /// The client's end has come, maybe behind more than is read. Danger: no further event would tell of it.
     pub(super) fn client_leaves(&mut self, key: Key) {
-        self.clients.ends(key);
+        self.clients.mark_peer_closed(key);
         self.client_ready(key);
     }
 
-    pub(super) fn said(&mut self, key: Key, said: Said) {
+    pub(super) fn said(&mut self, key: Key, said: ClientEvent) {
         match said {
-            Said::Nothing => {}
-            Said::Brought => self.look_again.push(key),
-            Said::More => self.pass_up(key),
-            Said::Takes { from } => self.pass_down(from),
-            Said::Gone { from } => self.servers.close(from, &mut self.turn),
-            Said::Silent { request } => {
+            ClientEvent::Nothing => {}
+            ClientEvent::InputPending => self.look_again.push(key),
+            ClientEvent::BodyReadable => self.pass_up(key),
+            ClientEvent::ResponseSent { from } => self.pass_down(from),
+            ClientEvent::DisconnectedMidResponse { from } => self.servers.close(from, &mut self.turn),
+            ClientEvent::BodyTimedOut { request } => {
                 self.answer(request, 408, None, AnsweredHere::SlowRequest);
                 self.client_disconnected(request);
             }
-            Said::Arrival { method, left, work, frame } => {
+            ClientEvent::Arrival { method, left, work, frame } => {
                 let request = Request {
                     method,
                     since: self.turn.now,
@@ -45,7 +45,7 @@
                 let Ok(at) = self.requests.insert_with(|_| Ok::<_, Infallible>(request));
                 // Danger: once it leaves there may be less time than the client would wait.
                 let left = self.leaving.map_or(left, |leaving| left.min(leaving.until.since(self.turn.now)));
-                self.clients.waits(key, at.index(), frame);
+                self.clients.wait_for_response(key, at.index(), frame);
                 self.trace_arrival(at.index(), key, left);
                 self.balancer.arrival(
                     self.turn.now,
@@ -53,7 +53,7 @@
                     RequestInfo { method, left, work, key: None },
                 );
             }
-            Said::Hangup { request } => {
+            ClientEvent::Disconnected { request } => {
                 if let Some(r) = self.request(request) {
                     r.client = None;
                     log::debug!("request {}: its client has left", r.id);
@@ -98,19 +98,19 @@
 
     /// Passes on what there is of a long request's body, as far as its endpoint takes it.
     pub(super) fn pass_up(&mut self, client: Key) {
-        let Some(request) = self.clients.brings(client) else { return };
+        let Some(request) = self.clients.streaming_request(client) else { return };
         let now = self.turn.now;
         for _ in 0..PIECES_MOST {
             let link = self.request(request).and_then(|r| r.attempts.last().copied().flatten());
             let Some(link) = link.filter(|link| self.servers.takes_more(*link)) else {
-                return self.clients.rest(client, &mut self.turn);
+                return self.clients.pause_body_timeout(client, &mut self.turn);
             };
-            match self.clients.piece(client, &mut self.turn) {
+            match self.clients.next_piece(client, &mut self.turn) {
                 Piece::Data(range) => {
                     self.balancer.partly_forwarded(now, request);
                     let data = self.clients.bytes(client, &range);
                     let ended = self.servers.feed(link, Some(data), &mut self.turn);
-                    self.clients.taken(client, &range, &mut self.turn);
+                    self.clients.consume_piece(client, &range, &mut self.turn);
                     if ended.is_some() {
                         return self.ended(link, ended);
                     }
@@ -135,19 +135,19 @@
     pub(super) fn pass_down(&mut self, link: Key) {
         for _ in 0..PIECES_MOST {
             let Some((client, method, end)) = self.servers.passes(link) else { return };
-            if !self.clients.takes_more(client) {
+            if !self.clients.response_is_sent(client) {
                 return self.servers.rest(link, &mut self.turn);
             }
             match self.servers.piece(link, &mut self.turn) {
                 Piece::Data(range) => {
                     let data = self.servers.bytes(link, &range);
-                    if !self.clients.pass(client, data, &mut self.turn) {
+                    if !self.clients.send_response_piece(client, data, &mut self.turn) {
                         return self.servers.close(link, &mut self.turn);
                     }
                     self.servers.taken(link, range.end);
                 }
                 Piece::End => {
-                    self.clients.end_pass(client, true, &mut self.turn);
+                    self.clients.end_response(client, true, &mut self.turn);
                     self.servers.passed(link, &mut self.turn);
                     self.take_next(client);
                     return self.count(method, end);
@@ -163,7 +163,7 @@
     pub(super) fn break_off(&mut self, link: Key) {
         let Some((client, method, _)) = self.servers.passes(link) else { return };
         log::info!("an answer broke off on its way");
-        self.clients.end_pass(client, false, &mut self.turn);
+        self.clients.end_response(client, false, &mut self.turn);
         self.servers.close(link, &mut self.turn);
         self.count(method, End::Failed);
     }
@@ -256,7 +256,7 @@
         if let Some((head, body)) = self.servers.message(key, frame) {
             let length = Length::Known(body.len() as u64);
             let write = |out: &mut Vec<u8>, keep| http::relayed_head(out, head, length, keep);
-            self.clients.answer(client, write, body, &mut self.turn);
+            self.clients.respond(client, write, body, &mut self.turn);
             self.take_next(client);
         }
     }
@@ -265,7 +265,7 @@
     pub(super) fn begin(&mut self, key: Key, frame: Frame, body: Body, whose: (Key, usize, End)) -> bool {
         let Some((head, _)) = self.servers.message(key, frame) else { return false };
         let write = |out: &mut Vec<u8>, length, keep| http::relayed_head(out, head, length, keep);
-        let begun = self.clients.begin(whose.0, key, body.length(), write, &mut self.turn);
+        let begun = self.clients.begin_response(whose.0, key, body.length(), write, &mut self.turn);
         if begun {
             self.servers.pass(key, frame, body, whose);
         }
@@ -291,10 +291,10 @@
         let Some(client) = r.client else { return };
         let links = r.attempts.clone();
         let never_sent = links.iter().all(|link| link.is_some_and(|link| self.servers.is_connecting(link)));
-        match self.clients.sight(client, LOOK_MOST, self.clock.now()) {
-            Sight::Here => {}
-            Sight::Left => self.client_leaves(client),
-            Sight::Unknown => {
+        match self.clients.check_connected(client, LOOK_MOST, self.clock.now()) {
+            ClientState::Connected => {}
+            ClientState::Disconnected => self.client_leaves(client),
+            ClientState::Unknown => {
                 self.answer(request, if never_sent { 503 } else { 502 }, None, AnsweredHere::ClientUnseen);
                 self.client_disconnected(request);
             }
@@ -316,7 +316,7 @@
                     if within { self.attempt(client, endpoint, carried) } else { Err(Ending::NoRoom) };
                 if within && sent == Err(Ending::NoRoom) {
                     let mut brought = Vec::new();
-                    if self.clients.make_room(&mut self.turn, &mut brought) {
+                    if self.clients.evict(&mut self.turn, &mut brought) {
                         sent = self.attempt(client, endpoint, carried);
                     }
                     self.look_again.extend(brought);
@@ -471,7 +471,7 @@
         log::debug!("request {id}: answered {status} here, {}", why.name());
         self.count(method, if status == 503 { End::Rejected } else { End::Failed });
         let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, retry_after, keep);
-        self.clients.answer(client, head, b"", &mut self.turn);
+        self.clients.respond(client, head, b"", &mut self.turn);
         self.take_next(client);
     }
 }
