--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -16,7 +16,7 @@
 use super::connection::{self, Connection};
 use super::deadlines::Due;
 use super::http::{self, Bad, Frame, Length, Read};
-use super::servers::Message;
+use super::servers::OutgoingRequest;
 use super::slots::{Key, Peer, Slots};
 
 /// The label with the estimated cost of a request, in nanoseconds.
@@ -607,13 +607,13 @@
     }
 
     /// The request in progress on this connection, as it is sent to an endpoint.
-    pub fn message(&self, key: Key) -> Option<Message<'_>> {
+    pub fn message(&self, key: Key) -> Option<OutgoingRequest<'_>> {
         let client = self.slots.get(key)?;
         let Stage::Waiting { frame, .. } = client.stage else { return None };
         let input = &client.connection.input;
-        let coming =
+        let streamed_body =
             client.remaining_body.as_ref().map(|body| body.length().map_or(Length::Chunked, Length::Known));
-        Some(Message { head: frame.head_in(input), body: frame.body_in(input), coming })
+        Some(OutgoingRequest { head: frame.head_in(input), body: frame.body_in(input), streamed_body })
     }
 
     // Streamed requests.
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -16,41 +16,43 @@
 
 /// Every way in which an attempt's connection can end, or its turn on one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptResult {
     /// The whole answer came.
     Answered { status: u16, turned_away: bool },
     /// The connection was refused, or did not come up in time.
-    NeverUp,
+    ConnectFailed,
     /// There was no room here for a connection.
-    NoRoom,
+    NoCapacity,
     /// It broke, or ended with no whole answer. `whole`: after the request's last byte was written.
-    Broken { whole: bool },
+    Broken { request_sent: bool },
     /// What came back is no answer.
-    Garbled,
+    InvalidResponse,
     /// The time for it was up.
-    GivenUp { whole: bool },
+    TimedOut { request_sent: bool },
     /// The decision was to stop waiting.
-    Withdrawn { whole: bool },
+    Cancelled { request_sent: bool },
 }
 
-impl Ending {
+impl AttemptResult {
     /// What this means to the decisions.
     pub fn outcome(self) -> Outcome {
         match self {
-            Ending::Answered { status: 200, .. } => Outcome::Success,
-            Ending::Answered { status: 503 | 504, turned_away: true } => Outcome::Overloaded,
+            AttemptResult::Answered { status: 200, .. } => Outcome::Success,
+            AttemptResult::Answered { status: 503 | 504, turned_away: true } => Outcome::Overloaded,
             // Danger: what a bad client sends would be sent on from endpoint to endpoint, and held against each.
-            Ending::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::ClientError,
-            Ending::Answered { .. } | Ending::Garbled => Outcome::Error,
+            AttemptResult::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::ClientError,
+            AttemptResult::Answered { .. } | AttemptResult::InvalidResponse => Outcome::Error,
             // Danger: before its last byte left, a request cannot have run; after it, it may have, whatever came.
-            Ending::NeverUp | Ending::Broken { whole: false } | Ending::GivenUp { whole: false } => {
-                Outcome::ConnectFailure
-            }
-            Ending::Broken { whole: true } => Outcome::Reset,
-            Ending::GivenUp { whole: true } => Outcome::Timeout,
+            AttemptResult::ConnectFailed
+            | AttemptResult::Broken { request_sent: false }
+            | AttemptResult::TimedOut { request_sent: false } => Outcome::ConnectFailure,
+            AttemptResult::Broken { request_sent: true } => Outcome::Reset,
+            AttemptResult::TimedOut { request_sent: true } => Outcome::Timeout,
             // Danger: a shortage of our own, told as a refusal, would be held against the endpoint.
-            Ending::NoRoom | Ending::Withdrawn { whole: false } => Outcome::NeverSent,
-            Ending::Withdrawn { whole: true } => Outcome::Cancelled,
+            AttemptResult::NoCapacity | AttemptResult::Cancelled { request_sent: false } => {
+                Outcome::NeverSent
+            }
+            AttemptResult::Cancelled { request_sent: true } => Outcome::Cancelled,
         }
     }
 }
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -8,7 +8,7 @@
 
 use super::Turn;
 use super::body::{Body, Piece};
-use super::connection::{self, Connection, Ending};
+use super::connection::{self, AttemptResult, Connection};
 use super::deadlines::Due;
 use super::http::{self, Frame, Length, Read};
 use super::slots::{Key, Peer, Slots};
@@ -33,7 +33,7 @@
 
 /// The attempt that a connection active.
 #[derive(Clone, Copy)]
-pub struct Carried {
+pub struct ActiveAttempt {
     pub request: usize,
     pub attempt: usize,
     pub give_up: Moment,
@@ -44,7 +44,7 @@
     endpoint: usize,
     to: SocketAddr,
     up: bool,
-    active: Option<Carried>,
+    active: Option<ActiveAttempt>,
     deadline: Option<Moment>,
     /// The offset in the queued bytes at which the last line of the request head is inserted once the connection is up.
     /// Danger: an attempt that stated the remaining time before its connect completed had its endpoint work for longer than
@@ -54,7 +54,7 @@
     counted: bool,
     /// When that attempt started, and how the rest of its request's body is framed if it is streamed.
     sent_at: Moment,
-    coming: Option<Length>,
+    streamed_body: Option<Length>,
     /// Since when an incomplete response of unknown length has been buffered.
     buffered_since: Option<Moment>,
     forwarding: Option<Forwarding>,
@@ -72,10 +72,10 @@
 
 /// A request as it is sent to an endpoint: its buffered body, or how the body still to be streamed is framed.
 #[derive(Clone, Copy)]
-pub struct Message<'a> {
+pub struct OutgoingRequest<'a> {
     pub head: &'a [u8],
     pub body: &'a [u8],
-    pub coming: Option<Length>,
+    pub streamed_body: Option<Length>,
 }
 
 #[derive(Clone, Default)]
@@ -97,17 +97,21 @@
     /// The deadline for its attempt. Danger: a request's deadlines run from its last byte, so while its body is streamed only
     /// a stall ends the attempt.
     fn deadline_for(&self, give_up: Moment, now: Moment) -> Moment {
-        if self.coming.is_some() { now + STREAM_TIMEOUT } else { give_up }
+        if self.streamed_body.is_some() { now + STREAM_TIMEOUT } else { give_up }
     }
 
     /// The result of its attempt when the connect did not complete in time.
-    fn connect_result(&self, carried: Carried, now: Moment) -> Ending {
-        if now >= carried.give_up { Ending::GivenUp { whole: false } } else { Ending::NeverUp }
+    fn connect_result(&self, carried: ActiveAttempt, now: Moment) -> AttemptResult {
+        if now >= carried.give_up {
+            AttemptResult::TimedOut { request_sent: false }
+        } else {
+            AttemptResult::ConnectFailed
+        }
     }
 
     /// Whether the last byte of its attempt is written.
     fn is_sent(&self) -> bool {
-        self.up && self.connection.all_sent() && self.coming.is_none()
+        self.up && self.connection.all_sent() && self.streamed_body.is_none()
     }
 
     /// Whether the endpoint has neither closed it nor sent stray bytes on it.
@@ -117,12 +121,12 @@
 }
 
 /// How an attempt ended, and its response if there is one, which is still in its connection's buffer.
-pub struct Ended {
+pub struct EndedAttempt {
     /// Its endpoint, and when it was sent: for a streamed request, when its last byte was.
     pub endpoint: usize,
     pub sent: Moment,
-    pub carried: Carried,
-    pub ending: Ending,
+    pub carried: ActiveAttempt,
+    pub ending: AttemptResult,
     pub answer: Option<Frame>,
     /// The rest of the body, if the response is streamed.
     pub long: Option<Body>,
@@ -137,9 +141,9 @@
     stray_bytes_until: Moment,
     head: Vec<u8>,
     /// The number of attempts whose last byte was written, without probes.
-    pub written: u64,
+    pub sent_attempts: u64,
     /// The maximum number of connections to one endpoint, if it is limited.
-    pub most_at_one: Option<u64>,
+    pub max_per_endpoint: Option<u64>,
 }
 
 impl Servers {
@@ -151,8 +155,8 @@
             connect_timeout,
             stray_bytes_until: Moment::from_nanos(0),
             head: Vec::new(),
-            written: 0,
-            most_at_one: None,
+            sent_attempts: 0,
+            max_per_endpoint: None,
         }
     }
 
@@ -169,7 +173,7 @@
 
     /// Sets an endpoint's address and when its process started. Danger: a machine that comes back after a partition gives no
     /// notice on its old connections; a request written to one of them ends with a reset, and whether it ran is unknown.
-    pub fn place(&mut self, endpoint: usize, at: SocketAddr, started: Option<Moment>, turn: &mut Turn) {
+    pub fn set_address(&mut self, endpoint: usize, at: SocketAddr, started: Option<Moment>, turn: &mut Turn) {
         if self.endpoints.len() <= endpoint {
             self.endpoints.resize(endpoint + 1, Endpoint::default());
         }
@@ -188,12 +192,12 @@
     }
 
     /// When an endpoint's process started, if that is known.
-    pub fn started(&self, endpoint: usize) -> Option<Moment> {
+    pub fn started_at(&self, endpoint: usize) -> Option<Moment> {
         self.endpoints.get(endpoint)?.started
     }
 
     /// The number of connections to an endpoint, and how many of them carry an attempt.
-    pub fn held(&self, endpoint: usize) -> (usize, usize) {
+    pub fn connection_counts(&self, endpoint: usize) -> (usize, usize) {
         let links = self.links.iter().filter(|(_, link)| link.endpoint == endpoint);
         links.fold((0, 0), |(all, out), (_, link)| (all + 1, out + usize::from(link.active.is_some())))
     }
@@ -203,7 +207,7 @@
     }
 
     /// The highest number of connections, and of attempts, over all endpoints.
-    pub fn most_held(&self) -> (usize, usize) {
+    pub fn max_connection_counts(&self) -> (usize, usize) {
         let mut held = vec![(0, 0); self.endpoints.len()];
         for (_, link) in self.links.iter() {
             let (all, out) = &mut held[link.endpoint];
@@ -215,7 +219,7 @@
     /// Closes idle connections of endpoints that have more than `most` connections.
     pub fn trim(&mut self, most: u64, turn: &mut Turn) {
         for endpoint in 0..self.endpoints.len() {
-            let over = (self.held(endpoint).0 as u64).saturating_sub(most) as usize;
+            let over = (self.connection_counts(endpoint).0 as u64).saturating_sub(most) as usize;
             let idle: Vec<Key> =
                 self.endpoints[endpoint].idle.iter().take(over).map(|(key, _)| *key).collect();
             idle.into_iter().for_each(|key| self.close(key, turn));
@@ -249,12 +253,12 @@
     pub fn send(
         &mut self,
         endpoint: usize,
-        carried: Carried,
-        Message { head, body, coming }: Message,
+        carried: ActiveAttempt,
+        OutgoingRequest { head, body, streamed_body }: OutgoingRequest,
         turn: &mut Turn,
-    ) -> Result<Key, Ending> {
+    ) -> Result<Key, AttemptResult> {
         self.head.clear();
-        let length = coming.unwrap_or(Length::Known(body.len() as u64));
+        let length = streamed_body.unwrap_or(Length::Known(body.len() as u64));
         let out = &mut self.head;
         http::with_request(head, |request| http::forwarded_head(out, request, length));
         // Danger: bytes that arrive late behind a response would be taken for the response to the next request.
@@ -276,28 +280,34 @@
             let last_line = http::last_line(carried.give_up.since(now));
             if link.connection.send(&[&self.head, last_line.as_bytes(), body]).is_err() {
                 self.close(key, turn);
-                return Err(Ending::Broken { whole: false });
+                return Err(AttemptResult::Broken { request_sent: false });
             }
-            (link.active, link.counted, link.sent_at, link.coming) = (Some(carried), false, now, coming);
+            (link.active, link.counted, link.sent_at, link.streamed_body) =
+                (Some(carried), false, now, streamed_body);
             link.buffered_since = None;
-            self.written += link.count_if_sent();
+            self.sent_attempts += link.count_if_sent();
             let until = link.deadline_for(carried.give_up, now);
             turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
             return Ok(key);
         }
-        let to = self.endpoints.get(endpoint).and_then(|state| state.address).ok_or(Ending::NeverUp)?;
-        let full = self.most_at_one.is_some_and(|most| self.held(endpoint).0 as u64 >= most);
-        if full || turn.room <= 0 && !self.make_room(turn) {
-            return Err(Ending::NoRoom);
+        let to = self
+            .endpoints
+            .get(endpoint)
+            .and_then(|state| state.address)
+            .ok_or(AttemptResult::ConnectFailed)?;
+        let full =
+            self.max_per_endpoint.is_some_and(|most| self.connection_counts(endpoint).0 as u64 >= most);
+        if full || turn.room <= 0 && !self.evict_idle(turn) {
+            return Err(AttemptResult::NoCapacity);
         }
-        let mut opened = self.open(endpoint, to, carried, coming, body, turn);
-        if opened.as_ref().is_err_and(connection::lacks_descriptor) && self.make_room(turn) {
-            opened = self.open(endpoint, to, carried, coming, body, turn);
+        let mut opened = self.open(endpoint, to, carried, streamed_body, body, turn);
+        if opened.as_ref().is_err_and(connection::lacks_descriptor) && self.evict_idle(turn) {
+            opened = self.open(endpoint, to, carried, streamed_body, body, turn);
         }
         // An immediate failure is a local one: a refusal by the endpoint arrives as an event.
         let key = opened.map_err(|e| {
             log::warn!("connect {to}: {e}");
-            Ending::NoRoom
+            AttemptResult::NoCapacity
         })?;
         turn.room -= 1;
         let link = self.links.get_mut(key).expect("just added");
@@ -311,8 +321,8 @@
         &mut self,
         endpoint: usize,
         to: SocketAddr,
-        carried: Carried,
-        coming: Option<Length>,
+        carried: ActiveAttempt,
+        streamed_body: Option<Length>,
         body: &[u8],
         turn: &Turn,
     ) -> std::io::Result<Key> {
@@ -330,7 +340,7 @@
                 head_end: Some(head.len()),
                 counted: false,
                 sent_at: turn.now,
-                coming,
+                streamed_body,
                 buffered_since: None,
                 forwarding: None,
             })
@@ -338,7 +348,7 @@
     }
 
     /// Closes the connection that has been idle for longest.
-    pub fn make_room(&mut self, turn: &mut Turn) -> bool {
+    pub fn evict_idle(&mut self, turn: &mut Turn) -> bool {
         let idle = self.links.iter().filter(|(_, link)| link.active.is_none() && link.forwarding.is_none());
         let Some(key) = idle.min_by_key(|(_, link)| link.deadline).map(|(key, _)| key) else { return false };
         self.close(key, turn);
@@ -346,7 +356,7 @@
     }
 
     /// Reads and writes what a connection is ready for. Returns how its attempt ended, if it has.
-    pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
+    pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get_mut(key)?;
         let Some(carried) = link.active else {
             // Idle: the endpoint has closed it, or sent stray bytes.
@@ -365,7 +375,7 @@
             match link.connection.is_up() {
                 Ok(true) => link.up = true,
                 Ok(false) => return None,
-                Err(_) => return self.end(key, Ending::NeverUp, turn),
+                Err(_) => return self.end(key, AttemptResult::ConnectFailed, turn),
             }
             if let Some(at) = link.head_end.take() {
                 let last_line = http::last_line(carried.give_up.since(turn.now));
@@ -375,8 +385,8 @@
             turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
         }
         let written = link.connection.flush();
-        let sent_whole = link.is_sent();
-        self.written += link.count_if_sent();
+        let request_sent = link.is_sent();
+        self.sent_attempts += link.count_if_sent();
         let read = link.connection.fill(http::MESSAGE_MOST);
         let ended = link.connection.ended;
         // Danger: a slow response of unknown length would be held back until it fills the buffer. One that has stalled is
@@ -387,24 +397,26 @@
             // Danger: a reset does not complete a response that is delimited by the close, and once the response to the client
             // has begun, no other endpoint can answer.
             Ok((Read::Long(_, body), ..)) if read.is_err() && body.lasts_to_end() => {
-                Ending::Broken { whole: sent_whole }
+                AttemptResult::Broken { request_sent }
             }
             Ok((message @ (Read::Whole(_) | Read::Long(..)), status, turned_away)) => {
                 let works = !ended && read.is_ok() && written.is_ok();
                 let (frame, long) = match message {
-                    Read::Whole(frame) => (Frame { keep: frame.keep && sent_whole && works, ..frame }, None),
+                    Read::Whole(frame) => {
+                        (Frame { keep: frame.keep && request_sent && works, ..frame }, None)
+                    }
                     Read::Long(frame, body) => {
-                        (Frame { keep: frame.keep && sent_whole, ..frame }, Some(body))
+                        (Frame { keep: frame.keep && request_sent, ..frame }, Some(body))
                     }
                     _ => return None,
                 };
                 link.active = None;
                 let (endpoint, sent) = (link.endpoint, link.sent_at);
-                let ending = Ending::Answered { status, turned_away };
-                return Some(Ended { endpoint, sent, carried, ending, answer: Some(frame), long });
+                let ending = AttemptResult::Answered { status, turned_away };
+                return Some(EndedAttempt { endpoint, sent, carried, ending, answer: Some(frame), long });
             }
-            Err(_) => Ending::Garbled,
-            Ok(_) if ended || read.is_err() || written.is_err() => Ending::Broken { whole: sent_whole },
+            Err(_) => AttemptResult::InvalidResponse,
+            Ok(_) if ended || read.is_err() || written.is_err() => AttemptResult::Broken { request_sent },
             Ok((Read::Body { open: true }, ..)) => {
                 link.buffered_since.get_or_insert(turn.now);
                 return None;
@@ -414,14 +426,17 @@
         self.end(key, ending, turn)
     }
 
-    fn end(&mut self, key: Key, ending: Ending, turn: &mut Turn) -> Option<Ended> {
+    fn end(&mut self, key: Key, ending: AttemptResult, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get_mut(key)?;
         let (carried, endpoint, sent) = (link.active.take(), link.endpoint, link.sent_at);
-        if matches!(ending, Ending::NeverUp | Ending::Broken { .. } | Ending::Garbled) {
+        if matches!(
+            ending,
+            AttemptResult::ConnectFailed | AttemptResult::Broken { .. } | AttemptResult::InvalidResponse
+        ) {
             log::debug!("connection to {}: {ending:?}", link.to);
         }
         self.close(key, turn);
-        Some(Ended { endpoint, sent, carried: carried?, ending, answer: None, long: None })
+        Some(EndedAttempt { endpoint, sent, carried: carried?, ending, answer: None, long: None })
     }
 
     /// The head and the body of a received response.
@@ -445,30 +460,33 @@
     // Streamed requests.
 
     /// The request whose body is still to be sent on this connection.
-    pub fn awaits(&self, key: Key) -> Option<usize> {
-        let link = self.links.get(key).filter(|link| link.coming.is_some())?;
+    pub fn request_awaiting_body(&self, key: Key) -> Option<usize> {
+        let link = self.links.get(key).filter(|link| link.streamed_body.is_some())?;
         link.active.map(|carried| carried.request)
     }
 
     /// Whether everything queued has been sent, and more of the request's body is to follow.
-    pub fn takes_more(&self, key: Key) -> bool {
-        self.links.get(key).is_some_and(|link| link.up && link.coming.is_some() && link.connection.all_sent())
+    pub fn accepts_body(&self, key: Key) -> bool {
+        self.links
+            .get(key)
+            .is_some_and(|link| link.up && link.streamed_body.is_some() && link.connection.all_sent())
     }
 
     /// Sends more of a request's body, or its end. Returns how the attempt ended, if it has.
-    pub fn feed(&mut self, key: Key, data: Option<&[u8]>, turn: &mut Turn) -> Option<Ended> {
+    pub fn send_body(&mut self, key: Key, data: Option<&[u8]>, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get_mut(key)?;
-        let (carried, coming) = (link.active?, link.coming?);
-        let (before, behind) = http::chunk_frame(coming, data);
+        let (carried, streamed_body) = (link.active?, link.streamed_body?);
+        let (before, behind) = http::chunk_frame(streamed_body, data);
         if link.connection.send(&[before.as_bytes(), data.unwrap_or_default(), behind]).is_err() {
-            return self.end(key, Ending::Broken { whole: false }, turn);
+            return self.end(key, AttemptResult::Broken { request_sent: false }, turn);
         }
         let mut give_up = carried.give_up;
         if data.is_none() {
             // The time limit for the response runs from the last byte.
             give_up = turn.now + carried.give_up.since(link.sent_at);
-            (link.coming, link.active, link.sent_at) = (None, Some(Carried { give_up, ..carried }), turn.now);
-            self.written += link.count_if_sent();
+            (link.streamed_body, link.active, link.sent_at) =
+                (None, Some(ActiveAttempt { give_up, ..carried }), turn.now);
+            self.sent_attempts += link.count_if_sent();
         }
         let until = link.deadline_for(give_up, turn.now);
         turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
@@ -478,25 +496,31 @@
     // Streamed responses.
 
     /// Begins to stream the rest of the response in this frame to a client.
-    pub fn pass(&mut self, key: Key, frame: Frame, body: Body, (client, method, end): (Key, usize, End)) {
+    pub fn begin_forwarding(
+        &mut self,
+        key: Key,
+        frame: Frame,
+        body: Body,
+        (client, method, end): (Key, usize, End),
+    ) {
         let Some(link) = self.links.get_mut(key) else { return };
         link.connection.consume(frame.end);
         link.forwarding = Some(Forwarding { client, method, end, body, keep: frame.keep });
     }
 
     /// The client that this connection's response is streamed to, the method of its request, and how that is counted.
-    pub fn passes(&self, key: Key) -> Option<(Key, usize, End)> {
+    pub fn forwarding_to(&self, key: Key) -> Option<(Key, usize, End)> {
         let forwarding = self.links.get(key)?.forwarding.as_ref()?;
         Some((forwarding.client, forwarding.method, forwarding.end))
     }
 
     /// The methods of all responses that are being streamed.
-    pub fn passing(&self) -> impl Iterator<Item = usize> {
+    pub fn forwarded_methods(&self) -> impl Iterator<Item = usize> {
         self.links.iter().filter_map(|(_, link)| link.forwarding.as_ref().map(|forwarding| forwarding.method))
     }
 
     /// The next piece of the response that is being streamed.
-    pub fn piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
+    pub fn next_piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
         let Some(link) = self.links.get_mut(key) else { return Piece::Broken };
         let Some(forwarding) = &mut link.forwarding else { return Piece::Broken };
         let piece = forwarding.body.next(&mut link.connection, 0, true);
@@ -507,25 +531,25 @@
     }
 
     /// Stops the clock for the response while the client has not taken what was sent: the endpoint is not to blame.
-    pub fn rest(&mut self, key: Key, turn: &mut Turn) {
+    pub fn pause_timeout(&mut self, key: Key, turn: &mut Turn) {
         if let Some(link) = self.links.get_mut(key) {
             turn.deadlines.shift(Due::Server(key), &mut link.deadline, None);
         }
     }
 
-    /// The bytes of a piece; `taken` drops them once they have been forwarded.
+    /// The bytes of a piece; `consume` drops them once they have been forwarded.
     pub fn bytes(&self, key: Key, range: &Range<usize>) -> &[u8] {
         self.links.get(key).map_or(&[], |link| &link.connection.input[range.clone()])
     }
 
-    pub fn taken(&mut self, key: Key, bytes: usize) {
+    pub fn consume(&mut self, key: Key, bytes: usize) {
         if let Some(link) = self.links.get_mut(key) {
             link.connection.consume(bytes);
         }
     }
 
     /// Ends a streamed response that is complete. Its connection may be reused.
-    pub fn passed(&mut self, key: Key, turn: &mut Turn) {
+    pub fn end_forwarding(&mut self, key: Key, turn: &mut Turn) {
         let Some(link) = self.links.get_mut(key) else { return };
         let Some(forwarding) = link.forwarding.take() else { return };
         let keep = forwarding.keep && !link.connection.ended;
@@ -533,7 +557,7 @@
     }
 
     /// The request that a connection active, if its last byte is not written yet.
-    pub fn unwritten(&self, key: Key) -> Option<usize> {
+    pub fn unsent_request(&self, key: Key) -> Option<usize> {
         let link = self.links.get(key).filter(|link| !link.is_sent())?;
         link.active.map(|carried| carried.request)
     }
@@ -544,14 +568,14 @@
     }
 
     /// Cancels an attempt. The close of its connection notifies the endpoint.
-    pub fn withdraw(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
+    pub fn cancel(&mut self, key: Key, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get(key)?;
-        let sent_whole = link.is_sent();
-        self.end(key, Ending::Withdrawn { whole: sent_whole }, turn)
+        let request_sent = link.is_sent();
+        self.end(key, AttemptResult::Cancelled { request_sent }, turn)
     }
 
     /// Handles a connection whose deadline has passed: its connect, its attempt or its idle time has timed out.
-    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> Option<Ended> {
+    pub fn timed_out(&mut self, key: Key, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get_mut(key)?;
         link.deadline = None;
         let Some(carried) = link.active else {
@@ -559,7 +583,7 @@
             return None;
         };
         let ending = match link.up {
-            true => Ending::GivenUp { whole: link.is_sent() },
+            true => AttemptResult::TimedOut { request_sent: link.is_sent() },
             false => link.connect_result(carried, turn.now),
         };
         self.end(key, ending, turn)
@@ -581,7 +605,7 @@
         let registry = poll.registry().try_clone().unwrap();
         let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 2 };
         let mut servers = Servers::new(Span::from_millis(60_000), Span::from_millis(200));
-        servers.place(0, listener.local_addr().unwrap(), None, &mut turn);
+        servers.set_address(0, listener.local_addr().unwrap(), None, &mut turn);
         (listener, poll, turn, servers)
     }
 
@@ -608,19 +632,22 @@
     fn connect_timeout_is_a_connect_failure_and_frees_the_connection() {
         let (_listener, _poll, mut turn, mut servers) = pool_for_one();
         let give_up = turn.now + Span::from_millis(2000);
-        let carried = Carried { request: 0, attempt: 0, give_up };
-        let message = Message { head: HEAD, body: b"", coming: None };
+        let carried = ActiveAttempt { request: 0, attempt: 0, give_up };
+        let message = OutgoingRequest { head: HEAD, body: b"", streamed_body: None };
         let send = |servers: &mut Servers, turn: &mut Turn| servers.send(0, carried, message, turn);
         let key = send(&mut servers, &mut turn).unwrap();
         send(&mut servers, &mut turn).unwrap();
         // Both carry a request, so there is no capacity for a third.
-        assert_eq!(send(&mut servers, &mut turn), Err(Ending::NoRoom));
-        assert_eq!(Ending::NoRoom.outcome(), Outcome::NeverSent);
+        assert_eq!(send(&mut servers, &mut turn), Err(AttemptResult::NoCapacity));
+        assert_eq!(AttemptResult::NoCapacity.outcome(), Outcome::NeverSent);
         // No event has reported the connect by the time that it times out.
         turn.now = turn.now + Span::from_millis(200);
         assert_eq!(turn.deadlines.pop(turn.now), Some(Due::Server(key)));
         let ended = servers.timed_out(key, &mut turn).unwrap();
-        assert_eq!((ended.ending, ended.ending.outcome()), (Ending::NeverUp, Outcome::ConnectFailure));
+        assert_eq!(
+            (ended.ending, ended.ending.outcome()),
+            (AttemptResult::ConnectFailed, Outcome::ConnectFailure)
+        );
         // Late events for the old connection find nothing.
         assert!(servers.ready(key, &mut turn).is_none() && servers.timed_out(key, &mut turn).is_none());
         assert!(send(&mut servers, &mut turn).is_ok());
@@ -629,9 +656,10 @@
     #[test]
     fn idle_connections_follow_new_limits() {
         let (listener, mut poll, mut turn, mut servers) = pool_for_one();
-        let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
-        let key =
-            servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, &mut turn).unwrap();
+        let carried = ActiveAttempt { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
+        let key = servers
+            .send(0, carried, OutgoingRequest { head: HEAD, body: b"", streamed_body: None }, &mut turn)
+            .unwrap();
         let (mut peer, _) = listener.accept().unwrap();
         answer(&mut servers, &mut turn, &mut poll, key, &mut peer);
         servers.update_terms(Span::from_millis(4000), Span::from_millis(200), &mut turn);
@@ -643,11 +671,15 @@
     /// request that nobody waits for, that its group may have forgotten, or that its endpoint may no longer be sent.
     #[test]
     fn connect_that_completes_after_its_timeout_sends_nothing() {
-        for (give_up, ending) in [(100, Ending::GivenUp { whole: false }), (2000, Ending::NeverUp)] {
+        for (give_up, ending) in
+            [(100, AttemptResult::TimedOut { request_sent: false }), (2000, AttemptResult::ConnectFailed)]
+        {
             let (listener, mut poll, mut turn, mut servers) = pool_for_one();
-            let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(give_up) };
-            let key =
-                servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, &mut turn).unwrap();
+            let carried =
+                ActiveAttempt { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(give_up) };
+            let key = servers
+                .send(0, carried, OutgoingRequest { head: HEAD, body: b"", streamed_body: None }, &mut turn)
+                .unwrap();
             let (mut peer, _) = listener.accept().unwrap();
             let mut events = mio::Events::with_capacity(8);
             while events.is_empty() {
@@ -667,9 +699,11 @@
         let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         for (successor, stays) in [(None, true), (Some(other.local_addr().unwrap()), false)] {
             let (listener, mut poll, mut turn, mut servers) = pool_for_one();
-            let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
-            let key =
-                servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, &mut turn).unwrap();
+            let carried =
+                ActiveAttempt { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
+            let key = servers
+                .send(0, carried, OutgoingRequest { head: HEAD, body: b"", streamed_body: None }, &mut turn)
+                .unwrap();
             let (mut peer, _) = listener.accept().unwrap();
             let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n{}", "x".repeat(1000));
             std::io::Write::write_all(&mut peer, long.as_bytes()).unwrap();
@@ -680,19 +714,19 @@
                     break ended;
                 }
             };
-            servers.pass(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, End::Served));
+            servers.begin_forwarding(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, End::Served));
             servers.forget(0, &mut turn);
-            servers.place(0, successor.unwrap_or(listener.local_addr().unwrap()), None, &mut turn);
+            servers.set_address(0, successor.unwrap_or(listener.local_addr().unwrap()), None, &mut turn);
             std::io::Write::write_all(&mut peer, &[b'x'; 69_000]).unwrap();
             loop {
-                match servers.piece(key, &mut turn) {
-                    Piece::Data(range) => servers.taken(key, range.end),
+                match servers.next_piece(key, &mut turn) {
+                    Piece::Data(range) => servers.consume(key, range.end),
                     Piece::End => break,
                     Piece::Later => poll.poll(&mut events, None).unwrap(),
                     _ => panic!("the response was not streamed to its end"),
                 }
             }
-            servers.passed(key, &mut turn);
+            servers.end_forwarding(key, &mut turn);
             assert_eq!(servers.has_idle(0), stays, "{successor:?}");
         }
     }
@@ -702,8 +736,11 @@
     fn connection_that_was_just_answered_is_reused_last() {
         let (listener, mut poll, mut turn, mut servers) = pool_for_one();
         let send = |servers: &mut Servers, turn: &mut Turn| {
-            let carried = Carried { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
-            servers.send(0, carried, Message { head: HEAD, body: b"", coming: None }, turn).unwrap()
+            let carried =
+                ActiveAttempt { request: 0, attempt: 0, give_up: turn.now + Span::from_millis(2000) };
+            servers
+                .send(0, carried, OutgoingRequest { head: HEAD, body: b"", streamed_body: None }, turn)
+                .unwrap()
         };
         let mut answered = |servers: &mut Servers, turn: &mut Turn, key, peer: &mut std::net::TcpStream| {
             answer(servers, turn, &mut poll, key, peer);
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -25,13 +25,13 @@
 use crate::launch::{Fixed, Kept, Launch, Winner};
 use crate::net::body::{Body, Piece};
 use crate::net::clients::{ClientEvent, ClientState, Clients};
-use crate::net::connection::Ending;
+use crate::net::connection::AttemptResult;
 use crate::net::deadlines::{Deadlines, Due};
 use crate::net::http::{Frame, Length};
 use crate::net::list::schedule::Callers;
 use crate::net::list::{self, List};
 use crate::net::operator::{self, Call, Operators};
-use crate::net::servers::{Carried, Ended, Message, PROBE, Servers};
+use crate::net::servers::{ActiveAttempt, EndedAttempt, OutgoingRequest, PROBE, Servers};
 use crate::net::slots::{Key, Peer, Slots};
 use crate::net::{Turn, http};
 use crate::presence::{Others, Presence, Standing};
@@ -375,7 +375,7 @@
     /// Nothing is left that is worth staying for. Danger: what an endpoint still gives of a long answer would be cut
     /// off; whoever cannot wait for it ends this process.
     fn all_over(&self, leaving: Leaving) -> bool {
-        let last = if self.servers.passing().next().is_some() { LEAVE_PASSING } else { LEAVE_LAST };
+        let last = if self.servers.forwarded_methods().next().is_some() { LEAVE_PASSING } else { LEAVE_LAST };
         self.turn.now >= leaving.until + last
     }
 
@@ -384,7 +384,7 @@
             let brought = self.clients.accept(&mut self.turn);
             self.look_again.extend(brought);
             let full = self.clients.accept_paused && (self.turn.room < 0 || self.clients.lacks_descriptor);
-            if !full || !self.servers.make_room(&mut self.turn) {
+            if !full || !self.servers.evict_idle(&mut self.turn) {
                 return;
             }
         }
@@ -406,7 +406,8 @@
     /// Closes an idle connection, of a client or an endpoint, for a descriptor that is needed for something else.
     fn make_room(&mut self) -> bool {
         let mut brought = Vec::new();
-        let made = self.clients.evict(&mut self.turn, &mut brought) || self.servers.make_room(&mut self.turn);
+        let made =
+            self.clients.evict(&mut self.turn, &mut brought) || self.servers.evict_idle(&mut self.turn);
         self.look_again.extend(brought);
         made
     }
@@ -419,7 +420,7 @@
                 let said = self.clients.timed_out(key, turn);
                 self.said(key, said);
             }
-            Due::Server(key) if self.servers.passes(key).is_some() => self.break_off(key),
+            Due::Server(key) if self.servers.forwarding_to(key).is_some() => self.break_off(key),
             Due::Server(key) => {
                 let ended = self.servers.timed_out(key, turn);
                 self.ended(key, ended);
@@ -480,7 +481,7 @@
             states.observe(endpoint, standing);
             balancer.listed(turn.now, endpoint, entry);
             if let Some(address) = address {
-                servers.place(endpoint, address, started, turn);
+                servers.set_address(endpoint, address, started, turn);
             }
         });
         balancer.list_end(turn.now);
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -91,7 +91,8 @@
 
     /// Other terms hold for requests that arrive from now on; open ones keep the methods that they came with.
     pub(super) fn update_terms(&mut self, terms: Terms, watched: Option<Terms>) {
-        let held = self.requests.iter().map(|(_, request)| request.method).chain(self.servers.passing());
+        let held =
+            self.requests.iter().map(|(_, request)| request.method).chain(self.servers.forwarded_methods());
         let held: HashSet<usize> = held.collect();
         let (terms, places) = terms.after(self.balancer.terms(), |at| held.contains(&at));
         let names = places.iter().map(|(at, _)| terms.methods[*at].name.as_str()).collect::<Vec<_>>();
@@ -269,13 +270,14 @@
 
     /// Requests whose clients wait, and long answers that are on their way.
     fn open(&self) -> usize {
-        self.requests.iter().filter(|(_, r)| r.client.is_some()).count() + self.servers.passing().count()
+        self.requests.iter().filter(|(_, r)| r.client.is_some()).count()
+            + self.servers.forwarded_methods().count()
     }
 
     pub(super) fn figures(&self) -> String {
         let open = self.open();
         let (listed, avoided) = self.balancer.avoided(self.turn.now);
-        let written = self.servers.written;
+        let written = self.servers.sent_attempts;
         let text = self.figures.text(&Now {
             open,
             written,
@@ -397,8 +399,9 @@
         outs.iter()
             .filter_map(|name| endpoints.find(name))
             .for_each(|endpoint| servers.close_idle(endpoint, turn));
-        let holds =
-            |name: &&String| endpoints.find(name).is_some_and(|endpoint| servers.held(endpoint).0 > 0);
+        let holds = |name: &&String| {
+            endpoints.find(name).is_some_and(|endpoint| servers.connection_counts(endpoint).0 > 0)
+        };
         fleet.holds_at(outs.iter().filter(holds).cloned().collect());
         let ready =
             |name: &&String| entries.get(*name).is_some_and(|entry| entry.state == EndpointStanding::Ready);
@@ -407,14 +410,14 @@
         let early = draining.is_some_and(|since| turn.now.since(since) < DRAIN_GRACE);
         fleet.stands_with(open + clients.count() + usize::from(early), lacks);
         // Danger: a cap that is not taken back would outlive its budget.
-        servers.most_at_one = fleet.connections_most(now);
+        servers.max_per_endpoint = fleet.connections_most(now);
         if !fleet.is_limited() {
             return;
         }
-        if let Some(most) = servers.most_at_one {
+        if let Some(most) = servers.max_per_endpoint {
             servers.trim(most, turn);
         }
-        let (connections, out) = servers.most_held();
+        let (connections, out) = servers.max_connection_counts();
         fleet.holds(connections, out, alone);
     }
 
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -69,26 +69,26 @@
         self.balancer.client_disconnected(request);
         let links = self.request(request).map(|r| r.attempts.iter().flatten().copied().collect::<Vec<_>>());
         for link in links.unwrap_or_default() {
-            if self.servers.unwritten(link).is_some() {
-                let ended = self.servers.withdraw(link, &mut self.turn);
+            if self.servers.unsent_request(link).is_some() {
+                let ended = self.servers.cancel(link, &mut self.turn);
                 self.ended(link, ended);
             }
         }
     }
 
     pub(super) fn server_ready(&mut self, key: Key) {
-        if self.servers.passes(key).is_some() {
+        if self.servers.forwarding_to(key).is_some() {
             return self.pass_down(key);
         }
         // What waits for its connect is written as soon as that is up.
-        match self.servers.unwritten(key) {
+        match self.servers.unsent_request(key) {
             Some(request) if self.servers.is_connecting(key) => self.look_for_client(request),
             Some(_) => self.look(self.looked),
             None => {}
         }
         let ended = self.servers.ready(key, &mut self.turn);
         self.ended(key, ended);
-        let request = self.servers.awaits(key);
+        let request = self.servers.request_awaiting_body(key);
         if let Some(client) =
             request.and_then(|request| self.request(request)).and_then(|request| request.client)
         {
@@ -102,14 +102,14 @@
         let now = self.turn.now;
         for _ in 0..PIECES_MOST {
             let link = self.request(request).and_then(|r| r.attempts.last().copied().flatten());
-            let Some(link) = link.filter(|link| self.servers.takes_more(*link)) else {
+            let Some(link) = link.filter(|link| self.servers.accepts_body(*link)) else {
                 return self.clients.pause_body_timeout(client, &mut self.turn);
             };
             match self.clients.next_piece(client, &mut self.turn) {
                 Piece::Data(range) => {
                     self.balancer.partly_forwarded(now, request);
                     let data = self.clients.bytes(client, &range);
-                    let ended = self.servers.feed(link, Some(data), &mut self.turn);
+                    let ended = self.servers.send_body(link, Some(data), &mut self.turn);
                     self.clients.consume_piece(client, &range, &mut self.turn);
                     if ended.is_some() {
                         return self.ended(link, ended);
@@ -117,7 +117,7 @@
                 }
                 Piece::End => {
                     self.balancer.partly_forwarded(now, request);
-                    let ended = self.servers.feed(link, None, &mut self.turn);
+                    let ended = self.servers.send_body(link, None, &mut self.turn);
                     return self.ended(link, ended);
                 }
                 Piece::Later => return,
@@ -134,21 +134,21 @@
     /// Passes on what there is of a long answer, as far as its client takes it.
     pub(super) fn pass_down(&mut self, link: Key) {
         for _ in 0..PIECES_MOST {
-            let Some((client, method, end)) = self.servers.passes(link) else { return };
+            let Some((client, method, end)) = self.servers.forwarding_to(link) else { return };
             if !self.clients.response_is_sent(client) {
-                return self.servers.rest(link, &mut self.turn);
+                return self.servers.pause_timeout(link, &mut self.turn);
             }
-            match self.servers.piece(link, &mut self.turn) {
+            match self.servers.next_piece(link, &mut self.turn) {
                 Piece::Data(range) => {
                     let data = self.servers.bytes(link, &range);
                     if !self.clients.send_response_piece(client, data, &mut self.turn) {
                         return self.servers.close(link, &mut self.turn);
                     }
-                    self.servers.taken(link, range.end);
+                    self.servers.consume(link, range.end);
                 }
                 Piece::End => {
                     self.clients.end_response(client, true, &mut self.turn);
-                    self.servers.passed(link, &mut self.turn);
+                    self.servers.end_forwarding(link, &mut self.turn);
                     self.take_next(client);
                     return self.count(method, end);
                 }
@@ -161,7 +161,7 @@
 
     /// A long answer that was begun cannot be finished.
     pub(super) fn break_off(&mut self, link: Key) {
-        let Some((client, method, _)) = self.servers.passes(link) else { return };
+        let Some((client, method, _)) = self.servers.forwarding_to(link) else { return };
         log::info!("an answer broke off on its way");
         self.clients.end_response(client, false, &mut self.turn);
         self.servers.close(link, &mut self.turn);
@@ -187,9 +187,10 @@
     }
 
     /// An attempt on this connection has ended: its answer goes to the client if no other could be better.
-    pub(super) fn ended(&mut self, key: Key, ended: Option<Ended>) {
+    pub(super) fn ended(&mut self, key: Key, ended: Option<EndedAttempt>) {
         let Some(ended) = ended else { return };
-        let Ended { carried: Carried { request, attempt, .. }, ending, answer, long, .. } = ended;
+        let EndedAttempt { carried: ActiveAttempt { request, attempt, .. }, ending, answer, long, .. } =
+            ended;
         if request == PROBE {
             return self.probed(attempt, key, answer, long.is_some());
         }
@@ -267,7 +268,7 @@
         let write = |out: &mut Vec<u8>, length, keep| http::relayed_head(out, head, length, keep);
         let begun = self.clients.begin_response(whose.0, key, body.length(), write, &mut self.turn);
         if begun {
-            self.servers.pass(key, frame, body, whose);
+            self.servers.begin_forwarding(key, frame, body, whose);
         }
         begun
     }
@@ -309,12 +310,16 @@
         match decision {
             Decision::Send { request, endpoint, give_up } => {
                 let Some(r) = self.request(request) else { return };
-                let (client, carried) = (r.client, Carried { request, attempt: r.attempts.len(), give_up });
+                let (client, carried) =
+                    (r.client, ActiveAttempt { request, attempt: r.attempts.len(), give_up });
                 // Who has just left is sent nothing for, and takes nothing from a budget.
                 let within = client.is_some() && self.within_budgets(endpoint, carried.attempt > 0);
-                let mut sent =
-                    if within { self.attempt(client, endpoint, carried) } else { Err(Ending::NoRoom) };
-                if within && sent == Err(Ending::NoRoom) {
+                let mut sent = if within {
+                    self.attempt(client, endpoint, carried)
+                } else {
+                    Err(AttemptResult::NoCapacity)
+                };
+                if within && sent == Err(AttemptResult::NoCapacity) {
                     let mut brought = Vec::new();
                     if self.clients.evict(&mut self.turn, &mut brought) {
                         sent = self.attempt(client, endpoint, carried);
@@ -341,7 +346,7 @@
             Decision::Cancel { request, attempt } => {
                 let link = self.request(request).and_then(|r| r.attempts.get(attempt).copied().flatten());
                 if let Some(key) = link {
-                    let ended = self.servers.withdraw(key, &mut self.turn);
+                    let ended = self.servers.cancel(key, &mut self.turn);
                     self.ended(key, ended);
                 }
             }
@@ -377,7 +382,13 @@
     }
 
     /// Counts an attempt that is a retry, and logs any, with the version of the list that it was decided on.
-    fn trace_attempt(&mut self, request: usize, attempt: usize, endpoint: usize, sent: Result<Key, Ending>) {
+    fn trace_attempt(
+        &mut self,
+        request: usize,
+        attempt: usize,
+        endpoint: usize,
+        sent: Result<Key, AttemptResult>,
+    ) {
         let Some(last) = self.request(request).map(|r| r.last_outcome) else { return };
         if let Some(last) = last {
             self.figures.retried(last);
@@ -395,7 +406,14 @@
     }
 
     /// Counts how an attempt has ended, and logs it.
-    fn trace_end(&mut self, request: usize, attempt: usize, endpoint: usize, ending: Ending, sent: Moment) {
+    fn trace_end(
+        &mut self,
+        request: usize,
+        attempt: usize,
+        endpoint: usize,
+        ending: AttemptResult,
+        sent: Moment,
+    ) {
         self.end_attempt(request, ending);
         if log::log_enabled!(log::Level::Debug) {
             let id = self.request(request).map_or("", |r| &r.id).to_string();
@@ -405,7 +423,7 @@
         }
     }
 
-    fn end_attempt(&mut self, request: usize, ending: Ending) {
+    fn end_attempt(&mut self, request: usize, ending: AttemptResult) {
         let outcome = ending.outcome();
         self.figures.attempt_ended(outcome);
         self.request(request).into_iter().for_each(|r| r.last_outcome = Some(outcome));
@@ -414,9 +432,9 @@
     /// Whether the fleet's budgets allow one more attempt to this endpoint now.
     fn within_budgets(&mut self, endpoint: usize, again: bool) -> bool {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.is_limited()) else { return true };
-        let (now, (connections, out)) = (self.clock.now(), self.servers.held(endpoint));
-        self.servers.most_at_one = fleet.connections_most(now);
-        let started = self.servers.started(endpoint);
+        let (now, (connections, out)) = (self.clock.now(), self.servers.connection_counts(endpoint));
+        self.servers.max_per_endpoint = fleet.connections_most(now);
+        let started = self.servers.started_at(endpoint);
         let cold = started.is_some_and(|at| self.balancer.terms().warm_part(now.since(at)) < 1.0);
         let idle = self.servers.has_idle(endpoint);
         fleet.may_send(now, &Wish { again, cold, connections, out, idle })
@@ -426,16 +444,17 @@
         &mut self,
         client: Option<Key>,
         endpoint: usize,
-        carried: Carried,
-    ) -> Result<Key, Ending> {
+        carried: ActiveAttempt,
+    ) -> Result<Key, AttemptResult> {
         let message = client.and_then(|client| self.clients.message(client));
-        let message = message.ok_or(Ending::Withdrawn { whole: false })?;
+        let message = message.ok_or(AttemptResult::Cancelled { request_sent: false })?;
         self.servers.send(endpoint, carried, message, &mut self.turn)
     }
 
     pub(super) fn probe(&mut self, endpoint: usize) {
-        let carried = Carried { request: PROBE, attempt: endpoint, give_up: self.turn.now + PROBE_WAIT };
-        let message = Message { head: PROBE_HEAD, body: b"", coming: None };
+        let carried =
+            ActiveAttempt { request: PROBE, attempt: endpoint, give_up: self.turn.now + PROBE_WAIT };
+        let message = OutgoingRequest { head: PROBE_HEAD, body: b"", streamed_body: None };
         if self.servers.send(endpoint, carried, message, &mut self.turn).is_err() {
             self.balancer.probed(self.turn.now, endpoint, None);
         }
--- a/crates/sidecar/tests/late_connects.rs
+++ b/crates/sidecar/tests/late_connects.rs
@@ -5,8 +5,8 @@
 
 use appledyke::units::{Moment, Span};
 use appledyke_sidecar::net::Turn;
-use appledyke_sidecar::net::connection::Ending;
-use appledyke_sidecar::net::servers::{Carried, Message, Servers};
+use appledyke_sidecar::net::connection::AttemptResult;
+use appledyke_sidecar::net::servers::{ActiveAttempt, OutgoingRequest, Servers};
 
 const HEAD: &[u8] = b"GET /view HTTP/1.1\r\nX-Txn: 1\r\n\r\n";
 
@@ -15,17 +15,19 @@
 #[test]
 fn a_connect_that_is_found_up_after_its_time_carries_nothing() {
     let (most, deadline) = (Span::from_millis(300), Span::from_millis(2000));
-    for (passed, ending) in
-        [(most, Ending::NeverUp), (deadline, Ending::GivenUp { whole: false }), (most * 0.9, Ending::NeverUp)]
-    {
+    for (passed, ending) in [
+        (most, AttemptResult::ConnectFailed),
+        (deadline, AttemptResult::TimedOut { request_sent: false }),
+        (most * 0.9, AttemptResult::ConnectFailed),
+    ] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 2 };
         let mut servers = Servers::new(Span::from_millis(60_000), most);
-        servers.place(0, listener.local_addr().unwrap(), None, &mut turn);
-        let carried = Carried { request: 0, attempt: 0, give_up: turn.now + deadline };
-        let message = Message { head: HEAD, body: b"", coming: None };
+        servers.set_address(0, listener.local_addr().unwrap(), None, &mut turn);
+        let carried = ActiveAttempt { request: 0, attempt: 0, give_up: turn.now + deadline };
+        let message = OutgoingRequest { head: HEAD, body: b"", streamed_body: None };
         let key = servers.send(0, carried, message, &mut turn).unwrap();
         let (mut peer, _) = listener.accept().unwrap();
         let mut events = mio::Events::with_capacity(8);
