--- a/crates/sidecar/src/net/list.rs
+++ b/crates/sidecar/src/net/list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints: a watch on its service, opened when asked for and opened anew when it breaks.
+//! The endpoint list: a watch on service discovery, opened on request and reopened when it breaks.
 
 mod format;
 pub mod schedule;
@@ -8,7 +8,7 @@
 use appledyke::units::Moment;
 use serde_json::{Value, json};
 
-use format::{Braces, salvage};
+use format::{ListScanner, salvage};
 pub use format::{entries, version};
 use schedule::{ALL_IN, CALL_IN, CONNECT_IN, CallEnd, Callers, MORE_IN, SILENCE_MOST, Schedule};
 
@@ -19,118 +19,118 @@
 use super::{DESCRIPTOR_AGAIN, Turn};
 use crate::figures::Discovery;
 
-/// Bytes that a list may have: a whole one of many thousand endpoints.
-const LIST_MOST: usize = 4 << 20;
+/// The maximum size of a list in bytes: enough for a complete list of many thousand endpoints.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 struct Watch {
     connection: Connection,
-    /// When it was called.
+    /// When the call was started.
     since: Moment,
     up: bool,
     head_read: bool,
-    /// It has brought anything; and a list or a beat to its end.
-    heard: bool,
-    told: bool,
-    /// The service has ended it with no list: by another answer, or by a reset.
+    /// Any chunk has been received; and a complete list or heartbeat has.
+    any_received: bool,
+    received: bool,
+    /// The service ended it without a list: by another response, or by a reset.
     turned_away: bool,
-    /// What chunks have brought and is no whole list yet, and where one ends in it.
+    /// The received data that is not a complete list yet, and the scanner that finds where a list ends in it.
     text: Vec<u8>,
-    braces: Braces,
-    /// Since when part of a list has been there.
-    begun_at: Option<Moment>,
+    scanner: ListScanner,
+    /// Since when part of a list has been buffered.
+    partial_since: Option<Moment>,
 }
 
 impl Watch {
-    /// Part of a list has come.
-    fn begun(&self) -> bool {
+    /// Whether part of a list has been received.
+    fn partial(&self) -> bool {
         !self.text.is_empty() || self.head_read && !self.connection.input.is_empty()
     }
 
-    /// What has come of a list that is not whole.
-    fn torn(&self) -> Option<Vec<u8>> {
+    /// What has been received of an incomplete list.
+    fn partial_list(&self) -> Option<Vec<u8>> {
         let input = if self.head_read { &self.connection.input[..] } else { &[] };
-        // Danger: the line before a chunk that is not whole would spoil the entry in which it stands.
+        // Danger: the size line of an incomplete chunk would corrupt the entry that it splits.
         let line = http::chunk_line(input).unwrap_or(0);
-        self.begun().then(|| [&self.text[..], &input[line..]].concat())
+        self.partial().then(|| [&self.text[..], &input[line..]].concat())
     }
 }
 
 pub struct List {
     at: SocketAddr,
-    /// The slots give each a token of its own.
+    /// Slots give each watch a token of its own.
     watches: Slots<Watch>,
-    /// The call, or the watch, at the present address.
+    /// The call, or the watch, at the current address.
     open: Option<Key>,
-    /// The oldest call at an address of before that waits for its answer, until the present address has told a list.
-    /// Danger: the service works through such a call all the same, and each of a series of new configurations would
-    /// throw away a place in its queue, and wait anew behind all others.
+    /// The oldest unanswered call at a previous address, kept until the current address has sent a list. Danger: the service
+    /// processes such a call anyway, and each of a series of new configurations would give up its position in the service's
+    /// queue and start again behind all others.
     superseded: Option<Key>,
-    wanted: bool,
-    /// Calls that have been made.
+    watch_wanted: bool,
+    /// The number of calls made.
     pub made: u64,
     deadline: Option<Moment>,
-    /// There was no descriptor for a call that might be made.
+    /// A call that is due failed for lack of a file descriptor.
     pub lacks_descriptor: bool,
     schedule: Schedule,
-    /// What has become of calls, for the metrics.
-    counts: Discovery,
-    /// When a list or a heartbeat was heard last; at first, when it was begun to look for one.
-    heard_at: Option<Moment>,
-    /// The version that was last heard, at this address.
+    /// Counters of how calls ended, for the metrics.
+    call_counts: Discovery,
+    /// When a list or a heartbeat last arrived; before the first one, when a watch was first wanted.
+    last_heard: Option<Moment>,
+    /// The last version received from this address.
     version: u64,
-    /// What a list that broke off told of endpoints to leave alone.
+    /// The entries of a truncated list for endpoints that are draining or removed.
     salvaged: Vec<Value>,
 }
 
 impl List {
-    /// The list at this address, as far as this version is known of it.
+    /// Follows the list at this address, of which this version is known.
     pub fn new(at: SocketAddr, version: u64, seed: u64, callers: Callers) -> List {
         List {
             at,
             watches: Slots::default(),
             open: None,
             superseded: None,
-            wanted: false,
+            watch_wanted: false,
             made: 0,
             deadline: None,
             lacks_descriptor: false,
             schedule: Schedule::new(callers, seed),
-            counts: Discovery::default(),
-            heard_at: None,
+            call_counts: Discovery::default(),
+            last_heard: None,
             version,
             salvaged: Vec::new(),
         }
     }
 
-    /// The version that was last heard, at this address.
+    /// The last version received from this address.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The calls to discovery, for the metrics.
+    /// The discovery metrics.
     pub fn figures(&self, now: Moment) -> Discovery {
-        let silent_ms = self.heard_at.map_or(0, |at| now.since(at).nanos() / 1_000_000);
-        Discovery { calls: self.made, version: self.version, silent_ms, ..self.counts }
+        let silent_ms = self.last_heard.map_or(0, |at| now.since(at).nanos() / 1_000_000);
+        Discovery { calls: self.made, version: self.version, silent_ms, ..self.call_counts }
     }
 
-    /// Others call the same service from now on.
+    /// Sets who else calls the same service.
     pub fn set_callers(&mut self, callers: Callers) {
         self.schedule.callers = callers;
     }
 
-    /// A watch is wanted from now on, and opened at once if it may be. Returns whether that failed at once.
+    /// Requests a watch, which is opened now if `may` allows it. Returns whether the call failed immediately.
     pub fn watch(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
-        // One that waits for its turn after a failure is not hurried: the service may be down.
-        if std::mem::replace(&mut self.wanted, true) {
+        // A call that waits after a failure is not brought forward: the service may be down.
+        if std::mem::replace(&mut self.watch_wanted, true) {
             return false;
         }
         self.schedule.wanted(turn.now);
-        self.heard_at = Some(turn.now);
-        self.open_if(may, turn)
+        self.last_heard = Some(turn.now);
+        self.open_if_allowed(may, turn)
     }
 
-    /// Opens a watch if it may be opened now; else it waits as after a first failure, which it is not.
-    fn open_if(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
+    /// Opens a watch if that is allowed now. Otherwise it waits as long as after a first failure, without counting as one.
+    fn open_if_allowed(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
         let allowed = self.lacks_descriptor || may();
         match if allowed { None } else { self.schedule.held_back(turn.now) } {
             None => self.open(turn),
@@ -141,8 +141,8 @@
         }
     }
 
-    /// The list is to be asked at this address from now on. What the watch on the one before has brought and was not read
-    /// yet is handed to `hear` first. Returns whether a call to the new address failed at once.
+    /// Sets the address of the list. Unread lists from the watch on the previous address are passed to `hear` first. Returns
+    /// whether a call to the new address failed immediately.
     pub fn move_to(
         &mut self,
         at: SocketAddr,
@@ -153,26 +153,28 @@
         if self.at == at {
             return false;
         }
-        // Danger: what was written to this watch counts as told, and would be dropped with it.
+        // Danger: what the service has written to this watch counts as notified, and would be dropped with it.
         if let Some(key) = self.open {
             self.ready(key, turn, hear);
         }
-        if let Some(torn) = self.open.and_then(|key| self.watches.get(key)).and_then(Watch::torn) {
-            self.salvaged = salvage(&torn);
+        if let Some(partial_list) =
+            self.open.and_then(|key| self.watches.get(key)).and_then(Watch::partial_list)
+        {
+            self.salvaged = salvage(&partial_list);
         }
         self.at = at;
-        // Danger: another service counts versions of its own, and would tell only what came after ours.
+        // Danger: another service numbers versions on its own, and would send only changes after the old service's number.
         self.version = 0;
-        self.counts.moves += 1;
+        self.call_counts.moves += 1;
         let next = self.schedule.moved(turn.now);
         self.supersede(turn);
-        // Danger: what the new address has counts as told, also where a process that has just started wanted no watch yet.
-        self.wanted = true;
-        self.heard_at.get_or_insert(turn.now);
+        // Danger: what the new address has counts as notified, even if a process that has just started wanted no watch yet.
+        self.watch_wanted = true;
+        self.last_heard.get_or_insert(turn.now);
         if next <= turn.now {
-            return self.open_if(may, turn);
+            return self.open_if_allowed(may, turn);
         }
-        // What a call that was waiting for lacked is looked for anew.
+        // A call that was waiting for a descriptor is replaced by the one to the new address.
         self.lacks_descriptor = false;
         turn.deadlines.shift(Due::List, &mut self.deadline, Some(next));
         false
@@ -189,10 +191,9 @@
         }
     }
 
-    /// The present address is one of before: its watch is closed; a call that waits for its answer is kept, but for one
-    /// that is younger than another.
+    /// Closes the watch on the address that is being replaced. An unanswered call is kept, unless an older one is already.
     fn supersede(&mut self, turn: &mut Turn) {
-        let waits = |key: &Key| self.watches.get(*key).is_some_and(|watch| !watch.told);
+        let waits = |key: &Key| self.watches.get(*key).is_some_and(|watch| !watch.received);
         let kept = self.open.filter(waits).filter(|_| !self.schedule.callers.pushed);
         if self.superseded.is_none() && kept.is_some() {
             self.superseded = self.open.take();
@@ -205,7 +206,7 @@
         self.close_watch(superseded, turn);
     }
 
-    /// Reads what a call at an address of before has brought: its first list is handed to `hear`.
+    /// Reads from the call at a previous address and passes its first list to `hear`.
     fn read_superseded(&mut self, key: Key, turn: &mut Turn, hear: &mut impl FnMut(bool, Value)) {
         let Some(watch) = self.watches.get_mut(key) else { return };
         let in_time = turn.now.since(watch.since) <= CALL_IN + MORE_IN;
@@ -214,7 +215,7 @@
             Ok(Some((complete, list))) if in_time => {
                 let took = turn.now.since(watch.since).secs() * 1e3;
                 log::info!(
-                    "list: version {} heard at an address of before, {took:.0} ms after the call",
+                    "list: version {} received from a previous address, {took:.0} ms after the call",
                     list["index"]
                 );
                 hear(complete, list);
@@ -224,13 +225,13 @@
         self.close_superseded(turn);
     }
 
-    /// Makes the call that there was no descriptor for. Returns whether it failed at once.
+    /// Retries the call that failed for lack of a file descriptor. Returns whether it failed immediately.
     pub fn call_again(&mut self, turn: &mut Turn) -> bool {
         self.open(turn)
     }
 
     fn open(&mut self, turn: &mut Turn) -> bool {
-        let lacked = std::mem::take(&mut self.lacks_descriptor);
+        let lacked_before = std::mem::take(&mut self.lacks_descriptor);
         let (at, call) = (self.at, http::watch_call(self.at, self.version));
         let since = turn.now;
         self.made += 1;
@@ -238,18 +239,18 @@
         let opened = self.watches.insert_with(|key| {
             let mut connection = Connection::open(at, &turn.registry, Peer::List(key).token())?;
             connection.queue(&[&call], 0);
-            let (text, braces) = (Vec::new(), Braces::default());
+            let (text, scanner) = (Vec::new(), ListScanner::default());
             Ok::<_, std::io::Error>(Watch {
                 connection,
                 since,
                 up: false,
                 head_read: false,
-                heard: false,
-                told: false,
+                any_received: false,
+                received: false,
                 turned_away: false,
                 text,
-                braces,
-                begun_at: None,
+                scanner,
+                partial_since: None,
             })
         });
         match opened {
@@ -264,9 +265,9 @@
                 turn.deadlines.shift(Due::List, &mut self.deadline, Some(turn.now + CONNECT_IN));
                 false
             }
-            // Danger: taken for a failure of its service, each would make the wait for the next call longer.
+            // Danger: counted as a failure of the service, each would lengthen the delay before the next call.
             Err(e) if connection::lacks_descriptor(&e) => {
-                if !lacked {
+                if !lacked_before {
                     log::warn!("list at {at}: {e}");
                 }
                 self.lacks_descriptor = true;
@@ -277,25 +278,25 @@
         }
     }
 
-    /// The call has failed or the watch has ended: what is known of the list stays, and the next try waits.
+    /// Handles a failed call or a watch that has ended: the known list stays in force, and the next call is scheduled.
     fn fail(&mut self, what: &str, turn: &mut Turn) -> bool {
-        // Danger: of a list that never ends the sidecar has been told all the same. What it says of drains is
-        // heeded; all else waits for the whole list, as the version stays what it was.
+        // Danger: the sidecar counts as notified even of a list that was truncated. Its drains are applied;
+        // everything else waits for the complete list, which will be sent again as the version is unchanged.
         let open = self.open.and_then(|key| self.watches.get(key));
-        let torn = open.and_then(Watch::torn);
-        let since = open.filter(|watch| !watch.told).map_or(turn.now, |watch| watch.since);
+        let partial_list = open.and_then(Watch::partial_list);
+        let since = open.filter(|watch| !watch.received).map_or(turn.now, |watch| watch.since);
         let end = match open {
-            _ if torn.is_some() => CallEnd::Torn,
+            _ if partial_list.is_some() => CallEnd::Torn,
             Some(watch) if watch.turned_away => CallEnd::TurnedAway,
             _ => CallEnd::Lost,
         };
         let open_since = open.map_or(turn.now, |watch| watch.since);
-        self.salvaged = salvage(torn.as_deref().unwrap_or_default());
+        self.salvaged = salvage(partial_list.as_deref().unwrap_or_default());
         self.close(turn);
         match end {
-            CallEnd::TurnedAway => self.counts.turned_away += 1,
-            CallEnd::Torn => self.counts.torn += 1,
-            CallEnd::Lost => self.counts.lost += 1,
+            CallEnd::TurnedAway => self.call_counts.turned_away += 1,
+            CallEnd::Torn => self.call_counts.torn += 1,
+            CallEnd::Lost => self.call_counts.lost += 1,
         }
         let next = self.schedule.failed(since, turn.now, end);
         let took = turn.now.since(open_since).secs() * 1e3;
@@ -310,30 +311,29 @@
         true
     }
 
-    /// The deadline has passed: of a watch that is silent, or of the wait for the next. Returns whether a
-    /// call has failed by that.
+    /// Handles the deadline of a silent watch, or the end of the delay before the next call. Returns whether a call has failed.
     pub fn timed_out(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
         self.deadline = None;
         match self.open {
             Some(key) => {
-                if self.watches.get(key).is_some_and(|watch| watch.heard) {
+                if self.watches.get(key).is_some_and(|watch| watch.any_received) {
                     self.schedule.fell_silent();
                 }
-                self.fail("nothing heard", turn)
+                self.fail("timed out with nothing received", turn)
             }
-            None => self.open_if(may, turn),
+            None => self.open_if_allowed(may, turn),
         }
     }
 
-    /// What a list told that broke off, if one did.
+    /// Takes the entries salvaged from a truncated list, as a partial list.
     pub fn take_salvaged(&mut self) -> Option<Value> {
         let entries = std::mem::take(&mut self.salvaged);
         let list = || json!({"index": self.version, "snapshot": false, "endpoints": entries});
         (!entries.is_empty()).then(list).filter(|list| self::entries(list, |_, _, _, _, _| {}).is_ok())
     }
 
-    /// Reads what the watch has brought: each list that can be read is handed to `hear`, with whether it is
-    /// complete. Returns whether the call has failed.
+    /// Reads from the watch: each valid list is passed to `hear`, with whether it is complete. Returns whether the call has
+    /// failed.
     pub fn ready(&mut self, key: Key, turn: &mut Turn, mut hear: impl FnMut(bool, Value)) -> bool {
         if self.superseded == Some(key) {
             self.read_superseded(key, turn, &mut hear);
@@ -345,7 +345,7 @@
             hear(complete, list);
         });
         if heard {
-            // What an address of before tells is older than this.
+            // A list from a previous address is older than this one.
             self.close_superseded(turn);
         }
         match read {
@@ -368,13 +368,14 @@
         }
         watch.connection.flush().map_err(broken)?;
         loop {
-            let over = watch.connection.fill(LIST_MOST + http::HEAD_MOST).is_err() || watch.connection.ended;
+            let over =
+                watch.connection.fill(MAX_LIST_BYTES + http::HEAD_MOST).is_err() || watch.connection.ended;
             let full = watch.connection.full;
             if !watch.head_read {
                 watch.turned_away = over;
                 match http::watch_head(&watch.connection.input) {
                     Ok(Some(head)) => watch.connection.consume(head),
-                    Ok(None) if over => return Err("no answer".to_string()),
+                    Ok(None) if over => return Err("the connection ended before a response".to_string()),
                     Ok(None) => return Ok(()),
                     Err(http::Bad(status)) => {
                         watch.turned_away = true;
@@ -383,52 +384,53 @@
                 }
                 (watch.head_read, watch.turned_away) = (true, false);
             }
-            // Danger: what came before an end or a fault has been told.
-            let (any, faulty) = watch.take_chunks();
+            // Danger: data received before an end or an error counts as notified, so it is applied first.
+            let (any, chunk_error) = watch.take_chunks();
             if any {
-                watch.heard = true;
-                self.heard_at = Some(turn.now);
+                watch.any_received = true;
+                self.last_heard = Some(turn.now);
                 self.schedule.stirred();
                 turn.deadlines.shift(Due::List, &mut self.deadline, Some(turn.now + SILENCE_MOST));
             }
-            let whole = watch.braces.whole(&watch.text);
+            let whole = watch.scanner.whole(&watch.text);
             for list in serde_json::Deserializer::from_slice(&watch.text[..whole]).into_iter::<Value>() {
                 let list = list.map_err(|e| format!("bad list: {e}"))?;
                 let (version, complete) = version(&list)?;
-                // Danger: a list that is told in part, up to what is faulty, would drop the rest.
+                // Danger: if a list were applied up to an invalid entry, the rest would be lost.
                 entries(&list, |_, _, _, _, _| {})?;
-                if version != self.version || !watch.told {
+                if version != self.version || !watch.received {
                     let took = turn.now.since(watch.since).secs() * 1e3;
                     log::info!(
-                        "list at {}: version {version} heard, complete {complete}, {took:.0} ms after call {}",
+                        "list at {}: version {version} received, complete {complete}, {took:.0} ms after call {}",
                         self.at,
                         self.made
                     );
                 }
-                (self.version, watch.told) = (version, true);
+                (self.version, watch.received) = (version, true);
                 self.schedule.heard();
                 hear(complete, list);
             }
-            watch.done_with(whole)?;
-            // Danger: a watch that only beats is as good; kept, old failures would delay the next for long.
+            watch.drop_processed(whole)?;
+            // Danger: a watch with only heartbeats is healthy too; if earlier failures stayed counted, the next call would be
+            // delayed for long.
             if any && watch.text.is_empty() {
-                watch.told = true;
+                watch.received = true;
                 self.schedule.heard();
             }
-            if let Some(what) = faulty {
+            if let Some(what) = chunk_error {
                 return Err(what.to_string());
             }
             if over {
-                return Err("the watch broke".to_string());
+                return Err("the watch was closed or reset".to_string());
             }
             if !full {
-                // Danger: a list that stops short would be waited for as long as for a beat.
-                watch.begun_at = watch.begun().then(|| watch.begun_at.unwrap_or(turn.now));
-                if let Some(since) = watch.begun_at {
+                // Danger: without a deadline of its own, a list that stalls would be waited for as long as a heartbeat.
+                watch.partial_since = watch.partial().then(|| watch.partial_since.unwrap_or(turn.now));
+                if let Some(since) = watch.partial_since {
                     let until = (turn.now + MORE_IN).min(since + ALL_IN);
-                    // Danger: a first list of which a little comes at a time would add to all that the call took.
+                    // Danger: a first list that trickles in would add to all the time that the call has taken.
                     let first = watch.since + CALL_IN + MORE_IN;
-                    let until = if watch.told { until } else { until.min(first) };
+                    let until = if watch.received { until } else { until.min(first) };
                     turn.deadlines.shift(Due::List, &mut self.deadline, Some(until));
                 }
                 return Ok(());
@@ -438,7 +440,7 @@
 }
 
 impl Watch {
-    /// The first list of a call that has told none yet, and whether it is complete; nothing if more is to come.
+    /// The first list of a call that has sent none yet, and whether it is complete; `None` if more data is needed.
     fn first_list(&mut self) -> Result<Option<(bool, Value)>, String> {
         let broken = |e: std::io::Error| e.to_string();
         self.up = self.up || self.connection.is_up().map_err(broken)?;
@@ -446,7 +448,7 @@
             return Ok(None);
         }
         self.connection.flush().map_err(broken)?;
-        let over = self.connection.fill(LIST_MOST + http::HEAD_MOST).is_err() || self.connection.ended;
+        let over = self.connection.fill(MAX_LIST_BYTES + http::HEAD_MOST).is_err() || self.connection.ended;
         if !self.head_read {
             match http::watch_head(&self.connection.input) {
                 Ok(Some(head)) => self.connection.consume(head),
@@ -455,8 +457,8 @@
             }
             self.head_read = true;
         }
-        let (_, faulty) = self.take_chunks();
-        let whole = self.braces.whole(&self.text);
+        let (_, chunk_error) = self.take_chunks();
+        let whole = self.scanner.whole(&self.text);
         let first = serde_json::Deserializer::from_slice(&self.text[..whole]).into_iter::<Value>().next();
         match first {
             Some(list) => {
@@ -465,38 +467,38 @@
                 entries(&list, |_, _, _, _, _| {})?;
                 Ok(Some((complete, list)))
             }
-            None if over || faulty.is_some() => Err("no list".to_string()),
+            None if over || chunk_error.is_some() => Err("no list".to_string()),
             None => Ok(None),
         }
     }
 
-    /// Moves on what the whole chunks hold. Returns whether there was any, and what ends or spoils the watch behind them.
+    /// Moves the data of complete chunks to `text`. Returns whether there was any, and what ends or breaks the watch after it.
     fn take_chunks(&mut self) -> (bool, Option<&'static str>) {
         let (input, mut done) = (&self.connection.input, 0);
-        let faulty = loop {
-            match http::chunk(&input[done..], LIST_MOST) {
-                Ok(Some((_, 0, _))) => break Some("the watch has ended"),
+        let chunk_error = loop {
+            match http::chunk(&input[done..], MAX_LIST_BYTES) {
+                Ok(Some((_, 0, _))) => break Some("the service ended the watch"),
                 Ok(Some((data, size, end))) => {
                     self.text.extend_from_slice(&input[done + data..done + data + size]);
                     done += end;
                 }
                 Ok(None) => break None,
-                Err(_) => break Some("no chunk"),
+                Err(_) => break Some("invalid chunk"),
             }
         };
         self.connection.consume(done);
-        (done > 0, faulty)
+        (done > 0, chunk_error)
     }
 
-    /// Drops the lists that are done with, and what is only a beat.
-    fn done_with(&mut self, whole: usize) -> Result<(), String> {
+    /// Drops the processed lists and heartbeats.
+    fn drop_processed(&mut self, whole: usize) -> Result<(), String> {
         self.text.drain(..whole);
         if self.text.trim_ascii_start().is_empty() {
-            (self.text, self.braces.seen) = (Vec::new(), 0);
+            (self.text, self.scanner.scanned) = (Vec::new(), 0);
         }
         match self.text.trim_ascii_start().first() {
-            Some(first) if *first != b'{' => Err("bad list: no object".to_string()),
-            _ if self.text.len() > LIST_MOST => Err("a list is too long".to_string()),
+            Some(first) if *first != b'{' => Err("bad list: not a JSON object".to_string()),
+            _ if self.text.len() > MAX_LIST_BYTES => Err("a list is too long".to_string()),
             _ => Ok(()),
         }
     }
--- a/crates/sidecar/src/net/list/format.rs
+++ b/crates/sidecar/src/net/list/format.rs
@@ -1,4 +1,4 @@
-//! The form of a list of endpoints as discovery writes it, and of a stream of such lists.
+//! The JSON format of discovery's endpoint lists, and of a stream of such lists.
 
 use std::net::SocketAddr;
 
@@ -6,63 +6,64 @@
 use appledyke::units::Moment;
 use serde_json::Value;
 
-/// The version of a list in the service's form, and whether it is complete.
+/// The version of a list in discovery's format, and whether it is complete.
 pub fn version(list: &Value) -> Result<(u64, bool), String> {
-    let index = list["index"].as_u64().ok_or("index: missing, or no whole number")?;
-    let complete = list["snapshot"].as_bool().ok_or("snapshot: missing, or neither true nor false")?;
+    let index = list["index"].as_u64().ok_or("index: missing or not a non-negative integer")?;
+    let complete = list["snapshot"].as_bool().ok_or("snapshot: missing or not a boolean")?;
     Ok((index, complete))
 }
 
-/// Reads the entries of such a list, and tells of each its name, address, zone, cell and kind, standing and start.
+/// Reads the entries of such a list and passes each one's name, address, zone, cell and kind, state and start to `on_entry`.
 pub fn entries(
     list: &Value,
-    mut tell: impl FnMut(&str, Option<SocketAddr>, (&str, u64, &str), EndpointState, Option<Moment>),
+    mut on_entry: impl FnMut(&str, Option<SocketAddr>, (&str, u64, &str), EndpointState, Option<Moment>),
 ) -> Result<(), String> {
-    for entry in list["endpoints"].as_array().ok_or("endpoints: missing, or no list")? {
-        let name = entry["name"].as_str().ok_or("endpoints.name: missing, or no text")?;
-        let faulty = |key: &str| format!("endpoints.{key}: unreadable value {} of {name}", entry[key]);
-        let standing = match entry["status"].as_str() {
+    for entry in list["endpoints"].as_array().ok_or("endpoints: missing or not an array")? {
+        let name = entry["name"].as_str().ok_or("endpoints.name: missing or not a string")?;
+        let invalid = |key: &str| format!("endpoints.{key}: invalid value {} of {name}", entry[key]);
+        let state = match entry["status"].as_str() {
             Some("up") => EndpointState::Ready,
             Some("draining") => EndpointState::Draining,
             Some("removed") => EndpointState::Gone,
-            _ => return Err(faulty("status")),
+            _ => return Err(invalid("status")),
         };
         let address = match &entry["address"] {
-            Value::Null if standing == EndpointState::Gone => None,
-            at => Some(at.as_str().and_then(|at| at.parse().ok()).ok_or_else(|| faulty("address"))?),
+            Value::Null if state == EndpointState::Gone => None,
+            at => Some(at.as_str().and_then(|at| at.parse().ok()).ok_or_else(|| invalid("address"))?),
         };
         let since = match &entry["since_ms"] {
             Value::Null => 0,
-            since => since.as_u64().ok_or_else(|| faulty("since_ms"))?,
+            since => since.as_u64().ok_or_else(|| invalid("since_ms"))?,
         };
         let text = |key: &str| entry[key].as_str().unwrap_or("");
-        let place = (text("zone"), entry["group"].as_u64().unwrap_or(0), text("type"));
+        let locality = (text("zone"), entry["group"].as_u64().unwrap_or(0), text("type"));
         let started = (since > 0).then(|| Moment::from_nanos(since.saturating_mul(1_000_000)));
-        tell(name, address, place, standing, started);
+        on_entry(name, address, locality, state, started);
     }
     Ok(())
 }
 
-/// Where the lists of a stream end, however they are set in lines: braces outside of texts, each byte looked at once.
+/// Finds where the lists of a stream end, independent of line breaks: counts braces outside of strings and looks at
+/// each byte once.
 #[derive(Default)]
-pub struct Braces {
-    pub seen: usize,
+pub struct ListScanner {
+    pub scanned: usize,
     depth: usize,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
-impl Braces {
-    /// How much of a stream holds whole lists, where it is what was seen before and more behind it.
-    pub fn whole(&mut self, stream: &[u8]) -> usize {
+impl ListScanner {
+    /// The number of bytes at the start of the buffer that hold complete lists. Bytes already scanned are skipped.
+    pub fn whole(&mut self, buffer: &[u8]) -> usize {
         let mut whole = 0;
-        for (at, byte) in stream.iter().enumerate().skip(self.seen) {
+        for (at, byte) in buffer.iter().enumerate().skip(self.scanned) {
             match byte {
                 _ if std::mem::take(&mut self.escaped) => {}
-                b'\\' => self.escaped = self.in_text,
-                b'"' => self.in_text = !self.in_text,
-                b'{' if !self.in_text => self.depth += 1,
-                b'}' if !self.in_text => {
+                b'\\' => self.escaped = self.in_string,
+                b'"' => self.in_string = !self.in_string,
+                b'{' if !self.in_string => self.depth += 1,
+                b'}' if !self.in_string => {
                     self.depth = self.depth.saturating_sub(1);
                     if self.depth == 0 {
                         whole = at + 1;
@@ -71,12 +72,12 @@
                 _ => {}
             }
         }
-        self.seen = stream.len() - whole;
+        self.scanned = buffer.len() - whole;
         whole
     }
 }
 
-/// The entries that are whole in a part of a list, of those endpoints that want nothing more.
+/// The complete entries in a truncated list that say that an endpoint is draining or removed.
 pub fn salvage(part: &[u8]) -> Vec<Value> {
     let starts = part.iter().enumerate().filter(|(_, byte)| **byte == b'{').map(|(at, _)| at);
     let whole = starts.filter_map(|at| {
--- a/crates/sidecar/src/net/list/schedule.rs
+++ b/crates/sidecar/src/net/list/schedule.rs
@@ -1,67 +1,69 @@
-//! When discovery is called: pure arithmetic on how earlier calls have ended, with a seeded spread.
+//! When discovery is called: pure arithmetic on how earlier calls have ended, with seeded jitter.
 //!
-//! Two bounds have to hold for every order of failures: what the service has is heard within `TOLD_AFTER` of its return,
-//! and within `TOLD_AFTER_MOVE` of a new configuration that names its address. The sums that they are made of are
-//! asserted below.
+//! Two bounds must hold for every sequence of failures: a change is received within `NOTIFIED_AFTER` of the service's
+//! recovery, and within `NOTIFIED_AFTER_MOVE` of a new configuration with the service's address. The sums behind these bounds
+//! are asserted below.
 
 use appledyke::units::{Moment, Span};
 use oorandom::Rand64;
 
-/// A change counts as told so long after the service had it and could be reached, and after a watch that would have told
-/// it fell silent.
-const TOLD_AFTER: Span = Span::from_millis(6000);
-/// What the service at a newly configured address has counts as told so long after the configuration.
-const TOLD_AFTER_MOVE: Span = Span::from_millis(4000);
-/// In which a service that is back and well has answered a call, and what is left for long turns of the loop.
-const ANSWERED: Span = Span::from_millis(1500);
+/// A change counts as notified this long after the service had it and was reachable, and this long after a watch that would
+/// have sent it fell silent.
+const NOTIFIED_AFTER: Span = Span::from_millis(6000);
+/// What the service at a newly configured address has counts as notified this long after the configuration.
+const NOTIFIED_AFTER_MOVE: Span = Span::from_millis(4000);
+/// Time within which a recovered, healthy service answers a call, and the allowance for long turns of the event loop.
+const ANSWER_TIME: Span = Span::from_millis(1500);
 const SLACK: Span = Span::from_millis(300);
-/// In which a call must be connected, and in which its first list must have begun, both from its start: calls wait in
-/// turn for up to 3 s, and are then turned away. Danger: a call that is given up sooner has waited for nothing, and would
-/// wait for nothing again.
+/// Time limits for a call's connect and for the beginning of its first list, both from the call's start: the service queues
+/// calls for up to 3 s and then rejects them. Danger: a call that is abandoned sooner has queued for nothing, and so would
+/// the next.
 pub const CONNECT_IN: Span = Span::from_millis(1000);
 pub const CALL_IN: Span = Span::from_millis(3200);
-/// Longest silence of a watch: its heartbeat of 2 s, with room for a busy service.
+/// The longest silence of a watch: the heartbeat interval of 2 s, with a margin for a busy service.
 pub const SILENCE_MOST: Span = Span::from_millis(2800);
-/// The time to answer the first call after such a silence. Danger: what a silent watch misses counts as told 6 s after
-/// it fell silent; a call that is lost then has to leave time for another.
-const ANSWER_SOON: Span = Span::from_millis(1500);
-/// Where lists are pushed by an agent: the time to answer a call, doubled with each failure up to the most, and the
-/// longest wait between two calls. Danger: what the agent gets when its service is back counts as told at once, whether a
-/// call to it is open or not, and the time to heed a drain may be well under a second. It has no other callers to serve.
+/// Time limit for answering the first call after such a silence. Danger: changes that a silent watch misses count as notified
+/// 6 s after it fell silent, so if that call is lost there must be time for another.
+const ANSWER_TIMEOUT_AFTER_SILENCE: Span = Span::from_millis(1500);
+/// With lists pushed by an agent: the time limit for answering a call, doubled with each failure up to the maximum, and the
+/// longest delay between two calls. Danger: what the agent receives when its service recovers counts as notified at once,
+/// whether a call to the agent is open or not, and a drain may have to take effect in well under a second. Short delays are
+/// affordable because the agent has no other callers.
 pub const AGENT_ANSWER: Span = Span::from_millis(400);
 pub const AGENT_ANSWER_MOST: Span = Span::from_millis(1000);
 pub const AGENT_RETRY: Span = Span::from_millis(100);
-/// In which more of a list must come that has begun, and in which all of it: lists are written in one go, and what one
-/// tells counts as told when it was written. Danger: one of which a little comes at a time would be waited for for ever.
+/// Time limits for more of a list that has begun, and for all of it: a list is written in one go, and its changes count as
+/// notified when it was written. Danger: a list that trickles in would otherwise be waited for without end.
 pub const MORE_IN: Span = Span::from_millis(300);
 pub const ALL_IN: Span = Span::from_millis(2000);
-/// Most that is waited before a watch is opened anew that broke off within a list: its service is up, and has something
-/// to tell.
-const RETRY_TORN: Span = Span::from_millis(60);
-/// From the start of a call that failed, or a watch's end, to the next call: doubled with each further failure up to the
-/// most, and times a half to one by chance. Danger: counted from the call's end it came on top of all that the call took.
+/// The longest delay before a watch is reopened that broke off within a list: the service is up and has a change to
+/// send.
+const MAX_DELAY_AFTER_TRUNCATION: Span = Span::from_millis(60);
+/// The delay from the start of a failed call, or from a watch's end, to the next call: doubled with each further failure up
+/// to the maximum, and multiplied by a random factor of 0.5 to 1. Danger: counted from the call's end, the delay came on top
+/// of all the time that the call took.
 pub const RETRY_FIRST: Span = Span::from_millis(400);
 pub const RETRY_MOST: Span = Span::from_millis(4000);
-/// The most that is waited after a call that the service itself has turned away, from the call's end: `TURNED_AWAY_EACH`
-/// for each instance that follows the same list, within these two. Such a service is down, or is there and has too many
-/// callers. Danger: where these are many they keep it from answering any if they come again soon. Danger: where they are
-/// few, a wait that grows to seconds is longer than what they wait for is allowed to take.
-pub const RETRY_TURNED_AWAY_LEAST: Span = Span::from_millis(800);
-pub const RETRY_TURNED_AWAY_MOST: Span = Span::from_millis(5000);
-const TURNED_AWAY_EACH: Span = Span::from_millis(100);
-/// Most from the end of a call that took longer than that to the next, times a tenth to one by chance: as wide as the bound
-/// allows, as calls that were made together and wait alike would else stay in step.
-const RETRY_SOON: Span = Span::from_millis(700);
-/// How long a newly configured address has to stand before it is called, times a half to one by chance, and the most that
-/// a series of such configurations puts the call off. Danger: the service works through calls whose callers have gone to
-/// its next address all the same, and turns others away meanwhile.
+/// The maximum delay after a call that the service has rejected, from the call's end: `REJECTED_DELAY_PER_INSTANCE` for each instance
+/// that follows the same list, clamped to these two. Such a service is down, or is up with too many callers. Danger: many
+/// callers that retry soon keep it from answering any of them. Danger: with few callers, a delay that grows to seconds
+/// exceeds the time within which a change must be received.
+pub const REJECTED_DELAY_MIN: Span = Span::from_millis(800);
+pub const REJECTED_DELAY_MAX: Span = Span::from_millis(5000);
+const REJECTED_DELAY_PER_INSTANCE: Span = Span::from_millis(100);
+/// The longest delay from the end of a call that took longer than the delay above to the next call, multiplied by a random
+/// factor of 0.1 to 1: as wide as the bound allows, since calls made together with equal delays would stay synchronized.
+const MAX_RETRY_AFTER_END: Span = Span::from_millis(700);
+/// How long a newly configured address must be unchanged before it is called, multiplied by a random factor of 0.5 to 1, and
+/// the longest that a series of such configurations delays the call. Danger: the service still processes calls whose callers
+/// have moved on to its next address, and rejects others meanwhile.
 const SETTLE: Span = Span::from_millis(1000);
-const SETTLE_MOST: Span = Span::from_millis(1300);
-/// Longest from a call's start, or a watch's end, to the next call where a budget holds that back, but for one that has
-/// been turned away. Danger: a drain that is not heard breaks a rule; a budget spares a service.
-const HELD_BACK_MOST: Span = Span::from_millis(4200);
-/// The same from the wish for a watch, and from a new configuration.
-const HELD_BACK_MOVED: Span = Span::from_millis(2000);
+const MAX_SETTLE: Span = Span::from_millis(1300);
+/// The longest time from a call's start, or a watch's end, to the next call while a budget defers it, unless the call was
+/// rejected. Danger: a missed drain breaks a hard rule, whereas the budget only spares the service some load.
+const MAX_DEFERRAL: Span = Span::from_millis(4200);
+/// The same from the first request for a watch, and from a new configuration.
+const MAX_DEFERRAL_AFTER_MOVE: Span = Span::from_millis(2000);
 
 /// The sum of these, in nanoseconds.
 const fn sum<const N: usize>(spans: [Span; N]) -> u64 {
@@ -73,162 +75,166 @@
     nanos
 }
 
-// Worst cases: what passes from when a change could be had until it is. A call was made just before, and was refused, or
-// lost, or its list never ends; the next is answered.
-const _: () = assert!(sum([RETRY_MOST, ANSWERED, SLACK]) <= TOLD_AFTER.nanos());
-const _: () = assert!(sum([CALL_IN, MORE_IN, RETRY_SOON, ANSWERED, SLACK]) <= TOLD_AFTER.nanos());
-const _: () = assert!(sum([HELD_BACK_MOST, ANSWERED, SLACK]) <= TOLD_AFTER.nanos());
-// Or it has waited for its whole turn and was turned away, among few callers.
-const _: () = assert!(sum([CALL_IN, RETRY_TURNED_AWAY_LEAST, ANSWERED, SLACK]) <= TOLD_AFTER.nanos());
-// From a new configuration: the call is put off, or held back by a budget, or turned away as it is made.
-const _: () = assert!(sum([HELD_BACK_MOVED, ANSWERED, SLACK]) <= TOLD_AFTER_MOVE.nanos());
+// Worst cases for the time from when a change is available until it is received. A call was made just before, and was
+// refused or lost, or its list never ended; the next is answered.
+const _: () = assert!(sum([RETRY_MOST, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
 const _: () =
-    assert!(sum([SETTLE_MOST, RETRY_TURNED_AWAY_LEAST, ANSWERED, SLACK]) <= TOLD_AFTER_MOVE.nanos());
-const _: () = assert!(SETTLE.nanos() <= SETTLE_MOST.nanos() && SETTLE_MOST.nanos() < HELD_BACK_MOVED.nanos());
-// From the last heartbeat: silence, the wait, a call that is answered; or one that is lost, the wait, one that is answered
-// in half of that.
-const _: () = assert!(sum([SILENCE_MOST, RETRY_FIRST, ANSWERED, SLACK]) <= TOLD_AFTER.nanos());
-const _: () = assert!(ANSWERED.nanos() <= ANSWER_SOON.nanos());
+    assert!(sum([CALL_IN, MORE_IN, MAX_RETRY_AFTER_END, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+const _: () = assert!(sum([MAX_DEFERRAL, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+// Or it has queued for the full time and was rejected, with few callers.
+const _: () = assert!(sum([CALL_IN, REJECTED_DELAY_MIN, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+// From a new configuration: the call is delayed to let it settle, deferred by a budget, or rejected as it is made.
+const _: () = assert!(sum([MAX_DEFERRAL_AFTER_MOVE, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER_MOVE.nanos());
+const _: () =
+    assert!(sum([MAX_SETTLE, REJECTED_DELAY_MIN, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER_MOVE.nanos());
+const _: () =
+    assert!(SETTLE.nanos() <= MAX_SETTLE.nanos() && MAX_SETTLE.nanos() < MAX_DEFERRAL_AFTER_MOVE.nanos());
+// From the last heartbeat: the silence, the delay and a call that is answered; or a lost call, another delay and a call that
+// is answered in half of `ANSWER_TIME`.
+const _: () = assert!(sum([SILENCE_MOST, RETRY_FIRST, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+const _: () = assert!(ANSWER_TIME.nanos() <= ANSWER_TIMEOUT_AFTER_SILENCE.nanos());
 const _: () = assert!(
-    sum([SILENCE_MOST, RETRY_FIRST, ANSWER_SOON, RETRY_FIRST]) + ANSWERED.nanos() / 2 <= TOLD_AFTER.nanos()
+    sum([SILENCE_MOST, RETRY_FIRST, ANSWER_TIMEOUT_AFTER_SILENCE, RETRY_FIRST]) + ANSWER_TIME.nanos() / 2
+        <= NOTIFIED_AFTER.nanos()
 );
-// A call that is connected has time left to be answered, and waits grow.
+// A call has time left to be answered once it is connected, and delays grow.
 const _: () = assert!(CONNECT_IN.nanos() < CALL_IN.nanos() && RETRY_FIRST.nanos() <= RETRY_MOST.nanos());
 
 /// Who calls the service that this instance calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Callers {
-    /// Lists are pushed: they come from an agent beside this process, which nobody else calls.
+    /// Lists are pushed: they come from an agent on the same host, which has no other callers.
     pub pushed: bool,
-    /// How many instances follow the same list.
+    /// The number of instances that follow the same list.
     pub instances: f64,
 }
 
-/// How a call ended, or the watch that it had become.
+/// How a call ended, or the watch that it became.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The service has refused it: by an answer that is no list, or by an end before any answer.
+    /// The service rejected it: by a response other than a list, or by a close before any response.
     TurnedAway,
     /// It broke off within a list.
     Torn,
-    /// It never came up, was lost, fell silent, or told what can't be read.
+    /// Its connect failed, or it was lost, fell silent or sent invalid data.
     Lost,
 }
 
-/// When the next call is made.
+/// Computes when the next call is made.
 pub struct Schedule {
     pub callers: Callers,
-    chance: Rand64,
+    random: Rand64,
     /// Calls that have failed since the last list or heartbeat.
     failures: i32,
-    /// The last watch fell silent, and none has been heard since.
+    /// The last watch fell silent, and nothing has been received since.
     fell_silent: bool,
-    /// When the first of the configurations came that have named another address since the last call.
+    /// When the first configuration since the last call changed the address.
     moving_since: Option<Moment>,
-    /// When the next call is made, whether a budget allows it or not.
-    latest: Moment,
+    /// When the next call is made even if no budget allows it.
+    call_by: Moment,
 }
 
 impl Schedule {
-    /// For an instance among these, with a spread of its own.
+    /// A schedule for an instance among these callers, with jitter from its own seed.
     pub fn new(callers: Callers, seed: u64) -> Schedule {
         Schedule {
             callers,
-            chance: Rand64::new(u128::from(seed)),
+            random: Rand64::new(u128::from(seed)),
             failures: 0,
             fell_silent: false,
             moving_since: None,
-            latest: Moment::default(),
+            call_by: Moment::default(),
         }
     }
 
-    /// Calls that have failed since the last list or heartbeat.
+    /// The number of calls that have failed since the last list or heartbeat.
     pub fn failures(&self) -> i32 {
         self.failures
     }
 
-    /// A half to one, by chance.
-    fn half_to_one(&mut self) -> f64 {
-        0.5 + self.chance.rand_float() / 2.0
+    /// A random factor of 0.5 to 1.
+    fn jitter(&mut self) -> f64 {
+        0.5 + self.random.rand_float() / 2.0
     }
 
-    /// A watch is wanted from now on.
+    /// Records that a watch is wanted from now on.
     pub fn wanted(&mut self, now: Moment) {
-        self.latest = now + HELD_BACK_MOVED;
+        self.call_by = now + MAX_DEFERRAL_AFTER_MOVE;
     }
 
-    /// A new configuration names another address. Returns when that is called.
+    /// Records that a new configuration changed the address. Returns when to call the new address.
     pub fn moved(&mut self, now: Moment) -> Moment {
-        // What failed before says nothing of this address.
+        // Earlier failures say nothing about this address.
         (self.failures, self.fell_silent) = (0, false);
         let first = *self.moving_since.get_or_insert(now);
-        self.latest = first + HELD_BACK_MOVED;
+        self.call_by = first + MAX_DEFERRAL_AFTER_MOVE;
         if self.callers.pushed {
             return now;
         }
-        (now + SETTLE * self.half_to_one()).min(first + SETTLE_MOST).max(now)
+        (now + SETTLE * self.jitter()).min(first + MAX_SETTLE).max(now)
     }
 
-    /// A call is made.
+    /// Records that a call is made.
     pub fn called(&mut self) {
         self.moving_since = None;
     }
 
-    /// A budget allows no call now. Returns when that is asked again, or nothing if the call can't be put off any more.
+    /// Defers a call that no budget allows now. Returns when to ask the budget again, or `None` if the call can no longer be
+    /// deferred.
     pub fn held_back(&mut self, now: Moment) -> Option<Moment> {
-        let again = now + RETRY_FIRST * self.half_to_one();
-        (now < self.latest).then(|| again.min(self.latest))
+        let again = now + RETRY_FIRST * self.jitter();
+        (now < self.call_by).then(|| again.min(self.call_by))
     }
 
-    /// The watch has brought something.
+    /// Records that the watch has received data.
     pub fn stirred(&mut self) {
         self.fell_silent = false;
     }
 
-    /// The watch has brought a list or a heartbeat whole.
+    /// Records that the watch has received a complete list or heartbeat.
     pub fn heard(&mut self) {
         self.failures = 0;
     }
 
-    /// A watch that had brought something has fallen silent.
+    /// Records that a watch that had received data has fallen silent.
     pub fn fell_silent(&mut self) {
         self.fell_silent = true;
     }
 
-    /// A call that was made then, or whose watch ended then, has failed. Returns when the next is made.
+    /// Records the failure of a call that started, or whose watch ended, at `since`. Returns when to make the next.
     pub fn failed(&mut self, since: Moment, now: Moment, end: CallEnd) -> Moment {
-        // Danger: a service that comes back would be met by every sidecar at once.
-        let part = self.half_to_one();
-        let grown = RETRY_FIRST * 2.0_f64.powi(self.failures.min(10));
+        // Danger: without jitter, every sidecar would call a recovered service at the same time.
+        let factor = self.jitter();
+        let backoff = RETRY_FIRST * 2.0_f64.powi(self.failures.min(10));
         let next = match end {
-            CallEnd::Torn if self.failures == 0 => now + RETRY_TORN * part,
-            _ if self.callers.pushed => now + grown.min(AGENT_RETRY) * part,
-            CallEnd::TurnedAway => now + grown.min(self.turned_away_most()) * part,
-            // The silence itself has taken most of the time that there is.
-            _ if self.failures == 1 && self.fell_silent => now + RETRY_FIRST * part,
+            CallEnd::Torn if self.failures == 0 => now + MAX_DELAY_AFTER_TRUNCATION * factor,
+            _ if self.callers.pushed => now + backoff.min(AGENT_RETRY) * factor,
+            CallEnd::TurnedAway => now + backoff.min(self.max_rejected_delay()) * factor,
+            // The silence itself has used up most of the time allowed.
+            _ if self.failures == 1 && self.fell_silent => now + RETRY_FIRST * factor,
             _ => {
-                let soon = now + RETRY_SOON * (0.1 + 0.9 * self.chance.rand_float());
-                (since + grown.min(RETRY_MOST) * part).max(soon)
+                let soon = now + MAX_RETRY_AFTER_END * (0.1 + 0.9 * self.random.rand_float());
+                (since + backoff.min(RETRY_MOST) * factor).max(soon)
             }
         };
-        self.latest = next.max(since + HELD_BACK_MOST);
+        self.call_by = next.max(since + MAX_DEFERRAL);
         self.failures += 1;
         next
     }
 
-    fn turned_away_most(&self) -> Span {
-        let pace = TURNED_AWAY_EACH * self.callers.instances;
-        pace.max(RETRY_TURNED_AWAY_LEAST).min(RETRY_TURNED_AWAY_MOST)
+    fn max_rejected_delay(&self) -> Span {
+        let delay = REJECTED_DELAY_PER_INSTANCE * self.callers.instances;
+        delay.max(REJECTED_DELAY_MIN).min(REJECTED_DELAY_MAX)
     }
 
-    /// By when a call that was made then and is up now must be answered.
+    /// The deadline for the answer to a call that was made at `since` and is connected now.
     pub fn answer_by(&self, since: Moment, now: Moment) -> Moment {
         match self.failures {
             failures if self.callers.pushed => {
                 now + (AGENT_ANSWER * 2.0_f64.powi(failures.min(10))).min(AGENT_ANSWER_MOST)
             }
-            // The silence itself is the first failure.
-            1 if self.fell_silent => since + ANSWER_SOON,
+            // The silence itself counts as the first failure.
+            1 if self.fell_silent => since + ANSWER_TIMEOUT_AFTER_SILENCE,
             _ => since + CALL_IN,
         }
     }
