--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use crate::fleet::{self, Agreed};
-use crate::net::{http, list, operator};
+use crate::net::{discovery, http, operator};
 
 /// Descriptors kept for all that is not a connection of a client or an endpoint: standard streams, the poll,
 /// signals, the listener and the list.
@@ -409,8 +409,8 @@
         let connections = connections.min(within);
         if !file["known"].is_null() {
             let known = &file["known"];
-            list::version(known)
-                .and_then(|_| list::entries(known, |_, _, _, _, _| {}))
+            discovery::version(known)
+                .and_then(|_| discovery::entries(known, |_, _, _, _, _| {}))
                 .map_err(|what| format!("known.{what}"))?;
         }
         let fixed = Fixed { name, listen, operator, connections, fleet: member, watches: watched.is_some() };
--- a/crates/sidecar/src/net/deadlines.rs
+++ b/crates/sidecar/src/net/deadlines.rs
@@ -12,7 +12,7 @@
     Wake,
     Client(Key),
     Server(Key),
-    List,
+    Discovery,
     Accept,
     /// The clients are turned away further, for a drain or before leaving.
     Away,
--- a/crates/sidecar/src/net/list.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -10,7 +10,9 @@
 
 use format::{ListScanner, salvage};
 pub use format::{entries, version};
-use schedule::{ALL_IN, CALL_IN, CONNECT_IN, CallEnd, Callers, MORE_IN, SILENCE_MOST, Schedule};
+use schedule::{
+    CALL_TIMEOUT, CONNECT_TIMEOUT, CallEnd, Callers, LIST_STALL_TIMEOUT, LIST_TIMEOUT, MAX_SILENCE, Schedule,
+};
 
 use super::connection::{self, Connection};
 use super::deadlines::Due;
@@ -55,7 +57,7 @@
     }
 }
 
-pub struct List {
+pub struct DiscoveryClient {
     at: SocketAddr,
     /// Slots give each watch a token of its own.
     watches: Slots<Watch>,
@@ -67,7 +69,7 @@
     superseded: Option<Key>,
     watch_wanted: bool,
     /// The number of calls made.
-    pub made: u64,
+    pub calls_made: u64,
     deadline: Option<Moment>,
     /// A call that is due failed for lack of a file descriptor.
     pub lacks_descriptor: bool,
@@ -82,16 +84,16 @@
     salvaged: Vec<Value>,
 }
 
-impl List {
+impl DiscoveryClient {
     /// Follows the list at this address, of which this version is known.
-    pub fn new(at: SocketAddr, version: u64, seed: u64, callers: Callers) -> List {
-        List {
+    pub fn new(at: SocketAddr, version: u64, seed: u64, callers: Callers) -> DiscoveryClient {
+        DiscoveryClient {
             at,
             watches: Slots::default(),
             open: None,
             superseded: None,
             watch_wanted: false,
-            made: 0,
+            calls_made: 0,
             deadline: None,
             lacks_descriptor: false,
             schedule: Schedule::new(callers, seed),
@@ -110,7 +112,7 @@
     /// The discovery metrics.
     pub fn figures(&self, now: Moment) -> Discovery {
         let silent_ms = self.last_heard.map_or(0, |at| now.since(at).nanos() / 1_000_000);
-        Discovery { calls: self.made, version: self.version, silent_ms, ..self.call_counts }
+        Discovery { calls: self.calls_made, version: self.version, silent_ms, ..self.call_counts }
     }
 
     /// Sets who else calls the same service.
@@ -119,12 +121,12 @@
     }
 
     /// Requests a watch, which is opened now if `may` allows it. Returns whether the call failed immediately.
-    pub fn watch(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
+    pub fn start_watch(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
         // A call that waits after a failure is not brought forward: the service may be down.
         if std::mem::replace(&mut self.watch_wanted, true) {
             return false;
         }
-        self.schedule.wanted(turn.now);
+        self.schedule.watch_wanted(turn.now);
         self.last_heard = Some(turn.now);
         self.open_if_allowed(may, turn)
     }
@@ -132,10 +134,10 @@
     /// Opens a watch if that is allowed now. Otherwise it waits as long as after a first failure, without counting as one.
     fn open_if_allowed(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
         let allowed = self.lacks_descriptor || may();
-        match if allowed { None } else { self.schedule.held_back(turn.now) } {
+        match if allowed { None } else { self.schedule.defer(turn.now) } {
             None => self.open(turn),
             Some(again) => {
-                turn.deadlines.shift(Due::List, &mut self.deadline, Some(again));
+                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(again));
                 false
             }
         }
@@ -143,7 +145,7 @@
 
     /// Sets the address of the list. Unread lists from the watch on the previous address are passed to `hear` first. Returns
     /// whether a call to the new address failed immediately.
-    pub fn move_to(
+    pub fn set_address(
         &mut self,
         at: SocketAddr,
         may: impl FnOnce() -> bool,
@@ -166,7 +168,7 @@
         // Danger: another service numbers versions on its own, and would send only changes after the old service's number.
         self.version = 0;
         self.call_counts.moves += 1;
-        let next = self.schedule.moved(turn.now);
+        let next = self.schedule.address_changed(turn.now);
         self.supersede(turn);
         // Danger: what the new address has counts as notified, even if a process that has just started wanted no watch yet.
         self.watch_wanted = true;
@@ -176,7 +178,7 @@
         }
         // A call that was waiting for a descriptor is replaced by the one to the new address.
         self.lacks_descriptor = false;
-        turn.deadlines.shift(Due::List, &mut self.deadline, Some(next));
+        turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(next));
         false
     }
 
@@ -209,7 +211,7 @@
     /// Reads from the call at a previous address and passes its first list to `hear`.
     fn read_superseded(&mut self, key: Key, turn: &mut Turn, hear: &mut impl FnMut(bool, Value)) {
         let Some(watch) = self.watches.get_mut(key) else { return };
-        let in_time = turn.now.since(watch.since) <= CALL_IN + MORE_IN;
+        let in_time = turn.now.since(watch.since) <= CALL_TIMEOUT + LIST_STALL_TIMEOUT;
         match watch.first_list() {
             Ok(None) if in_time => return,
             Ok(Some((complete, list))) if in_time => {
@@ -226,7 +228,7 @@
     }
 
     /// Retries the call that failed for lack of a file descriptor. Returns whether it failed immediately.
-    pub fn call_again(&mut self, turn: &mut Turn) -> bool {
+    pub fn retry_call(&mut self, turn: &mut Turn) -> bool {
         self.open(turn)
     }
 
@@ -234,10 +236,10 @@
         let lacked_before = std::mem::take(&mut self.lacks_descriptor);
         let (at, call) = (self.at, http::watch_call(self.at, self.version));
         let since = turn.now;
-        self.made += 1;
-        self.schedule.called();
+        self.calls_made += 1;
+        self.schedule.call_started();
         let opened = self.watches.insert_with(|key| {
-            let mut connection = Connection::open(at, &turn.registry, Peer::List(key).token())?;
+            let mut connection = Connection::open(at, &turn.registry, Peer::Discovery(key).token())?;
             connection.queue(&[&call], 0);
             let (text, scanner) = (Vec::new(), ListScanner::default());
             Ok::<_, std::io::Error>(Watch {
@@ -257,12 +259,12 @@
             Ok(key) => {
                 log::info!(
                     "list at {at}: call {}, since version {}, after {} failures",
-                    self.made,
+                    self.calls_made,
                     self.version,
                     self.schedule.failures()
                 );
                 self.open = Some(key);
-                turn.deadlines.shift(Due::List, &mut self.deadline, Some(turn.now + CONNECT_IN));
+                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(turn.now + CONNECT_TIMEOUT));
                 false
             }
             // Danger: counted as a failure of the service, each would lengthen the delay before the next call.
@@ -271,7 +273,7 @@
                     log::warn!("list at {at}: {e}");
                 }
                 self.lacks_descriptor = true;
-                turn.deadlines.shift(Due::List, &mut self.deadline, Some(turn.now + DESCRIPTOR_AGAIN));
+                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(turn.now + DESCRIPTOR_AGAIN));
                 false
             }
             Err(e) => self.fail(&e.to_string(), turn),
@@ -286,28 +288,28 @@
         let partial_list = open.and_then(Watch::partial_list);
         let since = open.filter(|watch| !watch.received).map_or(turn.now, |watch| watch.since);
         let end = match open {
-            _ if partial_list.is_some() => CallEnd::Torn,
-            Some(watch) if watch.turned_away => CallEnd::TurnedAway,
+            _ if partial_list.is_some() => CallEnd::Truncated,
+            Some(watch) if watch.turned_away => CallEnd::Rejected,
             _ => CallEnd::Lost,
         };
         let open_since = open.map_or(turn.now, |watch| watch.since);
         self.salvaged = salvage(partial_list.as_deref().unwrap_or_default());
         self.close(turn);
         match end {
-            CallEnd::TurnedAway => self.call_counts.turned_away += 1,
-            CallEnd::Torn => self.call_counts.torn += 1,
+            CallEnd::Rejected => self.call_counts.turned_away += 1,
+            CallEnd::Truncated => self.call_counts.torn += 1,
             CallEnd::Lost => self.call_counts.lost += 1,
         }
-        let next = self.schedule.failed(since, turn.now, end);
+        let next = self.schedule.call_failed(since, turn.now, end);
         let took = turn.now.since(open_since).secs() * 1e3;
         let wait = next.since(turn.now).secs() * 1e3;
         log::warn!(
             "list at {}, version {}: {what}; call {} took {took:.0} ms, next in {wait:.0} ms",
             self.at,
             self.version,
-            self.made
+            self.calls_made
         );
-        turn.deadlines.shift(Due::List, &mut self.deadline, Some(next));
+        turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(next));
         true
     }
 
@@ -317,7 +319,7 @@
         match self.open {
             Some(key) => {
                 if self.watches.get(key).is_some_and(|watch| watch.any_received) {
-                    self.schedule.fell_silent();
+                    self.schedule.watch_fell_silent();
                 }
                 self.fail("timed out with nothing received", turn)
             }
@@ -356,7 +358,7 @@
 
     fn read(&mut self, key: Key, turn: &mut Turn, hear: &mut impl FnMut(bool, Value)) -> Result<(), String> {
         let Some(watch) = self.watches.get(key) else { return Ok(()) };
-        let answer_by = self.schedule.answer_by(watch.since, turn.now);
+        let answer_by = self.schedule.answer_deadline(watch.since, turn.now);
         let Some(watch) = self.watches.get_mut(key) else { return Ok(()) };
         let broken = |e: std::io::Error| e.to_string();
         if !watch.up {
@@ -364,7 +366,7 @@
             if !watch.up {
                 return Ok(());
             }
-            turn.deadlines.shift(Due::List, &mut self.deadline, Some(answer_by));
+            turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(answer_by));
         }
         watch.connection.flush().map_err(broken)?;
         loop {
@@ -389,8 +391,8 @@
             if any {
                 watch.any_received = true;
                 self.last_heard = Some(turn.now);
-                self.schedule.stirred();
-                turn.deadlines.shift(Due::List, &mut self.deadline, Some(turn.now + SILENCE_MOST));
+                self.schedule.data_received();
+                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(turn.now + MAX_SILENCE));
             }
             let whole = watch.scanner.whole(&watch.text);
             for list in serde_json::Deserializer::from_slice(&watch.text[..whole]).into_iter::<Value>() {
@@ -403,11 +405,11 @@
                     log::info!(
                         "list at {}: version {version} received, complete {complete}, {took:.0} ms after call {}",
                         self.at,
-                        self.made
+                        self.calls_made
                     );
                 }
                 (self.version, watch.received) = (version, true);
-                self.schedule.heard();
+                self.schedule.list_received();
                 hear(complete, list);
             }
             watch.drop_processed(whole)?;
@@ -415,7 +417,7 @@
             // delayed for long.
             if any && watch.text.is_empty() {
                 watch.received = true;
-                self.schedule.heard();
+                self.schedule.list_received();
             }
             if let Some(what) = chunk_error {
                 return Err(what.to_string());
@@ -427,11 +429,11 @@
                 // Danger: without a deadline of its own, a list that stalls would be waited for as long as a heartbeat.
                 watch.partial_since = watch.partial().then(|| watch.partial_since.unwrap_or(turn.now));
                 if let Some(since) = watch.partial_since {
-                    let until = (turn.now + MORE_IN).min(since + ALL_IN);
+                    let until = (turn.now + LIST_STALL_TIMEOUT).min(since + LIST_TIMEOUT);
                     // Danger: a first list that trickles in would add to all the time that the call has taken.
-                    let first = watch.since + CALL_IN + MORE_IN;
+                    let first = watch.since + CALL_TIMEOUT + LIST_STALL_TIMEOUT;
                     let until = if watch.received { until } else { until.min(first) };
-                    turn.deadlines.shift(Due::List, &mut self.deadline, Some(until));
+                    turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(until));
                 }
                 return Ok(());
             }
--- a/crates/sidecar/src/net/list/schedule.rs
+++ b/crates/sidecar/src/net/discovery/schedule.rs
@@ -18,10 +18,10 @@
 /// Time limits for a call's connect and for the beginning of its first list, both from the call's start: the service queues
 /// calls for up to 3 s and then rejects them. Danger: a call that is abandoned sooner has queued for nothing, and so would
 /// the next.
-pub const CONNECT_IN: Span = Span::from_millis(1000);
-pub const CALL_IN: Span = Span::from_millis(3200);
+pub const CONNECT_TIMEOUT: Span = Span::from_millis(1000);
+pub const CALL_TIMEOUT: Span = Span::from_millis(3200);
 /// The longest silence of a watch: the heartbeat interval of 2 s, with a margin for a busy service.
-pub const SILENCE_MOST: Span = Span::from_millis(2800);
+pub const MAX_SILENCE: Span = Span::from_millis(2800);
 /// Time limit for answering the first call after such a silence. Danger: changes that a silent watch misses count as notified
 /// 6 s after it fell silent, so if that call is lost there must be time for another.
 const ANSWER_TIMEOUT_AFTER_SILENCE: Span = Span::from_millis(1500);
@@ -29,25 +29,25 @@
 /// longest delay between two calls. Danger: what the agent receives when its service recovers counts as notified at once,
 /// whether a call to the agent is open or not, and a drain may have to take effect in well under a second. Short delays are
 /// affordable because the agent has no other callers.
-pub const AGENT_ANSWER: Span = Span::from_millis(400);
-pub const AGENT_ANSWER_MOST: Span = Span::from_millis(1000);
-pub const AGENT_RETRY: Span = Span::from_millis(100);
+pub const AGENT_ANSWER_TIMEOUT: Span = Span::from_millis(400);
+pub const MAX_AGENT_ANSWER_TIMEOUT: Span = Span::from_millis(1000);
+pub const MAX_AGENT_RETRY: Span = Span::from_millis(100);
 /// Time limits for more of a list that has begun, and for all of it: a list is written in one go, and its changes count as
 /// notified when it was written. Danger: a list that trickles in would otherwise be waited for without end.
-pub const MORE_IN: Span = Span::from_millis(300);
-pub const ALL_IN: Span = Span::from_millis(2000);
+pub const LIST_STALL_TIMEOUT: Span = Span::from_millis(300);
+pub const LIST_TIMEOUT: Span = Span::from_millis(2000);
 /// The longest delay before a watch is reopened that broke off within a list: the service is up and has a change to
 /// send.
 const MAX_DELAY_AFTER_TRUNCATION: Span = Span::from_millis(60);
 /// The delay from the start of a failed call, or from a watch's end, to the next call: doubled with each further failure up
 /// to the maximum, and multiplied by a random factor of 0.5 to 1. Danger: counted from the call's end, the delay came on top
 /// of all the time that the call took.
-pub const RETRY_FIRST: Span = Span::from_millis(400);
-pub const RETRY_MOST: Span = Span::from_millis(4000);
-/// The maximum delay after a call that the service has rejected, from the call's end: `REJECTED_DELAY_PER_INSTANCE` for each instance
-/// that follows the same list, clamped to these two. Such a service is down, or is up with too many callers. Danger: many
-/// callers that retry soon keep it from answering any of them. Danger: with few callers, a delay that grows to seconds
-/// exceeds the time within which a change must be received.
+pub const FIRST_RETRY: Span = Span::from_millis(400);
+pub const MAX_RETRY: Span = Span::from_millis(4000);
+/// The maximum delay after a call that the service has rejected, from the call's end: `REJECTED_DELAY_PER_INSTANCE` for each
+/// instance that follows the same list, clamped to these two. Such a service is down, or is up with too many callers.
+/// Danger: many callers that retry soon keep it from answering any of them. Danger: with few callers, a delay that grows to
+/// seconds exceeds the time within which a change must be received.
 pub const REJECTED_DELAY_MIN: Span = Span::from_millis(800);
 pub const REJECTED_DELAY_MAX: Span = Span::from_millis(5000);
 const REJECTED_DELAY_PER_INSTANCE: Span = Span::from_millis(100);
@@ -77,12 +77,14 @@
 
 // Worst cases for the time from when a change is available until it is received. A call was made just before, and was
 // refused or lost, or its list never ended; the next is answered.
-const _: () = assert!(sum([RETRY_MOST, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
-const _: () =
-    assert!(sum([CALL_IN, MORE_IN, MAX_RETRY_AFTER_END, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+const _: () = assert!(sum([MAX_RETRY, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+const _: () = assert!(
+    sum([CALL_TIMEOUT, LIST_STALL_TIMEOUT, MAX_RETRY_AFTER_END, ANSWER_TIME, SLACK])
+        <= NOTIFIED_AFTER.nanos()
+);
 const _: () = assert!(sum([MAX_DEFERRAL, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
 // Or it has queued for the full time and was rejected, with few callers.
-const _: () = assert!(sum([CALL_IN, REJECTED_DELAY_MIN, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+const _: () = assert!(sum([CALL_TIMEOUT, REJECTED_DELAY_MIN, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
 // From a new configuration: the call is delayed to let it settle, deferred by a budget, or rejected as it is made.
 const _: () = assert!(sum([MAX_DEFERRAL_AFTER_MOVE, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER_MOVE.nanos());
 const _: () =
@@ -91,14 +93,15 @@
     assert!(SETTLE.nanos() <= MAX_SETTLE.nanos() && MAX_SETTLE.nanos() < MAX_DEFERRAL_AFTER_MOVE.nanos());
 // From the last heartbeat: the silence, the delay and a call that is answered; or a lost call, another delay and a call that
 // is answered in half of `ANSWER_TIME`.
-const _: () = assert!(sum([SILENCE_MOST, RETRY_FIRST, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
+const _: () = assert!(sum([MAX_SILENCE, FIRST_RETRY, ANSWER_TIME, SLACK]) <= NOTIFIED_AFTER.nanos());
 const _: () = assert!(ANSWER_TIME.nanos() <= ANSWER_TIMEOUT_AFTER_SILENCE.nanos());
 const _: () = assert!(
-    sum([SILENCE_MOST, RETRY_FIRST, ANSWER_TIMEOUT_AFTER_SILENCE, RETRY_FIRST]) + ANSWER_TIME.nanos() / 2
+    sum([MAX_SILENCE, FIRST_RETRY, ANSWER_TIMEOUT_AFTER_SILENCE, FIRST_RETRY]) + ANSWER_TIME.nanos() / 2
         <= NOTIFIED_AFTER.nanos()
 );
 // A call has time left to be answered once it is connected, and delays grow.
-const _: () = assert!(CONNECT_IN.nanos() < CALL_IN.nanos() && RETRY_FIRST.nanos() <= RETRY_MOST.nanos());
+const _: () =
+    assert!(CONNECT_TIMEOUT.nanos() < CALL_TIMEOUT.nanos() && FIRST_RETRY.nanos() <= MAX_RETRY.nanos());
 
 /// Who calls the service that this instance calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -113,9 +116,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// The service rejected it: by a response other than a list, or by a close before any response.
-    TurnedAway,
+    Rejected,
     /// It broke off within a list.
-    Torn,
+    Truncated,
     /// Its connect failed, or it was lost, fell silent or sent invalid data.
     Lost,
 }
@@ -158,12 +161,12 @@
     }
 
     /// Records that a watch is wanted from now on.
-    pub fn wanted(&mut self, now: Moment) {
+    pub fn watch_wanted(&mut self, now: Moment) {
         self.call_by = now + MAX_DEFERRAL_AFTER_MOVE;
     }
 
     /// Records that a new configuration changed the address. Returns when to call the new address.
-    pub fn moved(&mut self, now: Moment) -> Moment {
+    pub fn address_changed(&mut self, now: Moment) -> Moment {
         // Earlier failures say nothing about this address.
         (self.failures, self.fell_silent) = (0, false);
         let first = *self.moving_since.get_or_insert(now);
@@ -175,46 +178,46 @@
     }
 
     /// Records that a call is made.
-    pub fn called(&mut self) {
+    pub fn call_started(&mut self) {
         self.moving_since = None;
     }
 
     /// Defers a call that no budget allows now. Returns when to ask the budget again, or `None` if the call can no longer be
     /// deferred.
-    pub fn held_back(&mut self, now: Moment) -> Option<Moment> {
-        let again = now + RETRY_FIRST * self.jitter();
+    pub fn defer(&mut self, now: Moment) -> Option<Moment> {
+        let again = now + FIRST_RETRY * self.jitter();
         (now < self.call_by).then(|| again.min(self.call_by))
     }
 
     /// Records that the watch has received data.
-    pub fn stirred(&mut self) {
+    pub fn data_received(&mut self) {
         self.fell_silent = false;
     }
 
     /// Records that the watch has received a complete list or heartbeat.
-    pub fn heard(&mut self) {
+    pub fn list_received(&mut self) {
         self.failures = 0;
     }
 
     /// Records that a watch that had received data has fallen silent.
-    pub fn fell_silent(&mut self) {
+    pub fn watch_fell_silent(&mut self) {
         self.fell_silent = true;
     }
 
     /// Records the failure of a call that started, or whose watch ended, at `since`. Returns when to make the next.
-    pub fn failed(&mut self, since: Moment, now: Moment, end: CallEnd) -> Moment {
+    pub fn call_failed(&mut self, since: Moment, now: Moment, end: CallEnd) -> Moment {
         // Danger: without jitter, every sidecar would call a recovered service at the same time.
         let factor = self.jitter();
-        let backoff = RETRY_FIRST * 2.0_f64.powi(self.failures.min(10));
+        let backoff = FIRST_RETRY * 2.0_f64.powi(self.failures.min(10));
         let next = match end {
-            CallEnd::Torn if self.failures == 0 => now + MAX_DELAY_AFTER_TRUNCATION * factor,
-            _ if self.callers.pushed => now + backoff.min(AGENT_RETRY) * factor,
-            CallEnd::TurnedAway => now + backoff.min(self.max_rejected_delay()) * factor,
+            CallEnd::Truncated if self.failures == 0 => now + MAX_DELAY_AFTER_TRUNCATION * factor,
+            _ if self.callers.pushed => now + backoff.min(MAX_AGENT_RETRY) * factor,
+            CallEnd::Rejected => now + backoff.min(self.max_rejected_delay()) * factor,
             // The silence itself has used up most of the time allowed.
-            _ if self.failures == 1 && self.fell_silent => now + RETRY_FIRST * factor,
+            _ if self.failures == 1 && self.fell_silent => now + FIRST_RETRY * factor,
             _ => {
                 let soon = now + MAX_RETRY_AFTER_END * (0.1 + 0.9 * self.random.rand_float());
-                (since + backoff.min(RETRY_MOST) * factor).max(soon)
+                (since + backoff.min(MAX_RETRY) * factor).max(soon)
             }
         };
         self.call_by = next.max(since + MAX_DEFERRAL);
@@ -228,14 +231,14 @@
     }
 
     /// The deadline for the answer to a call that was made at `since` and is connected now.
-    pub fn answer_by(&self, since: Moment, now: Moment) -> Moment {
+    pub fn answer_deadline(&self, since: Moment, now: Moment) -> Moment {
         match self.failures {
             failures if self.callers.pushed => {
-                now + (AGENT_ANSWER * 2.0_f64.powi(failures.min(10))).min(AGENT_ANSWER_MOST)
+                now + (AGENT_ANSWER_TIMEOUT * 2.0_f64.powi(failures.min(10))).min(MAX_AGENT_ANSWER_TIMEOUT)
             }
             // The silence itself counts as the first failure.
             1 if self.fell_silent => since + ANSWER_TIMEOUT_AFTER_SILENCE,
-            _ => since + CALL_IN,
+            _ => since + CALL_TIMEOUT,
         }
     }
 }
--- a/crates/sidecar/src/net/list/tests.rs
+++ b/crates/sidecar/src/net/discovery/tests.rs
@@ -2,7 +2,7 @@
 
 use appledyke::units::Span;
 
-use super::schedule::{AGENT_ANSWER_MOST, AGENT_RETRY, RETRY_MOST};
+use super::schedule::{MAX_AGENT_ANSWER_TIMEOUT, MAX_AGENT_RETRY, MAX_RETRY};
 use super::*;
 
 /// A single caller, with lists pushed by an agent or not.
@@ -16,22 +16,22 @@
     let now = Moment::from_nanos(0);
     let mut turn = Turn { now, registry, deadlines: Default::default(), room: 0 };
     let unused_address = "127.0.0.1:1".parse().unwrap();
-    let mut lists = [1, 2].map(|seed| List::new(unused_address, 0, seed, callers(false)));
+    let mut lists = [1, 2].map(|seed| DiscoveryClient::new(unused_address, 0, seed, callers(false)));
     let mut last = Span::ZERO;
     for _ in 0..20 {
         let [one, other] = lists.each_mut().map(|list| {
             assert!(list.fail("test failure", &mut turn));
             list.deadline.unwrap().since(now)
         });
-        assert!(one != other && one.max(other) <= RETRY_MOST);
+        assert!(one != other && one.max(other) <= MAX_RETRY);
         last = one.min(other);
     }
-    assert!(last >= RETRY_MOST * 0.5);
+    assert!(last >= MAX_RETRY * 0.5);
 }
 
 /// Advances the clock from deadline to deadline until the list has been called `times` more times.
 fn advance_calls(
-    list: &mut List,
+    list: &mut DiscoveryClient,
     turn: &mut Turn,
     poll: &mut mio::Poll,
     times: usize,
@@ -52,7 +52,7 @@
 }
 
 /// Waits until the call is connected.
-fn await_connect(list: &mut List, turn: &mut Turn, poll: &mut mio::Poll) {
+fn await_connect(list: &mut DiscoveryClient, turn: &mut Turn, poll: &mut mio::Poll) {
     let mut events = mio::Events::with_capacity(8);
     let key = list.open.unwrap();
     while !list.watches.get(key).unwrap().up {
@@ -61,14 +61,16 @@
     }
 }
 
-fn start_watch(pushed: bool) -> (List, Turn, mio::Poll, std::net::TcpListener, std::net::TcpStream) {
+fn start_watch(
+    pushed: bool,
+) -> (DiscoveryClient, Turn, mio::Poll, std::net::TcpListener, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut poll = mio::Poll::new().unwrap();
     let registry = poll.registry().try_clone().unwrap();
     let now = Moment::from_nanos(1);
     let mut turn = Turn { now, registry, deadlines: Default::default(), room: 0 };
-    let mut list = List::new(listener.local_addr().unwrap(), 0, 1, callers(pushed));
-    list.watch(|| true, &mut turn);
+    let mut list = DiscoveryClient::new(listener.local_addr().unwrap(), 0, 1, callers(pushed));
+    list.start_watch(|| true, &mut turn);
     await_connect(&mut list, &mut turn, &mut poll);
     let (mut peer, _) = listener.accept().unwrap();
     std::io::Write::write_all(&mut peer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
@@ -93,7 +95,7 @@
     // Later calls have the full time that a busy service may take.
     let second = turn.now;
     advance_calls(&mut list, &mut turn, &mut poll, 1, &listener);
-    assert!(turn.now.since(second) > CALL_IN);
+    assert!(turn.now.since(second) > CALL_TIMEOUT);
 }
 
 /// Danger: an agent that was down would be called again only seconds after its recovery, while what it has counts as
@@ -105,6 +107,10 @@
     for _ in 0..20 {
         let before = turn.now;
         advance_calls(&mut list, &mut turn, &mut poll, 1, &listener);
-        assert!(turn.now.since(before) <= AGENT_ANSWER_MOST + AGENT_RETRY, "{:?}", turn.now.since(before));
+        assert!(
+            turn.now.since(before) <= MAX_AGENT_ANSWER_TIMEOUT + MAX_AGENT_RETRY,
+            "{:?}",
+            turn.now.since(before)
+        );
     }
 }
--- a/crates/sidecar/src/net/slots.rs
+++ b/crates/sidecar/src/net/slots.rs
@@ -17,7 +17,7 @@
     Operators,
     Client(Key),
     Server(Key),
-    List(Key),
+    Discovery(Key),
     Operator(Key),
     /// The fleet's daemon.
     Fleet(Key),
@@ -54,7 +54,7 @@
             Peer::Operators => Token(2),
             Peer::Client(key) => key.token(1),
             Peer::Server(key) => key.token(2),
-            Peer::List(key) => key.token(3),
+            Peer::Discovery(key) => key.token(3),
             Peer::Operator(key) => key.token(4),
             Peer::Fleet(key) => key.token(5),
         }
@@ -69,7 +69,7 @@
             0 => Peer::Signal,
             1 => Peer::Client(key),
             2 => Peer::Server(key),
-            3 => Peer::List(key),
+            3 => Peer::Discovery(key),
             4 => Peer::Operator(key),
             _ => Peer::Fleet(key),
         }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -27,9 +27,9 @@
 use crate::net::clients::{ClientEvent, ClientState, Clients};
 use crate::net::connection::AttemptResult;
 use crate::net::deadlines::{Deadlines, Due};
+use crate::net::discovery::schedule::Callers;
+use crate::net::discovery::{self, DiscoveryClient};
 use crate::net::http::{Frame, Length};
-use crate::net::list::schedule::Callers;
-use crate::net::list::{self, List};
 use crate::net::operator::{self, Call, Operators};
 use crate::net::servers::{ActiveAttempt, EndedAttempt, OutgoingRequest, PROBE, Servers};
 use crate::net::slots::{Key, Peer, Slots};
@@ -104,7 +104,7 @@
     places: Places,
     clients: Clients,
     servers: Servers,
-    list: List,
+    list: DiscoveryClient,
     /// Clients whose next request may have come already.
     look_again: Vec<Key>,
     /// Connections with more to pass on than a turn may take up: of clients, and of endpoints.
@@ -189,7 +189,7 @@
         let operators =
             operator.map(|at| Operators::listen(at, &mut turn).map_err(|e| format!("operator: {at}: {e}")));
         let operators = operators.transpose()?;
-        let known = list::version(&launch.known).ok();
+        let known = discovery::version(&launch.known).ok();
         let callers = callers(&launch.terms);
         let unasked = callers.pushed;
         let mut sidecar = Sidecar {
@@ -207,7 +207,12 @@
             places,
             clients,
             servers: Servers::new(launch.connection_idle, launch.connect_timeout),
-            list: List::new(launch.discovery, known.map_or(0, |(version, _)| version), launch.seed, callers),
+            list: DiscoveryClient::new(
+                launch.discovery,
+                known.map_or(0, |(version, _)| version),
+                launch.seed,
+                callers,
+            ),
             look_again: Vec::new(),
             pass_again: Vec::new(),
             operators,
@@ -340,7 +345,7 @@
             Peer::Signal => self.told(),
             Peer::Client(key) => self.client_ready(key),
             Peer::Server(key) => self.server_ready(key),
-            Peer::List(key) => self.list_ready(key),
+            Peer::Discovery(key) => self.list_ready(key),
             Peer::Fleet(key) => self.fleet_ready(key),
             // These come first in a turn.
             Peer::Operators | Peer::Operator(_) => {}
@@ -425,7 +430,7 @@
                 let ended = self.servers.timed_out(key, turn);
                 self.ended(key, ended);
             }
-            Due::List => {
+            Due::Discovery => {
                 let may = may_call_list(&mut self.fleet, &self.clock);
                 let failed = self.list.timed_out(may, turn);
                 let failed = self.call_list_again() || failed;
@@ -469,7 +474,7 @@
         }
         states.open();
         balancer.list_begin(complete);
-        let told = list::entries(list, |name, address, (zone, cell, kind), standing, started| {
+        let told = discovery::entries(list, |name, address, (zone, cell, kind), standing, started| {
             let endpoint = endpoints.index(name);
             let (zone, kind) = (places.zones.index(zone), places.kinds.index(kind));
             let mut entry =
@@ -513,7 +518,7 @@
 
     fn subscribe(&mut self) {
         let may = may_call_list(&mut self.fleet, &self.clock);
-        let failed = self.list.watch(may, &mut self.turn);
+        let failed = self.list.start_watch(may, &mut self.turn);
         if self.call_list_again() || failed {
             self.balancer.list_failed(self.turn.now);
         }
@@ -522,6 +527,6 @@
     /// A call to the list for which there was no descriptor is made on that of an idle connection. Returns whether it
     /// failed at once.
     fn call_list_again(&mut self) -> bool {
-        self.list.lacks_descriptor && self.make_room() && self.list.call_again(&mut self.turn)
+        self.list.lacks_descriptor && self.make_room() && self.list.retry_call(&mut self.turn)
     }
 }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -81,7 +81,7 @@
         let may = may_call_list(&mut self.fleet, &self.clock);
         let mut lists = Vec::new();
         let hear = |complete, list| lists.push((complete, list));
-        let failed = self.list.move_to(launch.discovery, may, &mut self.turn, hear);
+        let failed = self.list.set_address(launch.discovery, may, &mut self.turn, hear);
         lists.into_iter().for_each(|(complete, list)| self.listed(complete, &list));
         let failed = self.call_list_again() || failed;
         self.list_failed(failed);
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use appledyke::units::{Moment, Span};
-use appledyke_sidecar::net::list::schedule::{CALL_IN, CallEnd, Callers, Schedule};
+use appledyke_sidecar::net::discovery::schedule::{CALL_TIMEOUT, CallEnd, Callers, Schedule};
 use oorandom::Rand64;
 
 /// What the service at a newly configured address has counts as told so long after the configuration.
@@ -112,7 +112,7 @@
             self.now = at;
             match event {
                 Event::Move(caller) => {
-                    let next = self.callers[caller].schedule.moved(at);
+                    let next = self.callers[caller].schedule.address_changed(at);
                     (self.callers[caller].moved, self.callers[caller].heard) = (at, None);
                     self.callers[caller].call = None;
                     self.put_off(caller, next);
@@ -130,7 +130,7 @@
     /// The watch of a caller that has one ends.
     fn watch_breaks(&mut self, caller: usize) {
         if self.callers[caller].heard.take().is_some() {
-            let next = self.callers[caller].schedule.failed(self.now, self.now, CallEnd::Lost);
+            let next = self.callers[caller].schedule.call_failed(self.now, self.now, CallEnd::Lost);
             self.put_off(caller, next);
         }
     }
@@ -138,10 +138,10 @@
     fn call(&mut self, caller: usize) {
         self.made += 1;
         let call = Call { id: self.made, caller, since: self.now };
-        self.callers[caller].schedule.called();
+        self.callers[caller].schedule.call_started();
         self.callers[caller].call = Some(call.id);
         let id = call.id;
-        self.at(self.now + CALL_IN, Event::GiveUpReason(caller, id, self.now));
+        self.at(self.now + CALL_TIMEOUT, Event::GiveUpReason(caller, id, self.now));
         if self.down_at <= self.now && self.now < self.back_at {
             self.hanging.push(call);
             self.at(self.now + DOWN_HANG, Event::Refused(id));
@@ -169,7 +169,7 @@
         let caller = &mut self.callers[call.caller];
         if caller.call == Some(call.id) {
             caller.call = None;
-            caller.schedule.heard();
+            caller.schedule.list_received();
             caller.heard.get_or_insert(self.now);
         }
         self.work();
@@ -187,14 +187,14 @@
 
     /// A call was turned away.
     fn failed(&mut self, call: Call) {
-        self.end(call.caller, call.id, call.since, CallEnd::TurnedAway);
+        self.end(call.caller, call.id, call.since, CallEnd::Rejected);
     }
 
     /// A call has ended; its caller may have gone before.
     fn end(&mut self, caller: usize, id: u64, since: Moment, end: CallEnd) {
         if self.callers[caller].call == Some(id) {
             self.callers[caller].call = None;
-            let next = self.callers[caller].schedule.failed(since, self.now, end);
+            let next = self.callers[caller].schedule.call_failed(since, self.now, end);
             self.put_off(caller, next);
         }
     }
--- a/crates/sidecar/tests/list_calls.rs
+++ b/crates/sidecar/tests/list_calls.rs
@@ -8,8 +8,8 @@
 
 use appledyke::units::{Moment, Span};
 use appledyke_sidecar::net::Turn;
-use appledyke_sidecar::net::list::List;
-use appledyke_sidecar::net::list::schedule::Callers;
+use appledyke_sidecar::net::discovery::DiscoveryClient;
+use appledyke_sidecar::net::discovery::schedule::Callers;
 use appledyke_sidecar::net::slots::Peer;
 use oorandom::Rand64;
 
@@ -80,7 +80,7 @@
 
 /// One list before a service of its own.
 struct World {
-    list: List,
+    list: DiscoveryClient,
     turn: Turn,
     poll: mio::Poll,
     at: SocketAddr,
@@ -115,7 +115,7 @@
         let registry = poll.registry().try_clone().unwrap();
         let turn = Turn { now: moment(Span::ZERO), registry, deadlines: Default::default(), room: 0 };
         World {
-            list: List::new(at, 0, seed, Callers { pushed: false, instances }),
+            list: DiscoveryClient::new(at, 0, seed, Callers { pushed: false, instances }),
             turn,
             poll,
             at,
@@ -187,7 +187,7 @@
             self.poll.poll(&mut events, Some(Duration::from_millis(5))).unwrap();
             let mut there = false;
             for event in &events {
-                let Peer::List(key) = Peer::of(event.token()) else { unreachable!() };
+                let Peer::Discovery(key) = Peer::of(event.token()) else { unreachable!() };
                 let (now, back) = (self.turn.now, moment(BACK));
                 let heard = &mut self.heard;
                 let hear = |_, _| {
@@ -212,13 +212,13 @@
             (How::Refused, None) | (_, Some(_)) => {}
             (_, None) => self.listener = Some(TcpListener::bind(self.at).unwrap()),
         }
-        let made = self.list.made;
+        let made = self.list.calls_made;
         match begin {
-            Begin::Watch => self.list.watch(|| may, &mut self.turn),
+            Begin::Watch => self.list.start_watch(|| may, &mut self.turn),
             Begin::Due => self.list.timed_out(|| may, &mut self.turn),
-            Begin::Moved => self.list.move_to(self.at, || may, &mut self.turn, |_, _| {}),
+            Begin::Moved => self.list.set_address(self.at, || may, &mut self.turn, |_, _| {}),
         };
-        if self.list.made == made {
+        if self.list.calls_made == made {
             return;
         }
         self.starts.push(self.turn.now);
@@ -481,8 +481,8 @@
         world.run(moment(Span::from_millis(1300)), |_| How::Hung, || true);
         assert_eq!(world.starts.len(), 1, "seed {seed}");
         // The wish that follows finds it made.
-        assert!(!world.list.watch(|| true, &mut world.turn));
-        assert_eq!(world.list.made, 1);
+        assert!(!world.list.start_watch(|| true, &mut world.turn));
+        assert_eq!(world.list.calls_made, 1);
     }
 }
 
@@ -505,7 +505,12 @@
         }
         let mut heard = Vec::new();
         let other = "127.0.0.1:1".parse().unwrap();
-        world.list.move_to(other, || true, &mut world.turn, |complete, list| heard.push((complete, list)));
+        world.list.set_address(
+            other,
+            || true,
+            &mut world.turn,
+            |complete, list| heard.push((complete, list)),
+        );
         assert_eq!(heard.len(), usize::from(whole));
         let salvaged = world.list.take_salvaged();
         assert_eq!(salvaged.is_some_and(|list| list["endpoints"][0]["name"] == "e1"), !whole);
@@ -537,7 +542,7 @@
         while heard.is_empty() {
             world.poll.poll(&mut events, Some(Duration::from_secs(5))).unwrap();
             for event in &events {
-                let Peer::List(key) = Peer::of(event.token()) else { unreachable!() };
+                let Peer::Discovery(key) = Peer::of(event.token()) else { unreachable!() };
                 world.list.ready(key, &mut world.turn, |_, list| heard.push(list["index"].as_u64().unwrap()));
             }
         }
