--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -43,12 +43,12 @@
 const DRAIN_PARTIAL_TIMEOUT: Span = Span::from_millis(1200);
 /// How long a new connection, or one with a partial request, is protected from eviction: the rest is likely on its way.
 const EVICTION_GRACE: Span = Span::from_millis(1000);
-/// Once connections have queued_for in the backlog for all of `EVICTION_GRACE`, only those with input within this time are protected.
+/// Once connections have waited in the backlog for all of `EVICTION_GRACE`, only those with input within this time are protected.
 /// Danger: a crowd of clients that stay silent, or stop within a head, would otherwise be replaced only once per `EVICTION_GRACE`, and
 /// a health check would wait behind all of them. Evicting by age alone would hit slow writers first, so no connection is
 /// evicted for a new client unless it has paused for this long.
 const MAX_PAUSE: Span = Span::from_millis(100);
-/// Time limit for answering a health check behind a full backlog: the shortest time within which its response must be body_seen
+/// Time limit for answering a health check behind a full backlog: the shortest time within which its response must be seen
 /// after a drain begins. The limit holds from this many client connections on: what a limit of 256 descriptors, the lowest
 /// expected, leaves to clients while two processes share it.
 const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(4000);
@@ -100,7 +100,7 @@
     remaining_body: Option<Body>,
     /// Since when, during this request, the socket may hold more input than the buffer takes.
     unread_since: Option<Moment>,
-    /// How long the first request may have queued_for in the backlog. Danger: a client's deadline runs from the last byte that it
+    /// How long the first request may have waited in the backlog. Danger: a client's deadline runs from the last byte that it
     /// sent, so without this an attempt would tell its endpoint more remaining time than there is.
     queued_for: Span,
     /// Input length at the last look at a body, and the deadline for more of it.
@@ -138,7 +138,7 @@
     },
     /// There may be unread input that no event will report, so the connection has to be looked at again.
     InputPending,
-    /// The request's body stalled, so the request is to be has_answered with a timeout.
+    /// The request's body stalled, so the request is to be answered with a timeout.
     BodyTimedOut {
         request: usize,
     },
@@ -201,7 +201,7 @@
         if path == "/healthz" {
             return if verb == "GET" { Ok(Parsed::Health) } else { Err(Bad(405)) };
         }
-        let text = |name| http::only(request.headers, name);
+        let text = |name| http::single_header(request.headers, name);
         let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
         let name = text("X-Lane")?.unwrap_or(first);
         let method = terms.place(name).filter(|_| name == first).ok_or(Bad(404))?;
@@ -442,7 +442,7 @@
         self.slots.get_mut(key).into_iter().for_each(|client| client.connection.ended = true);
     }
 
-    /// Whether the client is still connected, to be parse_head before an attempt starts. Danger: a close behind more input than the
+    /// Whether the client is still connected, checked before an attempt starts. Danger: a close behind more input than the
     /// socket's buffer takes raises no event. A streamed request is read on anyway, up to the close.
     pub fn check_connected(&mut self, key: Key, within: Span, now: Moment) -> ClientState {
         let Some(client) = self.slots.get_mut(key) else { return ClientState::Disconnected };
@@ -817,7 +817,7 @@
         self.failing_health_checks = true;
     }
 
-    /// Passes health checks and keeps_alive connections open again.
+    /// Passes health checks and keeps connections open again.
     pub fn resume(&mut self) {
         (self.failing_health_checks, self.draining) = (false, false);
     }
@@ -969,7 +969,7 @@
         assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= DRAIN_IDLE_TIMEOUT));
     }
 
-    /// Danger: input beyond the read limit raises no event, and was left unread when all requests before it were has_answered
+    /// Danger: input beyond the read limit raises no event, and was left unread when all requests before it were answered
     /// without an endpoint.
     #[test]
     fn pipelined_requests_beyond_the_read_limit_are_all_answered_without_an_endpoint() {
--- a/crates/sidecar/src/net/http.rs
+++ b/crates/sidecar/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 in a buffer: where a message ends, what its head says, and the heads that are written.
+//! HTTP/1.1 in a buffer: finds where messages end, reads their heads, and writes heads.
 
 use std::io::Write;
 
@@ -7,18 +7,18 @@
 
 use super::body::{Body, LINE_MOST, TRAILERS_MOST};
 
-/// Bytes that a head may have, and a body that is held whole.
+/// The maximum size in bytes of a head, and of a body that is buffered as a whole.
 pub const HEAD_MOST: usize = 8192;
 pub const BODY_MOST: usize = 64 * 1024;
-/// Bytes that a body may have that passes through: what operators say, 32 MB, and some more.
+/// The maximum size in bytes of a body that is streamed: the 32 MB that operators specify, with a margin.
 pub const LONG_MOST: u64 = 40 << 20;
-/// Bytes that a message may take in a buffer: chunks have frames of their own.
+/// The maximum size in bytes of a message in a buffer, with a margin for chunk framing.
 pub const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + 4096;
-/// Headers that a message may have: several times what is usual, and few enough for the stack.
-const HEADERS_MOST: usize = 64;
+/// The maximum number of headers in a message: several times the usual number, and few enough for the stack.
+const MAX_HEADERS: usize = 64;
 
-/// Headers that concern one connection only, or that are written anew.
-const OWN: [&str; 10] = [
+/// Headers that apply to one connection only, or that are generated again.
+const HOP_BY_HOP: [&str; 10] = [
     "Connection",
     "Keep-Alive",
     "Proxy-Connection",
@@ -31,14 +31,14 @@
     "Expect",
 ];
 
-/// A whole message at the front of a buffer: its head, then its body, both contiguous.
+/// A complete message at the front of a buffer: its head, then its body, both contiguous.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame {
     pub head: usize,
     pub body: usize,
-    /// What to consume once it is done with.
+    /// The number of bytes to consume once it has been processed.
     pub end: usize,
-    /// The connection may carry another after it.
+    /// The connection may carry another message after it.
     pub keep: bool,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// What is wrong with a message, as the status that tells a client.
+/// An invalid message, as the status code to send to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bad(pub u16);
 
@@ -71,8 +71,8 @@
     std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
-/// What a header says that a message may have once, and as text.
-pub fn only<'a>(headers: &'a [Header<'a>], name: &str) -> Result<Option<&'a str>, Bad> {
+/// The value of a header that may occur only once and must be text.
+pub fn single_header<'a>(headers: &'a [Header<'a>], name: &str) -> Result<Option<&'a str>, Bad> {
     let mut found = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
     match (found.next(), found.next()) {
         (None, _) => Ok(None),
@@ -81,21 +81,21 @@
     }
 }
 
-fn lists(headers: &[Header], name: &str, item: &str) -> bool {
+fn header_contains(headers: &[Header], name: &str, item: &str) -> bool {
     headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name)).any(|h| {
         let value = std::str::from_utf8(h.value).unwrap_or("");
         value.split(',').any(|part| part.trim().eq_ignore_ascii_case(item))
     })
 }
 
-fn keeps(headers: &[Header], version: Option<u8>) -> bool {
+fn keeps_alive(headers: &[Header], version: Option<u8>) -> bool {
     match version {
-        Some(1) => !lists(headers, "Connection", "close"),
-        _ => lists(headers, "Connection", "keep-alive"),
+        Some(1) => !header_contains(headers, "Connection", "close"),
+        _ => header_contains(headers, "Connection", "keep-alive"),
     }
 }
 
-/// How the body is framed. Danger: two lengths that differ would let one message hide another.
+/// How the body is framed. Danger: with conflicting lengths one message could smuggle in another.
 fn framing(headers: &[Header], without: Framing) -> Result<Framing, Bad> {
     let mut lengths = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("Content-Length"));
     let mut encodings = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("Transfer-Encoding"));
@@ -118,28 +118,28 @@
     }
 }
 
-/// What has come of a chunked body.
+/// What a buffer holds of a chunked body.
 enum Chunked {
     Partial,
-    /// More than is held whole.
+    /// More than is buffered as a whole.
     Long,
     /// Where the data of each chunk starts, and its size; and where they end.
     Whole(Vec<(usize, usize)>, usize),
 }
 
-/// The chunks from `at` on.
+/// Parses the chunks from `at` on.
 fn chunks(buffer: &[u8], mut at: usize) -> Result<Chunked, Bad> {
     let (mut found, mut total) = (Vec::new(), 0);
     loop {
         let (line, size) = match httparse::parse_chunk_size(&buffer[at..]).map_err(|_| MALFORMED)? {
             Status::Complete(chunk) => chunk,
-            // Danger: what never ends would pass for long, and no other endpoint could answer any more.
+            // Danger: an endless size line would be streamed as a long body, and no other endpoint could answer any more.
             Status::Partial if buffer.len() - at > LINE_MOST => return Err(MALFORMED),
             Status::Partial => return Ok(Chunked::Partial),
         };
         at += line;
         if size == 0 {
-            return match trailer_end(buffer, at) {
+            return match trailers_end(buffer, at) {
                 Some(end) => Ok(Chunked::Whole(found, end)),
                 None if buffer.len() - at > TRAILERS_MOST => Err(MALFORMED),
                 None => Ok(Chunked::Partial),
@@ -162,8 +162,8 @@
     }
 }
 
-/// Where the trailers end that may follow the last chunk.
-fn trailer_end(buffer: &[u8], mut at: usize) -> Option<usize> {
+/// Finds the end of the trailers, which may be empty, after the last chunk.
+fn trailers_end(buffer: &[u8], mut at: usize) -> Option<usize> {
     loop {
         let line = buffer[at..].iter().position(|byte| *byte == b'\n')?;
         let empty = buffer[at..at + line].trim_ascii().is_empty();
@@ -178,17 +178,17 @@
 pub enum Read {
     /// Part of a head.
     Head,
-    /// A whole head, and part of a body that will be held; its length is known or not.
+    /// A complete head, and part of a body that is being buffered; `open` if its length is unknown.
     Body {
         open: bool,
     },
     Whole(Frame),
-    /// A whole head, in a frame without a body, and what stands behind it: it is to pass through.
+    /// A complete head, in a frame without a body, and the body after it, which is to be streamed.
     Long(Frame, Body),
 }
 
-/// Finds the end of the body behind a head, and makes a chunked body contiguous. `late`: one of unknown length is
-/// not to be held any longer.
+/// Finds the end of the body after a head, and makes a chunked body contiguous. With `late`, a body of unknown length is
+/// not buffered any longer.
 fn body(
     buffer: &mut [u8],
     head: usize,
@@ -215,7 +215,7 @@
         }
         Framing::ToEnd => Ok(Read::Body { open }),
         Framing::Chunked => match chunks(buffer, head)? {
-            // Chunks have frames: small ones may fill the buffer before their data does.
+            // The framing of small chunks may fill the buffer before their data reaches the limit.
             Chunked::Partial if !late && buffer.len() < MESSAGE_MOST => Ok(Read::Body { open }),
             Chunked::Partial | Chunked::Long => long(Body::chunked()),
             Chunked::Whole(found, end) => {
@@ -230,7 +230,7 @@
     }
 }
 
-/// Where the head ends that was looked for in so many bytes, once it is whole.
+/// The length of a head that was parsed from a buffer of `bytes` bytes, once it is complete.
 fn head_end(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, Bad> {
     match parsed {
         Ok(Status::Complete(head)) if head <= HEAD_MOST => Ok(Some(head)),
@@ -240,45 +240,46 @@
     }
 }
 
-/// Reads the head of a request that is known to be whole.
+/// Reads a request's head that is known to be complete.
 pub fn with_request<T>(head: &[u8], read: impl FnOnce(&Request) -> T) -> Option<T> {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     request.parse(head).ok().filter(Status::is_complete).map(|_| read(&request))
 }
 
-/// The first request in the buffer.
+/// Reads the first request in the buffer.
 pub fn request(buffer: &mut [u8]) -> Result<Read, Bad> {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
     let Some(head) = head_end(request.parse(buffer), buffer.len())? else { return Ok(Read::Head) };
-    let keep = keeps(request.headers, request.version);
+    let keep = keeps_alive(request.headers, request.version);
     let framing = framing(request.headers, Framing::Length(0))?;
     body(buffer, head, framing, false, keep, false)
 }
 
-/// Whether the client that sent this head can read chunks.
+/// Whether the client that sent this head can read a chunked body.
 pub fn takes_chunks(head: &[u8]) -> bool {
     with_request(head, |request| request.version == Some(1)).unwrap_or(false)
 }
 
-/// Whether the client waits for leave to send the body of the request whose head has come.
+/// Whether the client waits for `100 Continue` before it sends the body of the request with this head.
 pub fn expects_leave(buffer: &[u8]) -> bool {
-    with_request(buffer, |request| lists(request.headers, "Expect", "100-continue")).unwrap_or(false)
+    with_request(buffer, |request| header_contains(request.headers, "Expect", "100-continue"))
+        .unwrap_or(false)
 }
 
-/// The first answer in the buffer: its status, and whether it says that the request was turned away. `late`: one of
-/// unknown length has been held for long, and is to pass through from here.
+/// Reads the first response in the buffer, with its status and whether it says that the endpoint rejected the request.
+/// With `late`, a response of unknown length has been buffered for long enough and is to be streamed from here on.
 pub fn answer(buffer: &mut Vec<u8>, ended: bool, late: bool) -> Result<(Read, u16, bool), Bad> {
     loop {
-        let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+        let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut response = Response::new(&mut headers);
         let Some(head) = head_end(response.parse(buffer), buffer.len())? else {
             return Ok((Read::Head, 0, false));
         };
         let status = response.code.unwrap_or(0);
         let turned_away = find(response.headers, "X-Turned-Away") == Some("1");
-        let keep = keeps(response.headers, response.version);
+        let keep = keeps_alive(response.headers, response.version);
         let without = if matches!(status, 204 | 304) { Framing::Length(0) } else { Framing::ToEnd };
         let framing = framing(response.headers, without)?;
         match status {
@@ -289,10 +290,11 @@
     }
 }
 
-/// The headers that go on to the next hop.
-fn passed_on<'a>(headers: &'a [Header<'a>]) -> impl Iterator<Item = &'a Header<'a>> {
+/// The headers that are forwarded to the next hop.
+fn end_to_end_headers<'a>(headers: &'a [Header<'a>]) -> impl Iterator<Item = &'a Header<'a>> {
     headers.iter().filter(move |h| {
-        !OWN.iter().any(|own| h.name.eq_ignore_ascii_case(own)) && !lists(headers, "Connection", h.name)
+        !HOP_BY_HOP.iter().any(|name| h.name.eq_ignore_ascii_case(name))
+            && !header_contains(headers, "Connection", h.name)
     })
 }
 
@@ -305,38 +307,39 @@
 }
 
 fn write(out: &mut Vec<u8>, text: std::fmt::Arguments) {
-    out.write_fmt(text).expect("a vector takes all");
+    out.write_fmt(text).expect("writing to a vector cannot fail");
 }
 
-/// The head of a request as it goes on to an endpoint, but for its last line.
+/// Writes the head of a request as it is forwarded to an endpoint, without its last line.
 pub fn forwarded_head(out: &mut Vec<u8>, request: &Request, body: Length) {
     let (method, path) = (request.method.unwrap_or(""), origin_form(request.path.unwrap_or("")));
     write(out, format_args!("{method} {path} HTTP/1.1\r\n"));
-    let passed = passed_on(request.headers).filter(|h| !h.name.eq_ignore_ascii_case("X-Remaining-Ms"));
+    let passed =
+        end_to_end_headers(request.headers).filter(|h| !h.name.eq_ignore_ascii_case("X-Remaining-Ms"));
     write_headers(out, passed);
     if body != Length::Known(0) || method != "GET" {
         write_length(out, body);
     }
 }
 
-/// The last line of such a head: the time that is left as it is written.
+/// The last line of such a head: the time remaining when the request is sent.
 pub fn last_line(left: Span) -> String {
     format!("X-Remaining-Ms: {}\r\n\r\n", left.nanos() / 1_000_000)
 }
 
-/// The head of an endpoint's answer as it goes on to a client.
+/// Writes the head of an endpoint's response as it is forwarded to a client.
 pub fn relayed_head(out: &mut Vec<u8>, head: &[u8], body: Length, keep: bool) {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut response = Response::new(&mut headers);
     if response.parse(head).is_ok() {
         let (status, reason) = (response.code.unwrap_or(502), response.reason.unwrap_or(""));
         write(out, format_args!("HTTP/1.1 {status} {reason}\r\n"));
-        write_headers(out, passed_on(response.headers));
+        write_headers(out, end_to_end_headers(response.headers));
     }
     finish_head(out, body, keep);
 }
 
-/// An answer of our own.
+/// Writes the head of a response by the sidecar itself, without a body.
 pub fn own_answer(out: &mut Vec<u8>, status: u16, retry_after: Option<Span>, keep: bool) {
     let reason = match status {
         200 => "OK",
@@ -363,16 +366,16 @@
     out.extend_from_slice(if keep { b"\r\n" } else { b"Connection: close\r\n\r\n" });
 }
 
-/// How the body is framed that goes out behind a head.
+/// How a body that is sent is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Length {
     Known(u64),
     Chunked,
-    /// The connection's end ends it.
+    /// Delimited by the connection's close.
     ToEnd,
 }
 
-/// What stands before and behind a piece of a body in this framing, or at its end.
+/// The bytes to send before and after a piece of a body in this framing, or at the body's end.
 pub fn chunk_frame(framing: Length, data: Option<&[u8]>) -> (String, &'static [u8]) {
     match (framing, data) {
         (Length::Chunked, Some(data)) => (format!("{:x}\r\n", data.len()), b"\r\n"),
@@ -389,22 +392,22 @@
     }
 }
 
-/// The path and query of a target that may name the host as well.
+/// The path and query of a request target, which may be in absolute form.
 pub fn origin_form(target: &str) -> &str {
-    let Some(behind) = ["http://", "https://"].iter().find_map(|scheme| target.strip_prefix(scheme)) else {
+    let Some(after) = ["http://", "https://"].iter().find_map(|scheme| target.strip_prefix(scheme)) else {
         return target;
     };
-    behind.find(['/', '?']).map_or("/", |at| &behind[at..])
+    after.find(['/', '?']).map_or("/", |at| &after[at..])
 }
 
-/// The call that opens a watch on the list's changes after a version.
+/// The request that opens a watch on changes to the endpoint list after a version.
 pub fn watch_call(host: std::net::SocketAddr, since: u64) -> Vec<u8> {
     format!("GET /v1/servers?follow=1&since={since} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
-/// The head of a watch's answer: how long it is, if it is one.
+/// The length of the head of a response that opens a watch, once it is complete.
 pub fn watch_head(buffer: &[u8]) -> Result<Option<usize>, Bad> {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut response = Response::new(&mut headers);
     let Some(head) = head_end(response.parse(buffer), buffer.len())? else { return Ok(None) };
     match (response.code, framing(response.headers, Framing::ToEnd)?) {
@@ -413,7 +416,7 @@
     }
 }
 
-/// The first chunk in the buffer, once all of it has come: where its data starts, its size, and its end.
+/// The first chunk in the buffer, once it is complete: where its data starts, its size, and its end.
 pub fn chunk(buffer: &[u8], most: usize) -> Result<Option<(usize, usize, usize)>, Bad> {
     let (line, size) = match httparse::parse_chunk_size(buffer).map_err(|_| MALFORMED)? {
         Status::Complete((line, size)) => (line, usize::try_from(size).unwrap_or(usize::MAX)),
@@ -425,7 +428,7 @@
     Ok((buffer.len() >= line + size + 2).then_some((line, size, line + size + 2)))
 }
 
-/// Where the data of the chunk starts that stands first in the buffer, whole or not.
+/// Where the data of the first chunk in the buffer starts, whether the chunk is complete or not.
 pub fn chunk_line(buffer: &[u8]) -> Option<usize> {
     match httparse::parse_chunk_size(buffer) {
         Ok(Status::Complete((line, _))) => Some(line),
@@ -437,31 +440,31 @@
 mod tests {
     use super::*;
 
-    /// Good messages with bytes changed, cut out and put in by chance: never a panic, never a place outside.
+    /// Valid messages with random bytes changed, removed and inserted: never a panic, never an offset outside the buffer.
     #[test]
-    fn no_bytes_lead_outside_the_buffer() {
-        let good = [
+    fn corrupted_messages_never_lead_outside_the_buffer() {
+        let valid = [
             &b"POST /order HTTP/1.1\r\nContent-Length: 4\r\n\r\nsoup"[..],
             b"POST /order HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nso\r\n2;x\r\nup\r\n0\r\nT: t\r\n\r\n",
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmenu\r\n0\r\n\r\n",
             b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
         ];
-        let (mut chance, mut whole) = (oorandom::Rand32::new(7), 0);
+        let (mut random, mut whole) = (oorandom::Rand32::new(7), 0);
         for round in 0..40_000 {
-            let mut buffer = good[round % good.len()].to_vec();
-            for _ in 0..chance.rand_range(0..4) {
-                let at = chance.rand_range(0..buffer.len() as u32) as usize;
-                match chance.rand_range(0..3) {
-                    0 => buffer[at] = chance.rand_u32() as u8,
+            let mut buffer = valid[round % valid.len()].to_vec();
+            for _ in 0..random.rand_range(0..4) {
+                let at = random.rand_range(0..buffer.len() as u32) as usize;
+                match random.rand_range(0..3) {
+                    0 => buffer[at] = random.rand_u32() as u8,
                     1 => drop(buffer.remove(at)),
-                    _ => buffer.insert(at, b"0f\r\n :"[chance.rand_range(0..6) as usize]),
+                    _ => buffer.insert(at, b"0f\r\n :"[random.rand_range(0..6) as usize]),
                 }
             }
-            // What a chunk says of itself must lie in the buffer too.
+            // The bounds of a chunk must lie within the buffer too.
             if let Ok(Some((data, size, end))) = chunk(&buffer, BODY_MOST) {
                 assert!(data + size <= end && end <= buffer.len());
             }
-            let found = match round % good.len() {
+            let found = match round % valid.len() {
                 0 | 1 => request(&mut buffer),
                 _ => answer(&mut buffer, round % 8 < 4, round % 16 < 8).map(|(read, ..)| read),
             };
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -1,4 +1,4 @@
-//! Endpoint connections: a pool per endpoint, the attempts sent on them and the responses. A connection active one
+//! Endpoint connections: a pool per endpoint, the attempts sent on them and the responses. A connection carries one
 //! attempt at a time.
 
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 
 /// The share of the endpoints' idle timeout after which this side closes an idle connection, well before they do.
 const IDLE_TIMEOUT_SHARE: f64 = 0.75;
-/// How long a connection should stay idle after a response before it active the next request, so that stray bytes behind
+/// How long a connection should stay idle after a response before it carries the next request, so that stray bytes behind
 /// the response show up first: they were seen 1 to 3.5 ms late. While stray bytes have been seen within `STRAY_BYTES_MEMORY`, a new
 /// connection is opened rather than one reused sooner. Otherwise the one idle for longest is reused, as opening another
 /// costs the endpoint work.
@@ -31,7 +31,7 @@
 /// Used in place of a request's index for a probe; the endpoint's index then stands in place of the attempt's number.
 pub const PROBE: usize = usize::MAX;
 
-/// The attempt that a connection active.
+/// The attempt that a connection carries.
 #[derive(Clone, Copy)]
 pub struct ActiveAttempt {
     pub request: usize,
@@ -50,7 +50,7 @@
     /// Danger: an attempt that stated the remaining time before its connect completed had its endpoint work for longer than
     /// the client waits.
     head_end: Option<usize>,
-    /// The attempt that it active is counted as completely written.
+    /// The attempt that it carries is counted as completely written.
     counted: bool,
     /// When that attempt started, and how the rest of its request's body is framed if it is streamed.
     sent_at: Moment,
@@ -241,7 +241,7 @@
         link.connection.close(&turn.registry);
     }
 
-    /// Closes a connection that active nothing, and notes whether stray bytes have arrived on it.
+    /// Closes a connection that carries nothing, and notes whether stray bytes have arrived on it.
     fn close_noting_strays(&mut self, key: Key, turn: &mut Turn) {
         if self.links.get(key).is_some_and(|link| !link.connection.input.is_empty()) {
             self.stray_bytes_until = turn.now + STRAY_BYTES_MEMORY;
@@ -556,7 +556,7 @@
         self.release(key, Frame { head: 0, body: 0, end: 0, keep }, turn);
     }
 
-    /// The request that a connection active, if its last byte is not written yet.
+    /// The request that a connection carries, if its last byte is not written yet.
     pub fn unsent_request(&self, key: Key) -> Option<usize> {
         let link = self.links.get(key).filter(|link| !link.is_sent())?;
         link.active.map(|carried| carried.request)
