--- a/crates/sidecar/src/net/body.rs
+++ b/crates/sidecar/src/net/body.rs
@@ -1,4 +1,4 @@
-//! A long body that passes through: read in pieces as they come, however they are split, and never held whole.
+//! A streamed body: parsed in pieces as they arrive, however they are split, and never buffered as a whole.
 
 use std::ops::Range;
 
@@ -7,93 +7,94 @@
 use super::connection::Connection;
 use super::http::{Bad, LONG_MOST, MESSAGE_MOST};
 
-/// Bytes that the line before a chunk may have, and all trailers together: several times what is usual.
+/// The maximum size in bytes of a chunk's size line, and of all trailers together: several times the usual sizes.
 pub const LINE_MOST: usize = 1024;
 pub const TRAILERS_MOST: usize = 8192;
 
-/// Where in its framing a body is.
+/// The parser's position in the framing of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
-    /// In data of which so much is to come, as the length says.
+enum Position {
+    /// In data of known length, with this many bytes left.
     Length(u64),
-    /// At the line before a chunk, in a chunk's data, at the end of that.
+    /// At a chunk's size line, in a chunk's data with this many bytes left, or at the line break after the data.
     Size,
     Chunk(u64),
     ChunkEnd,
-    /// In the trailers, of which so many bytes have come.
+    /// In the trailers, of which this many bytes have been read.
     Trailers(usize),
-    /// In data that the connection's end will end.
+    /// In data that is delimited by the connection's close.
     ToEnd,
     Done,
 }
 
-/// What stands next in a buffer.
+/// The next part of a body in a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Data; all up to its end is then done with.
+    /// Data; everything up to its end can then be consumed.
     Data(Range<usize>),
-    /// Nothing until more comes; so many bytes are done with.
+    /// More input is needed; this many bytes can be consumed.
     More(usize),
-    /// The body's end, after so many bytes.
+    /// The body ends after this many bytes.
     Done(usize),
 }
 
-/// What stands next of a body in its connection's buffer.
+/// The next piece of a body from its connection.
 pub enum Piece {
     Data(Range<usize>),
     End,
-    /// Nothing yet.
+    /// More input is needed.
     Later,
+    /// The framing is invalid; a client is sent this status.
     Bad(u16),
-    /// Nothing more, though it is not whole.
+    /// The connection ended before the body did.
     Broken,
 }
 
 #[derive(Clone, Debug)]
 pub struct Body {
-    at: At,
+    at: Position,
     length: Option<u64>,
-    passed: u64,
+    total: u64,
 }
 
 impl Body {
     pub fn of_length(length: u64) -> Body {
-        Body { at: At::Length(length), length: Some(length), passed: 0 }
+        Body { at: Position::Length(length), length: Some(length), total: 0 }
     }
 
     pub fn chunked() -> Body {
-        Body { at: At::Size, length: None, passed: 0 }
+        Body { at: Position::Size, length: None, total: 0 }
     }
 
     pub fn to_end() -> Body {
-        Body { at: At::ToEnd, length: None, passed: 0 }
+        Body { at: Position::ToEnd, length: None, total: 0 }
     }
 
-    /// How long it is in all, if its head tells.
+    /// The total length, if the head states it.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
     pub fn done(&self) -> bool {
-        self.at == At::Done
+        self.at == Position::Done
     }
 
-    /// Only the connection's end ends it.
+    /// Whether it is delimited by the connection's close.
     pub fn lasts_to_end(&self) -> bool {
-        self.at == At::ToEnd
+        self.at == Position::ToEnd
     }
 
-    /// The connection has ended and all that it brought is done with: whether the body is whole by that.
+    /// Handles the close of the connection after all input was consumed. Returns whether the body is complete.
     pub fn ends_here(&mut self) -> bool {
-        if self.at == At::ToEnd {
-            self.at = At::Done;
+        if self.at == Position::ToEnd {
+            self.at = Position::Done;
         }
         self.done()
     }
 
-    /// Reads on in the connection's buffer from `from` on, and what more the socket has. `last_count`: what came before
-    /// the connection broke still counts.
-    pub fn next(&mut self, connection: &mut Connection, from: usize, last_count: bool) -> Piece {
+    /// Parses the connection's buffer from `from` on, and reads more from the socket as needed. With `use_last_bytes`, bytes that
+    /// were received before the connection broke are still used.
+    pub fn next(&mut self, connection: &mut Connection, from: usize, use_last_bytes: bool) -> Piece {
         loop {
             match self.step(&connection.input[from..]) {
                 Err(Bad(status)) => return Piece::Bad(status),
@@ -105,9 +106,9 @@
                 Ok(Step::More(used)) => {
                     connection.consume_at(from, used);
                     let before = connection.input.len();
-                    let works = connection.fill(MESSAGE_MOST).is_ok();
+                    let usable = connection.fill(MESSAGE_MOST).is_ok();
                     let more = connection.input.len() > before;
-                    match (works || last_count && more, more) {
+                    match (usable || use_last_bytes && more, more) {
                         (false, _) => return Piece::Broken,
                         (true, true) => {}
                         _ if !connection.ended => return Piece::Later,
@@ -118,45 +119,47 @@
         }
     }
 
-    /// Reads on in a buffer that begins where the last step ended.
+    /// Parses a buffer that begins where the last step ended.
     pub fn step(&mut self, input: &[u8]) -> Result<Step, Bad> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
             match self.at {
-                At::Length(0) | At::Done => {
-                    self.at = At::Done;
+                Position::Length(0) | Position::Done => {
+                    self.at = Position::Done;
                     return Ok(Step::Done(used));
                 }
-                At::Length(_) | At::Chunk(_) | At::ToEnd if rest.is_empty() => return Ok(Step::More(used)),
-                At::Length(left) => return self.data(used, rest.len(), left, At::Length),
-                At::Chunk(0) => self.at = At::ChunkEnd,
-                At::Chunk(left) => return self.data(used, rest.len(), left, At::Chunk),
-                At::ToEnd => return self.data(used, rest.len(), u64::MAX, |_| At::ToEnd),
-                At::Size => match httparse::parse_chunk_size(rest) {
+                Position::Length(_) | Position::Chunk(_) | Position::ToEnd if rest.is_empty() => {
+                    return Ok(Step::More(used));
+                }
+                Position::Length(left) => return self.data(used, rest.len(), left, Position::Length),
+                Position::Chunk(0) => self.at = Position::ChunkEnd,
+                Position::Chunk(left) => return self.data(used, rest.len(), left, Position::Chunk),
+                Position::ToEnd => return self.data(used, rest.len(), u64::MAX, |_| Position::ToEnd),
+                Position::Size => match httparse::parse_chunk_size(rest) {
                     Ok(Status::Complete((line, size))) => {
                         used += line;
                         if size > LONG_MOST {
                             return Err(Bad(413));
                         }
-                        self.at = if size == 0 { At::Trailers(0) } else { At::Chunk(size) };
+                        self.at = if size == 0 { Position::Trailers(0) } else { Position::Chunk(size) };
                     }
                     Ok(Status::Partial) if rest.len() <= LINE_MOST => return Ok(Step::More(used)),
                     _ => return Err(Bad(400)),
                 },
-                At::ChunkEnd => match rest {
-                    [b'\r', b'\n', ..] => (used, self.at) = (used + 2, At::Size),
+                Position::ChunkEnd => match rest {
+                    [b'\r', b'\n', ..] => (used, self.at) = (used + 2, Position::Size),
                     [] | [b'\r'] => return Ok(Step::More(used)),
                     _ => return Err(Bad(400)),
                 },
-                At::Trailers(before) => {
+                Position::Trailers(before) => {
                     let Some(line) = rest.iter().position(|byte| *byte == b'\n') else {
                         let most = TRAILERS_MOST.saturating_sub(before);
                         return if rest.len() <= most { Ok(Step::More(used)) } else { Err(Bad(400)) };
                     };
                     used += line + 1;
                     let empty = rest[..line].trim_ascii().is_empty();
-                    self.at = if empty { At::Done } else { At::Trailers(before + line + 1) };
+                    self.at = if empty { Position::Done } else { Position::Trailers(before + line + 1) };
                     if before + line > TRAILERS_MOST {
                         return Err(Bad(400));
                     }
@@ -165,15 +168,21 @@
         }
     }
 
-    /// Data from `used` on, at most what is left of it.
-    fn data(&mut self, used: usize, there: usize, left: u64, then: impl Fn(u64) -> At) -> Result<Step, Bad> {
-        let taken = (there as u64).min(left);
-        self.passed += taken;
-        // Danger: a body without a length may keep coming for ever.
-        if self.passed > LONG_MOST {
+    /// Returns the data from `used` on, up to what is left of it.
+    fn data(
+        &mut self,
+        used: usize,
+        available: usize,
+        left: u64,
+        position_after: impl Fn(u64) -> Position,
+    ) -> Result<Step, Bad> {
+        let taken = (available as u64).min(left);
+        self.total += taken;
+        // Danger: a body without a length may never end.
+        if self.total > LONG_MOST {
             return Err(Bad(413));
         }
-        self.at = then(left - taken);
+        self.at = position_after(left - taken);
         Ok(Step::Data(used..used + taken as usize))
     }
 }
@@ -182,9 +191,9 @@
 mod tests {
     use super::*;
 
-    /// What passes when the bytes come in pieces that end at these places: the data, what is left behind it, and
-    /// what became of it.
-    fn pass(mut body: Body, bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, usize, Result<bool, Bad>) {
+    /// Parses the bytes in pieces that end at these offsets. Returns the data, the number of bytes left after it, and whether
+    /// the body was complete.
+    fn parse(mut body: Body, bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, usize, Result<bool, Bad>) {
         let (mut data, mut buffer) = (Vec::new(), Vec::new());
         let mut from = 0;
         for to in cuts.iter().map(|cut| *cut.min(&bytes.len())).chain([bytes.len()]) {
@@ -213,9 +222,9 @@
     }
 
     #[test]
-    fn split_at_every_byte_a_body_is_the_same_as_whole() {
+    fn body_parses_the_same_when_split_at_any_byte() {
         let chunked = b"5;x=y\r\nsoups\r\n1\r\n!\r\n0\r\nT: t\r\nU: u\r\n\r\nGET /next";
-        for (body, bytes, wanted, left) in [
+        for (body, bytes, expected, left) in [
             (Body::chunked(), &chunked[..], "soups!", 9),
             (Body::of_length(5), b"soupsGET", "soups", 3),
             (Body::of_length(0), b"GET", "", 3),
@@ -223,10 +232,10 @@
         ] {
             for one in 0..=bytes.len() {
                 for other in one..=bytes.len() {
-                    let (data, behind, end) = pass(body.clone(), bytes, &[one, other]);
+                    let (data, behind, end) = parse(body.clone(), bytes, &[one, other]);
                     assert_eq!(
                         (data.as_slice(), behind, end),
-                        (wanted.as_bytes(), left, Ok(true)),
+                        (expected.as_bytes(), left, Ok(true)),
                         "{one} {other}"
                     );
                 }
@@ -234,25 +243,25 @@
         }
     }
 
-    /// Bodies by chance, in pieces by chance, against what they were made of.
+    /// Compares random bodies, parsed in random pieces, with their original data.
     #[test]
-    fn bodies_of_any_form_in_pieces_of_any_size_come_out_as_they_went_in() {
-        let mut chance = oorandom::Rand32::new(11);
+    fn random_bodies_in_random_pieces_keep_their_data() {
+        let mut random = oorandom::Rand32::new(11);
         for round in 0..2000 {
-            let plain: Vec<u8> = (0..chance.rand_range(0..3000)).map(|_| chance.rand_u32() as u8).collect();
+            let plain: Vec<u8> = (0..random.rand_range(0..3000)).map(|_| random.rand_u32() as u8).collect();
             let (body, bytes) = match round % 3 {
                 0 => (Body::of_length(plain.len() as u64), plain.clone()),
                 1 => (Body::to_end(), plain.clone()),
                 _ => {
                     let (mut bytes, mut rest) = (Vec::new(), plain.as_slice());
                     while !rest.is_empty() {
-                        let size = chance.rand_range(1..rest.len() as u32 + 1) as usize;
+                        let size = random.rand_range(1..rest.len() as u32 + 1) as usize;
                         bytes.extend(format!("{size:x}{}\r\n", ["", ";a=\"b c\"", ";a"][size % 3]).bytes());
                         bytes.extend_from_slice(&rest[..size]);
                         bytes.extend(b"\r\n");
                         rest = &rest[size..];
                     }
-                    bytes.extend(if chance.rand_range(0..2) == 0 {
+                    bytes.extend(if random.rand_range(0..2) == 0 {
                         &b"0\r\n\r\n"[..]
                     } else {
                         b"00\r\nT: t\r\n\r\n"
@@ -260,20 +269,20 @@
                     (Body::chunked(), bytes)
                 }
             };
-            let mut cuts: Vec<_> = (0..chance.rand_range(0..40))
-                .map(|_| chance.rand_range(0..bytes.len() as u32 + 1) as usize)
+            let mut cuts: Vec<_> = (0..random.rand_range(0..40))
+                .map(|_| random.rand_range(0..bytes.len() as u32 + 1) as usize)
                 .collect();
             cuts.sort_unstable();
-            assert_eq!(pass(body.clone(), &bytes, &cuts), (plain, 0, Ok(true)), "round {round}");
-            // Cut short, it is not whole, unless only the connection's end ends it.
+            assert_eq!(parse(body.clone(), &bytes, &cuts), (plain, 0, Ok(true)), "round {round}");
+            // A truncated body is not complete, unless it is delimited by the connection's close.
             if round % 3 != 1 && !bytes.is_empty() {
-                assert!(pass(body, &bytes[..bytes.len() - 1], &cuts).2 != Ok(true), "round {round}");
+                assert!(parse(body, &bytes[..bytes.len() - 1], &cuts).2 != Ok(true), "round {round}");
             }
         }
     }
 
     #[test]
-    fn what_is_no_body_is_refused_and_nothing_goes_on_for_ever() {
+    fn invalid_and_endless_bodies_are_rejected() {
         let long = [b"1;".as_slice(), &[b'x'; 2000]].concat();
         let trailers = [b"0\r\n".as_slice(), &b"T: t\r\n".repeat(2000)].concat();
         for bytes in [
@@ -284,7 +293,7 @@
             &long,
             &trailers,
         ] {
-            assert!(pass(Body::chunked(), bytes, &[]).2.is_err(), "{}", bytes.escape_ascii());
+            assert!(parse(Body::chunked(), bytes, &[]).2.is_err(), "{}", bytes.escape_ascii());
         }
         let mut body = Body::to_end();
         let piece = vec![0; 1 << 20];
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its buffers, reading and writing until the socket would block, and how it can end.
+//! A connection: its buffers, reads and writes until the socket would block, and the ways in which it can end.
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::{Shutdown, SocketAddr};
@@ -9,46 +9,48 @@
 use mio::{Interest, Registry, Token};
 use socket2::SockRef;
 
-/// Bytes read at a time: most messages come in one piece.
-const READ_STEP: usize = 4096;
-/// Room that an idle connection may keep, in bytes.
-const KEPT_ROOM: usize = 8192;
+/// The number of bytes to read at a time: most messages fit.
+const READ_BYTES: usize = 4096;
+/// The buffer capacity in bytes that an idle connection may keep.
+const MAX_IDLE_BUFFER: usize = 8192;
 
-/// Every way in which an attempt's connection can end, or its turn on one.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// The whole answer came.
+    /// The complete response arrived.
     Answered { status: u16, turned_away: bool },
-    /// The connection was refused, or did not come up in time.
+    /// The connection was refused, or the connect did not complete in time.
     ConnectFailed,
-    /// There was no room here for a connection.
+    /// This process had no capacity for another connection.
     NoCapacity,
-    /// It broke, or ended with no whole answer. `whole`: after the request's last byte was written.
+    /// The connection broke, or was closed before the response was complete. `request_sent`: after the last byte of the
+    /// request was written.
     Broken { request_sent: bool },
-    /// What came back is no answer.
+    /// The received bytes are not a valid response.
     InvalidResponse,
-    /// The time for it was up.
+    /// The attempt timed out.
     TimedOut { request_sent: bool },
-    /// The decision was to stop waiting.
+    /// The balancer, or the client's disconnect, cancelled the attempt.
     Cancelled { request_sent: bool },
 }
 
 impl AttemptResult {
-    /// What this means to the decisions.
+    /// The outcome that the balancer is told.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptResult::Answered { status: 200, .. } => Outcome::Success,
             AttemptResult::Answered { status: 503 | 504, turned_away: true } => Outcome::Overloaded,
-            // Danger: what a bad client sends would be sent on from endpoint to endpoint, and held against each.
+            // Danger: counted as errors, a bad client's requests would be retried on endpoint after endpoint and held against
+            // each of them.
             AttemptResult::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::ClientError,
             AttemptResult::Answered { .. } | AttemptResult::InvalidResponse => Outcome::Error,
-            // Danger: before its last byte left, a request cannot have run; after it, it may have, whatever came.
+            // Danger: a request cannot have run before its last byte was sent; after that it may have, whatever response came.
             AttemptResult::ConnectFailed
             | AttemptResult::Broken { request_sent: false }
             | AttemptResult::TimedOut { request_sent: false } => Outcome::ConnectFailure,
             AttemptResult::Broken { request_sent: true } => Outcome::Reset,
             AttemptResult::TimedOut { request_sent: true } => Outcome::Timeout,
-            // Danger: a shortage of our own, told as a refusal, would be held against the endpoint.
+            // Danger: a shortage in this process, reported as a refused connection, would be held against the endpoint.
             AttemptResult::NoCapacity | AttemptResult::Cancelled { request_sent: false } => {
                 Outcome::NeverSent
             }
@@ -59,37 +61,37 @@
 
 pub struct Connection {
     stream: TcpStream,
-    /// What was read and is not done with.
+    /// Bytes read and not consumed yet.
     pub input: Vec<u8>,
     unsent: Vec<u8>,
     sent: usize,
-    /// The other side sends nothing more.
+    /// The peer has closed its sending side.
     pub ended: bool,
-    /// Reading stopped at the limit, so no event will tell of what is left.
+    /// Reading stopped at the limit, so no event will report the input left in the socket.
     pub full: bool,
     finished: bool,
-    /// A read or a write has failed. Danger: the machine tells a reset once and an end from then on, so what only the
-    /// connection's end ends would pass for whole.
+    /// A read or a write has failed. Danger: the kernel reports a reset only once and a regular close from then on, so a body
+    /// that is delimited by the close would look complete.
     broken: bool,
-    /// Its close is a reset, whoever closes it.
+    /// Closing it sends a reset, also when the process ends.
     resets: bool,
 }
 
-/// The next connection that waits at a listener.
+/// Accepts the next waiting connection, if there is one.
 pub fn accept(listener: &TcpListener) -> io::Result<Option<TcpStream>> {
     loop {
         match listener.accept() {
             Ok((stream, _)) => return Ok(Some(stream)),
             Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(None),
-            // One that has gone before it was taken says nothing of the next.
+            // A connection that was closed before it was accepted says nothing about the next.
             Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
             Err(e) => return Err(e),
         }
     }
 }
 
-/// Whether the process or the machine has no descriptor left for what was tried. Whoever closes one may try again at
-/// once; no event tells when another does.
+/// Whether an operation failed because the process or the machine is out of file descriptors. After closing one, retry
+/// immediately; no event reports when another process closes one.
 pub fn lacks_descriptor(e: &io::Error) -> bool {
     matches!(e.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
@@ -101,7 +103,7 @@
 
     pub fn take(mut stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Connection> {
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        // It would wait for more to send; without the option it is only slower.
+        // Sends small writes without delay; if the option cannot be set, the connection is only slower.
         let _ = stream.set_nodelay(true);
         Ok(Connection {
             stream,
@@ -121,7 +123,7 @@
         self.stream.local_addr().expect("an address").port()
     }
 
-    /// Whether a connection that was being opened is up by now.
+    /// Whether the connect has completed.
     pub fn is_up(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -133,18 +135,18 @@
         }
     }
 
-    fn breaks(&mut self, error: io::Error) -> io::Error {
+    fn record_failure(&mut self, error: io::Error) -> io::Error {
         self.broken = true;
         error
     }
 
-    /// Reads until the socket would block, the other side ends or `most` bytes stand unread.
+    /// Reads until the socket would block, the peer closes or `most` bytes are buffered.
     pub fn fill(&mut self, most: usize) -> io::Result<()> {
         while !self.ended && self.input.len() < most {
             let len = self.input.len();
-            // Room grows by doubling, but never past `most`: memory is budgeted by it.
-            self.input.reserve_exact(len.max(READ_STEP).min(most - len));
-            self.input.resize((len + READ_STEP).min(most), 0);
+            // The buffer grows by doubling, but never past `most`, on which the memory budget is based.
+            self.input.reserve_exact(len.max(READ_BYTES).min(most - len));
+            self.input.resize((len + READ_BYTES).min(most), 0);
             let read = self.stream.read(&mut self.input[len..]);
             self.input.truncate(len + *read.as_ref().unwrap_or(&0));
             match read {
@@ -153,14 +155,14 @@
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(self.breaks(e)),
+                Err(e) => return Err(self.record_failure(e)),
             }
         }
         self.full = self.input.len() >= most;
         Ok(())
     }
 
-    /// Writes the parts; what the socket does not take now is copied, to be flushed later.
+    /// Writes the parts; what the socket does not accept now is queued and flushed later.
     pub fn send(&mut self, parts: &[&[u8]]) -> io::Result<()> {
         let mut taken = 0;
         if self.unsent.is_empty() {
@@ -168,14 +170,14 @@
             match self.stream.write_vectored(&slices) {
                 Ok(n) => taken = n,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
-                Err(e) => return Err(self.breaks(e)),
+                Err(e) => return Err(self.record_failure(e)),
             }
         }
         self.queue(parts, taken);
         self.flush()
     }
 
-    /// Keeps the parts, but for so many bytes in front, to be flushed.
+    /// Queues the parts for the next flush, without their first `taken` bytes.
     pub fn queue(&mut self, parts: &[&[u8]], mut taken: usize) {
         for part in parts {
             let skip = taken.min(part.len());
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Puts bytes in between, behind so many of those that are kept: none of these may have been sent.
+    /// Inserts bytes at an offset in the queued bytes, none of which may have been sent.
     pub fn insert(&mut self, at: usize, bytes: &[u8]) {
         self.unsent.splice(at..at, bytes.iter().copied());
     }
@@ -196,14 +198,14 @@
                 Ok(n) => self.sent += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(self.breaks(e)),
+                Err(e) => return Err(self.record_failure(e)),
             }
         }
         (self.unsent, self.sent) = (Vec::new(), 0);
         Ok(())
     }
 
-    /// Bytes that the socket has yet to take.
+    /// The number of queued bytes.
     pub fn unsent(&self) -> usize {
         self.unsent.len() - self.sent
     }
@@ -212,21 +214,21 @@
         self.unsent.is_empty()
     }
 
-    /// Drops the message that stands first in the input.
+    /// Drops bytes from the front of the input.
     pub fn consume(&mut self, bytes: usize) {
         self.consume_at(0, bytes.min(self.input.len()));
     }
 
-    /// Drops so many bytes behind others.
+    /// Drops bytes from the input at an offset.
     pub fn consume_at(&mut self, at: usize, bytes: usize) {
         self.input.drain(at..at + bytes);
-        if self.input.is_empty() && self.input.capacity() > KEPT_ROOM {
+        if self.input.is_empty() && self.input.capacity() > MAX_IDLE_BUFFER {
             self.input = Vec::new();
         }
     }
 
-    /// Ends the sending; what was written still arrives. Danger: each shutdown wakes who polls this socket,
-    /// so one that answered every event with another would keep the loop turning until the peer closes.
+    /// Closes the sending side; bytes already written still arrive. Danger: each shutdown raises an event on this socket, so
+    /// shutting it down again at every event would keep the event loop spinning until the peer closes.
     pub fn finish(&mut self) {
         if !std::mem::replace(&mut self.finished, true) {
             if std::mem::take(&mut self.resets) {
@@ -236,19 +238,19 @@
         }
     }
 
-    /// From now on, until the sending is ended, its close is a reset, also where the process ends.
+    /// Makes every close before `finish` send a reset, even one by the end of the process.
     pub fn reset_at_close(&mut self) {
         self.resets = true;
         self.linger(Some(Duration::ZERO));
     }
 
     fn linger(&self, most: Option<Duration>) {
-        // A machine without the option closes it as any other.
+        // Where the option is not supported, the connection is closed normally.
         let _ = SockRef::from(&self.stream).set_linger(most);
     }
 
     pub fn close(mut self, registry: &Registry) {
-        // A socket that cannot be deregistered is closed with its drop all the same.
+        // A socket that cannot be deregistered is still closed when it is dropped.
         let _ = registry.deregister(&mut self.stream);
     }
 }
@@ -258,7 +260,7 @@
     use super::*;
 
     #[test]
-    fn a_connection_that_ends_its_sending_again_and_again_wakes_the_poll_once() {
+    fn repeated_finish_raises_only_one_event() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut poll = mio::Poll::new().unwrap();
         let mut connection =
@@ -274,12 +276,12 @@
             }
             connection.finish();
             turns += 1;
-            assert!(turns < 10, "each shutdown brings another event");
+            assert!(turns < 10, "each shutdown raises another event");
         }
     }
 
     #[test]
-    fn what_the_socket_does_not_take_at_once_is_sent_later_and_in_order() {
+    fn bytes_that_the_socket_does_not_accept_are_sent_later_in_order() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let poll = mio::Poll::new().unwrap();
         let to = listener.local_addr().unwrap();
