--- a/crates/sidecar/src/net/deadlines.rs
+++ b/crates/sidecar/src/net/deadlines.rs
@@ -1,4 +1,4 @@
-//! All deadlines of the sidecar, in one ordered structure.
+//! All deadlines of the sidecar, in one ordered set.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use super::slots::Key;
 
-/// What falls due.
+/// What a deadline is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Due {
     Wake,
@@ -14,16 +14,16 @@
     Server(Key),
     Discovery,
     Accept,
-    /// The clients are turned away further, for a drain or before leaving.
+    /// The next step of turning clients away, for a drain or before the process leaves.
     Away,
-    /// A look at which other processes serve this address.
+    /// A check for other processes that serve this address.
     Others,
     Operator(Key),
-    /// Callers wait at the operators' listener, and there was no descriptor for them.
+    /// Operators' connections wait to be accepted for lack of a file descriptor.
     Operators,
-    /// The file is to be read again, and there was no descriptor for it.
+    /// The settings file is to be read again, after it could not be opened for lack of a file descriptor.
     Settings,
-    /// This process is to say how it stands, or to ask another daemon.
+    /// This process is to report its state to the fleet's daemon, or to try another daemon.
     Fleet,
 }
 
@@ -35,7 +35,7 @@
         self.0.insert((at, due));
     }
 
-    /// Moves what was to fall due `from` one moment to another, or to none. The holder keeps the moment.
+    /// Moves a deadline from one moment to another, or removes it. The caller keeps the current moment in `from`.
     pub fn shift(&mut self, due: Due, from: &mut Option<Moment>, to: Option<Moment>) {
         if let Some(old) = std::mem::replace(from, to) {
             self.0.remove(&(old, due));
@@ -49,7 +49,7 @@
         self.0.first().map(|(at, _)| *at)
     }
 
-    /// Takes out the first that is due.
+    /// Removes and returns the first deadline that has passed.
     pub fn pop(&mut self, now: Moment) -> Option<Due> {
         if self.next()? > now {
             return None;
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! What goes over sockets, by peer, and what the peers share.
+//! All socket input and output, by kind of peer, and what the peers share.
 
 pub mod body;
 pub mod clients;
@@ -10,14 +10,14 @@
 pub mod servers;
 pub mod slots;
 
-/// Until what there was no descriptor for is tried again, where none could be made free.
+/// Delay before an operation that failed for lack of a file descriptor is retried, if none could be freed.
 pub const DESCRIPTOR_AGAIN: appledyke::units::Span = appledyke::units::Span::from_millis(100);
 
-/// The loop's present turn: its time, and where every peer hangs its sockets and deadlines.
+/// The current turn of the event loop: its time, and the registry and deadlines that all peers share.
 pub struct Turn {
     pub now: appledyke::units::Moment,
     pub registry: mio::Registry,
     pub deadlines: deadlines::Deadlines,
-    /// Connections that may yet be opened or taken, by all peers together; under 0, one has to go.
+    /// The number of connections that may still be opened or accepted by all peers together; below 0, one must be closed.
     pub room: isize,
 }
--- a/crates/sidecar/src/net/operator.rs
+++ b/crates/sidecar/src/net/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' side: a second address where each connection asks one thing in a line and is answered once.
+//! The admin endpoint for operators: a second address where each connection sends one command line and gets one response.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,32 +12,33 @@
 use super::slots::{Key, Peer, Slots};
 use super::{DESCRIPTOR_AGAIN, Turn};
 
-/// Bytes that a line may have: several times the longest call.
-const LINE_MOST: usize = 128;
-/// Connections at once. One more is taken only when another goes: the oldest, those that are answered first.
-const CALLERS_MOST: usize = 16;
-/// Descriptors that all this takes at the most: the listener, the callers, and one that is taken before another goes.
-pub const SOCKETS: usize = CALLERS_MOST + 2;
-/// In which a line must have come, and in which an answer be read: a caller waits a second, and one that hangs
-/// is to be gone before others fill the house.
-const LINE_IN: Span = Span::from_millis(1500);
-const READ_IN: Span = Span::from_millis(1500);
-
-/// What is wrong with a line that asks for nothing that there is.
+/// The maximum length of a line in bytes: several times the longest command.
+const MAX_LINE_BYTES: usize = 128;
+/// The maximum number of connections. To accept another one, the oldest is closed, answered ones first.
+const MAX_CONNECTIONS: usize = 16;
+/// The maximum number of file descriptors in use: the listener, the connections, and one that is accepted before another is
+/// closed.
+pub const SOCKETS: usize = MAX_CONNECTIONS + 2;
+/// Time limits for receiving a line and for the client to read the response: operators' tools wait for a second, and a hung
+/// connection must be closed before all connections are used up.
+const LINE_TIMEOUT: Span = Span::from_millis(1500);
+const READ_TIMEOUT: Span = Span::from_millis(1500);
+
+/// The error for an unknown command.
 pub const UNKNOWN: &str = "unknown call; known are ready, show-stat, drain, resume";
 
-/// What a line asks for.
+/// The command in a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     Ready,
     Figures,
     Drain,
-    /// Whatever is out in the fleet already, and why: of use to a member only.
+    /// Drain regardless of what is already out of service in the fleet, with a reason. Only supported by a fleet member.
     DrainAnyway(String),
     Resume,
 }
 
-struct Caller {
+struct AdminConnection {
     connection: Connection,
     since: Moment,
     answered: bool,
@@ -46,16 +47,16 @@
 
 pub struct Operators {
     listener: TcpListener,
-    slots: Slots<Caller>,
-    accept_at: Option<Moment>,
+    slots: Slots<AdminConnection>,
+    accept_retry_at: Option<Moment>,
 }
 
-/// What the bytes say that a connection has brought: nothing yet, a call, or what is wrong with them.
-fn call(bytes: &[u8], ended: bool) -> Option<Result<Call, &'static str>> {
+/// Parses the bytes received on a connection: `None` if the line is incomplete, a command, or an error message.
+fn parse_line(bytes: &[u8], ended: bool) -> Option<Result<Call, &'static str>> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return match bytes.len() {
-            LINE_MOST.. => Some(Err("the line is too long")),
-            // Danger: the half of a line that broke off could be a call by itself.
+            MAX_LINE_BYTES.. => Some(Err("the line is too long")),
+            // Danger: a truncated line could be a valid command by itself.
             _ if ended => Some(Err("the line has no end")),
             _ => None,
         };
@@ -83,86 +84,90 @@
     pub fn listen(at: SocketAddr, turn: &mut Turn) -> io::Result<Operators> {
         let mut listener = TcpListener::bind(at)?;
         turn.registry.register(&mut listener, Peer::Operators.token(), Interest::READABLE)?;
-        Ok(Operators { listener, slots: Slots::default(), accept_at: None })
+        Ok(Operators { listener, slots: Slots::default(), accept_retry_at: None })
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Takes all callers that wait. Returns how many, and whether there was no descriptor for one more.
+    /// Accepts all waiting connections. Returns how many, and whether the process ran out of file descriptors.
     pub fn accept(&mut self, turn: &mut Turn) -> (usize, bool) {
-        let mut taken = 0;
-        // Danger: told at each try, it would keep all other lines out of the log.
-        let told = self.accept_at.is_some();
-        turn.deadlines.shift(Due::Operators, &mut self.accept_at, None);
+        let mut accepted = 0;
+        // Danger: logged at every retry, this would crowd all other lines out of the log.
+        let logged = self.accept_retry_at.is_some();
+        turn.deadlines.shift(Due::Operators, &mut self.accept_retry_at, None);
         loop {
             let stream = match connection::accept(&self.listener) {
                 Ok(Some(stream)) => stream,
-                Ok(None) => return (taken, false),
+                Ok(None) => return (accepted, false),
                 Err(e) => {
-                    if !told {
+                    if !logged {
                         log::warn!("operator: accept: {e}");
                     }
-                    // Danger: who waits to be taken brings no further event, and would wait for the next caller.
+                    // Danger: waiting connections raise no further event, and would wait until the next one arrives.
                     let again = turn.now + DESCRIPTOR_AGAIN;
-                    turn.deadlines.shift(Due::Operators, &mut self.accept_at, Some(again));
-                    return (taken, connection::lacks_descriptor(&e));
+                    turn.deadlines.shift(Due::Operators, &mut self.accept_retry_at, Some(again));
+                    return (accepted, connection::lacks_descriptor(&e));
                 }
             };
-            taken += 1;
-            // Danger: callers that connect and say nothing would keep out one that has something to ask.
+            accepted += 1;
+            // Danger: clients that connect and send nothing would keep out one that sends a command.
             let oldest = self.slots.iter().min_by_key(|(_, c)| (!c.answered, c.since)).map(|(key, _)| key);
-            if let Some(oldest) = oldest.filter(|_| self.slots.len() >= CALLERS_MOST) {
+            if let Some(oldest) = oldest.filter(|_| self.slots.len() >= MAX_CONNECTIONS) {
                 self.close(oldest, turn);
             }
             let added = self.slots.insert_with(|key| {
                 let connection = Connection::take(stream, &turn.registry, Peer::Operator(key).token())?;
-                Ok::<_, io::Error>(Caller { connection, since: turn.now, answered: false, deadline: None })
+                Ok::<_, io::Error>(AdminConnection {
+                    connection,
+                    since: turn.now,
+                    answered: false,
+                    deadline: None,
+                })
             });
             match added {
-                Ok(key) => self.time_out(key, turn.now + LINE_IN, turn),
+                Ok(key) => self.set_deadline(key, turn.now + LINE_TIMEOUT, turn),
                 Err(e) => log::warn!("operator: {e}"),
             }
         }
     }
 
-    fn time_out(&mut self, key: Key, at: Moment, turn: &mut Turn) {
-        if let Some(caller) = self.slots.get_mut(key) {
-            turn.deadlines.shift(Due::Operator(key), &mut caller.deadline, Some(at));
+    fn set_deadline(&mut self, key: Key, at: Moment, turn: &mut Turn) {
+        if let Some(client) = self.slots.get_mut(key) {
+            turn.deadlines.shift(Due::Operator(key), &mut client.deadline, Some(at));
         }
     }
 
     fn close(&mut self, key: Key, turn: &mut Turn) {
-        let Some(mut caller) = self.slots.remove(key) else { return };
-        turn.deadlines.shift(Due::Operator(key), &mut caller.deadline, None);
-        caller.connection.close(&turn.registry);
+        let Some(mut client) = self.slots.remove(key) else { return };
+        turn.deadlines.shift(Due::Operator(key), &mut client.deadline, None);
+        client.connection.close(&turn.registry);
     }
 
-    /// Reads and writes what a connection is ready for, and says what it asks, if that is known now; it is to
-    /// be answered.
+    /// Reads and writes what a connection is ready for. Returns its command once it is known, which must then be answered.
     pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Option<Call> {
-        let caller = self.slots.get_mut(key)?;
-        let works = caller.connection.flush().is_ok() && caller.connection.fill(LINE_MOST).is_ok();
-        if caller.answered {
-            // What comes behind the line is owed nothing.
-            caller.connection.input.clear();
-            if !works || caller.connection.ended && caller.connection.all_sent() {
+        let client = self.slots.get_mut(key)?;
+        let usable = client.connection.flush().is_ok() && client.connection.fill(MAX_LINE_BYTES).is_ok();
+        if client.answered {
+            // Input after the line is ignored.
+            client.connection.input.clear();
+            if !usable || client.connection.ended && client.connection.all_sent() {
                 self.close(key, turn);
-            } else if caller.connection.all_sent() {
-                caller.connection.finish();
+            } else if client.connection.all_sent() {
+                client.connection.finish();
             }
             return None;
         }
-        let (bytes, ended) = (&caller.connection.input, caller.connection.ended);
-        if !works || ended && bytes.is_empty() {
+        let (bytes, ended) = (&client.connection.input, client.connection.ended);
+        if !usable || ended && bytes.is_empty() {
             self.close(key, turn);
             return None;
         }
-        match call(bytes, ended)? {
+        match parse_line(bytes, ended)? {
             Ok(call) => {
-                // Who has asked is answered soon, or is told that nobody knows.
-                self.time_out(key, turn.now + LINE_IN, turn);
+                // The command is answered soon; if not, the connection times out with an error.
+                self.set_deadline(key, turn.now + LINE_TIMEOUT, turn);
                 Some(call)
             }
             Err(what) => {
@@ -172,26 +177,26 @@
         }
     }
 
-    /// Answers what this connection has asked; then it is over, once the caller has read it.
+    /// Sends the response on this connection, which is closed once the client has read it.
     pub fn answer(&mut self, key: Key, text: &str, turn: &mut Turn) {
-        let Some(caller) = self.slots.get_mut(key) else { return };
-        caller.answered = true;
-        caller.connection.input.clear();
-        if caller.connection.send(&[text.as_bytes()]).is_err() {
+        let Some(client) = self.slots.get_mut(key) else { return };
+        client.answered = true;
+        client.connection.input.clear();
+        if client.connection.send(&[text.as_bytes()]).is_err() {
             return self.close(key, turn);
         }
-        // Danger: closed outright with something unread, the answer itself could be lost on the way.
-        if caller.connection.all_sent() {
-            caller.connection.finish();
+        // Danger: closing a socket with unread input resets it, and the response itself could be lost.
+        if client.connection.all_sent() {
+            client.connection.finish();
         }
-        self.time_out(key, turn.now + READ_IN, turn);
+        self.set_deadline(key, turn.now + READ_TIMEOUT, turn);
     }
 
-    /// A connection's time is up.
+    /// Handles a connection whose deadline has passed.
     pub fn timed_out(&mut self, key: Key, turn: &mut Turn) {
-        let Some(caller) = self.slots.get_mut(key) else { return };
-        caller.deadline = None;
-        if caller.answered {
+        let Some(client) = self.slots.get_mut(key) else { return };
+        client.deadline = None;
+        if client.answered {
             self.close(key, turn);
         } else {
             self.answer(key, "400 no line came in time\n", turn);
@@ -204,8 +209,8 @@
     use super::*;
 
     #[test]
-    fn a_line_is_a_call_or_is_told_what_is_wrong_with_it() {
-        for (bytes, wanted) in [
+    fn lines_are_parsed_as_commands_or_get_an_error() {
+        for (bytes, expected) in [
             (&b"ready\n"[..], Some(Ok(Call::Ready))),
             (b"show-stat\r\n", Some(Ok(Call::Figures))),
             (b"drain\n\r\n", Some(Ok(Call::Drain))),
@@ -213,13 +218,13 @@
             (b"\n", Some(Err("the line is empty"))),
             (b"drain\nresume\n", Some(Err("one line to a connection"))),
         ] {
-            assert_eq!(call(bytes, false), wanted, "{}", bytes.escape_ascii());
+            assert_eq!(parse_line(bytes, false), expected, "{}", bytes.escape_ascii());
         }
         for bytes in [&b"Drain\n"[..], b"drain \n", b"dr\0ain\n", b"\xff\xfe\n", b"GET / HTTP/1.1\r\n"] {
-            assert!(matches!(call(bytes, false), Some(Err(_))), "{}", bytes.escape_ascii());
+            assert!(matches!(parse_line(bytes, false), Some(Err(_))), "{}", bytes.escape_ascii());
         }
-        assert!(matches!(call(&[b'a'; LINE_MOST], false), Some(Err(_))));
-        // A call whose line broke off is not obeyed: it could have gone on.
-        assert!(matches!(call(b"drain", true), Some(Err(_))));
+        assert!(matches!(parse_line(&[b'a'; MAX_LINE_BYTES], false), Some(Err(_))));
+        // A truncated line is not executed: there could have been more of it.
+        assert!(matches!(parse_line(b"drain", true), Some(Err(_))));
     }
 }
--- a/crates/sidecar/src/net/slots.rs
+++ b/crates/sidecar/src/net/slots.rs
@@ -1,4 +1,4 @@
-//! Tables of numbered slots. A key holds its slot's generation, so that one kept too long finds nothing.
+//! Tables of numbered slots. A key includes its slot's generation, so a stale key finds nothing.
 
 use mio::Token;
 
@@ -8,7 +8,7 @@
     generation: u32,
 }
 
-/// Whose socket a token stands for.
+/// The peer whose socket a token identifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Peer {
     Listener,
@@ -23,7 +23,7 @@
     Fleet(Key),
 }
 
-/// Generations until they begin anew: the bits of a token that index and side leave.
+/// The number of generations before they wrap around: the bits of a token that the index and the kind of peer leave.
 const GENERATIONS: u32 = 1 << 29;
 
 impl Key {
@@ -31,7 +31,7 @@
         self.index as usize
     }
 
-    /// A token for a host that has one kind of peer beside fixed ones; `of_token` takes it back.
+    /// A token for a process with a single kind of peer beside its fixed tokens; `of_token` converts it back.
     pub fn only_token(self) -> Token {
         self.token(1)
     }
@@ -41,8 +41,8 @@
         (number >> 61 == 1).then_some(key)
     }
 
-    fn token(self, side: usize) -> Token {
-        Token(side << 61 | (self.generation as usize) << 32 | self.index as usize)
+    fn token(self, kind: usize) -> Token {
+        Token(kind << 61 | (self.generation as usize) << 32 | self.index as usize)
     }
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Values in slots that are used again, each time under a new generation.
+/// Values in slots that are reused, each time with a new generation.
 pub struct Slots<T> {
     slots: Vec<(u32, Option<T>)>,
     free: Vec<u32>,
@@ -97,7 +97,7 @@
         self.len() == 0
     }
 
-    /// Takes a slot for what `make` makes of its key.
+    /// Inserts the value that `make` returns for its key.
     pub fn insert_with<E>(&mut self, make: impl FnOnce(Key) -> Result<T, E>) -> Result<Key, E> {
         let index = self.free.last().copied().unwrap_or(self.slots.len() as u32);
         let generation = self.slots.get(index as usize).map_or(0, |slot| slot.0);
@@ -126,7 +126,7 @@
         Some(value)
     }
 
-    /// The key of what holds this slot now.
+    /// The key of the value in this slot now.
     pub fn key_at(&self, index: usize) -> Option<Key> {
         let (generation, value) = self.slots.get(index)?;
         value.as_ref().map(|_| Key { index: index as u32, generation: *generation })
