--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -328,7 +328,7 @@
             .deadline()
             .map_or(self.member.next_due(), |until| until.min(self.member.next_due()));
         if self.deadline != Some(next) {
-            turn.deadlines.shift(Due::Fleet, &mut self.deadline, Some(next));
+            turn.deadlines.reschedule(Due::Fleet, &mut self.deadline, Some(next));
         }
     }
 
--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -384,7 +384,7 @@
         let stops = stops.filter(|stops| *stops > Span::ZERO);
         let sockets = limit(&file, "sockets", SOCKETS)? as usize;
         let memory = limit(&file, "memory_mb", MEMORY_MB)? as f64 * 1e6 * BUFFERS_SHARE;
-        let in_memory = (memory / (2.0 * http::MESSAGE_MOST as f64)) as usize;
+        let in_memory = (memory / (2.0 * http::MAX_MESSAGE_BYTES as f64)) as usize;
         let member = fleet::Terms::read(&file)?;
         let kept = SOCKETS_KEPT
             + operator.map_or(0, |_| operator::SOCKETS)
--- a/crates/sidecar/src/net/body.rs
+++ b/crates/sidecar/src/net/body.rs
@@ -5,11 +5,11 @@
 use httparse::Status;
 
 use super::connection::Connection;
-use super::http::{Bad, LONG_MOST, MESSAGE_MOST};
+use super::http::{MAX_MESSAGE_BYTES, MAX_STREAMED_BODY_BYTES, MessageError};
 
 /// The maximum size in bytes of a chunk's size line, and of all trailers together: several times the usual sizes.
-pub const LINE_MOST: usize = 1024;
-pub const TRAILERS_MOST: usize = 8192;
+pub const MAX_CHUNK_LINE_BYTES: usize = 1024;
+pub const MAX_TRAILERS_BYTES: usize = 8192;
 
 /// The parser's position in the framing of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// In the trailers, of which this many bytes have been read.
     Trailers(usize),
     /// In data that is delimited by the connection's close.
-    ToEnd,
+    UntilClose,
     Done,
 }
 
@@ -43,11 +43,11 @@
     Data(Range<usize>),
     End,
     /// More input is needed.
-    Later,
+    Pending,
     /// The framing is invalid; a client is sent this status.
-    Bad(u16),
+    Invalid(u16),
     /// The connection ended before the body did.
-    Broken,
+    Truncated,
 }
 
 #[derive(Clone, Debug)]
@@ -66,8 +66,8 @@
         Body { at: Position::Size, length: None, total: 0 }
     }
 
-    pub fn to_end() -> Body {
-        Body { at: Position::ToEnd, length: None, total: 0 }
+    pub fn until_close() -> Body {
+        Body { at: Position::UntilClose, length: None, total: 0 }
     }
 
     /// The total length, if the head states it.
@@ -75,21 +75,21 @@
         self.length
     }
 
-    pub fn done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.at == Position::Done
     }
 
     /// Whether it is delimited by the connection's close.
-    pub fn lasts_to_end(&self) -> bool {
-        self.at == Position::ToEnd
+    pub fn is_until_close(&self) -> bool {
+        self.at == Position::UntilClose
     }
 
     /// Handles the close of the connection after all input was consumed. Returns whether the body is complete.
-    pub fn ends_here(&mut self) -> bool {
-        if self.at == Position::ToEnd {
+    pub fn finish_at_close(&mut self) -> bool {
+        if self.at == Position::UntilClose {
             self.at = Position::Done;
         }
-        self.done()
+        self.is_complete()
     }
 
     /// Parses the connection's buffer from `from` on, and reads more from the socket as needed. With `use_last_bytes`, bytes that
@@ -97,7 +97,7 @@
     pub fn next(&mut self, connection: &mut Connection, from: usize, use_last_bytes: bool) -> Piece {
         loop {
             match self.step(&connection.input[from..]) {
-                Err(Bad(status)) => return Piece::Bad(status),
+                Err(MessageError(status)) => return Piece::Invalid(status),
                 Ok(Step::Data(range)) => return Piece::Data(from + range.start..from + range.end),
                 Ok(Step::Done(used)) => {
                     connection.consume_at(from, used);
@@ -106,13 +106,13 @@
                 Ok(Step::More(used)) => {
                     connection.consume_at(from, used);
                     let before = connection.input.len();
-                    let usable = connection.fill(MESSAGE_MOST).is_ok();
+                    let usable = connection.fill(MAX_MESSAGE_BYTES).is_ok();
                     let more = connection.input.len() > before;
                     match (usable || use_last_bytes && more, more) {
-                        (false, _) => return Piece::Broken,
+                        (false, _) => return Piece::Truncated,
                         (true, true) => {}
-                        _ if !connection.ended => return Piece::Later,
-                        _ => return if self.ends_here() { Piece::End } else { Piece::Broken },
+                        _ if !connection.ended => return Piece::Pending,
+                        _ => return if self.finish_at_close() { Piece::End } else { Piece::Truncated },
                     }
                 }
             }
@@ -120,7 +120,7 @@
     }
 
     /// Parses a buffer that begins where the last step ended.
-    pub fn step(&mut self, input: &[u8]) -> Result<Step, Bad> {
+    pub fn step(&mut self, input: &[u8]) -> Result<Step, MessageError> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
@@ -129,39 +129,45 @@
                     self.at = Position::Done;
                     return Ok(Step::Done(used));
                 }
-                Position::Length(_) | Position::Chunk(_) | Position::ToEnd if rest.is_empty() => {
+                Position::Length(_) | Position::Chunk(_) | Position::UntilClose if rest.is_empty() => {
                     return Ok(Step::More(used));
                 }
                 Position::Length(left) => return self.data(used, rest.len(), left, Position::Length),
                 Position::Chunk(0) => self.at = Position::ChunkEnd,
                 Position::Chunk(left) => return self.data(used, rest.len(), left, Position::Chunk),
-                Position::ToEnd => return self.data(used, rest.len(), u64::MAX, |_| Position::ToEnd),
+                Position::UntilClose => {
+                    return self.data(used, rest.len(), u64::MAX, |_| Position::UntilClose);
+                }
                 Position::Size => match httparse::parse_chunk_size(rest) {
                     Ok(Status::Complete((line, size))) => {
                         used += line;
-                        if size > LONG_MOST {
-                            return Err(Bad(413));
+                        if size > MAX_STREAMED_BODY_BYTES {
+                            return Err(MessageError(413));
                         }
                         self.at = if size == 0 { Position::Trailers(0) } else { Position::Chunk(size) };
                     }
-                    Ok(Status::Partial) if rest.len() <= LINE_MOST => return Ok(Step::More(used)),
-                    _ => return Err(Bad(400)),
+                    Ok(Status::Partial) if rest.len() <= MAX_CHUNK_LINE_BYTES => return Ok(Step::More(used)),
+                    _ => return Err(MessageError(400)),
                 },
                 Position::ChunkEnd => match rest {
                     [b'\r', b'\n', ..] => (used, self.at) = (used + 2, Position::Size),
                     [] | [b'\r'] => return Ok(Step::More(used)),
-                    _ => return Err(Bad(400)),
+                    _ => return Err(MessageError(400)),
                 },
                 Position::Trailers(before) => {
                     let Some(line) = rest.iter().position(|byte| *byte == b'\n') else {
-                        let most = TRAILERS_MOST.saturating_sub(before);
-                        return if rest.len() <= most { Ok(Step::More(used)) } else { Err(Bad(400)) };
+                        let most = MAX_TRAILERS_BYTES.saturating_sub(before);
+                        return if rest.len() <= most {
+                            Ok(Step::More(used))
+                        } else {
+                            Err(MessageError(400))
+                        };
                     };
                     used += line + 1;
                     let empty = rest[..line].trim_ascii().is_empty();
                     self.at = if empty { Position::Done } else { Position::Trailers(before + line + 1) };
-                    if before + line > TRAILERS_MOST {
-                        return Err(Bad(400));
+                    if before + line > MAX_TRAILERS_BYTES {
+                        return Err(MessageError(400));
                     }
                 }
             }
@@ -175,12 +181,12 @@
         available: usize,
         left: u64,
         position_after: impl Fn(u64) -> Position,
-    ) -> Result<Step, Bad> {
+    ) -> Result<Step, MessageError> {
         let taken = (available as u64).min(left);
         self.total += taken;
         // Danger: a body without a length may never end.
-        if self.total > LONG_MOST {
-            return Err(Bad(413));
+        if self.total > MAX_STREAMED_BODY_BYTES {
+            return Err(MessageError(413));
         }
         self.at = position_after(left - taken);
         Ok(Step::Data(used..used + taken as usize))
@@ -193,7 +199,7 @@
 
     /// Parses the bytes in pieces that end at these offsets. Returns the data, the number of bytes left after it, and whether
     /// the body was complete.
-    fn parse(mut body: Body, bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, usize, Result<bool, Bad>) {
+    fn parse(mut body: Body, bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, usize, Result<bool, MessageError>) {
         let (mut data, mut buffer) = (Vec::new(), Vec::new());
         let mut from = 0;
         for to in cuts.iter().map(|cut| *cut.min(&bytes.len())).chain([bytes.len()]) {
@@ -217,7 +223,7 @@
                 }
             }
         }
-        let whole = body.ends_here();
+        let whole = body.finish_at_close();
         (data, buffer.len(), Ok(whole))
     }
 
@@ -228,7 +234,7 @@
             (Body::chunked(), &chunked[..], "soups!", 9),
             (Body::of_length(5), b"soupsGET", "soups", 3),
             (Body::of_length(0), b"GET", "", 3),
-            (Body::to_end(), b"soups", "soups", 0),
+            (Body::until_close(), b"soups", "soups", 0),
         ] {
             for one in 0..=bytes.len() {
                 for other in one..=bytes.len() {
@@ -251,7 +257,7 @@
             let plain: Vec<u8> = (0..random.rand_range(0..3000)).map(|_| random.rand_u32() as u8).collect();
             let (body, bytes) = match round % 3 {
                 0 => (Body::of_length(plain.len() as u64), plain.clone()),
-                1 => (Body::to_end(), plain.clone()),
+                1 => (Body::until_close(), plain.clone()),
                 _ => {
                     let (mut bytes, mut rest) = (Vec::new(), plain.as_slice());
                     while !rest.is_empty() {
@@ -295,9 +301,9 @@
         ] {
             assert!(parse(Body::chunked(), bytes, &[]).2.is_err(), "{}", bytes.escape_ascii());
         }
-        let mut body = Body::to_end();
+        let mut body = Body::until_close();
         let piece = vec![0; 1 << 20];
-        assert!((0..LONG_MOST >> 20).all(|_| body.step(&piece).is_ok()));
+        assert!((0..MAX_STREAMED_BODY_BYTES >> 20).all(|_| body.step(&piece).is_ok()));
         assert!(body.step(&piece).is_err());
     }
 }
--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -15,7 +15,7 @@
 use super::body::{Body, Piece};
 use super::connection::{self, Connection};
 use super::deadlines::Due;
-use super::http::{self, Bad, Frame, Length, Read};
+use super::http::{self, Frame, Length, MessageError, ReadState};
 use super::servers::OutgoingRequest;
 use super::slots::{Key, Peer, Slots};
 
@@ -190,35 +190,39 @@
 }
 
 fn request_id(head: &[u8]) -> Box<str> {
-    http::with_request(head, |request| http::find(request.headers, ID_HEADER).unwrap_or("").into())
+    http::with_request(head, |request| http::find_header(request.headers, ID_HEADER).unwrap_or("").into())
         .unwrap_or_default()
 }
 
-fn parse_head(head: &[u8], terms: &Terms) -> Result<Parsed, Bad> {
+fn parse_head(head: &[u8], terms: &Terms) -> Result<Parsed, MessageError> {
     let read = |request: &httparse::Request| {
         let (verb, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
         let path = http::origin_form(target).split('?').next().unwrap_or("");
         if path == "/healthz" {
-            return if verb == "GET" { Ok(Parsed::Health) } else { Err(Bad(405)) };
+            return if verb == "GET" { Ok(Parsed::Health) } else { Err(MessageError(405)) };
         }
         let text = |name| http::single_header(request.headers, name);
         let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
         let name = text("X-Lane")?.unwrap_or(first);
-        let method = terms.place(name).filter(|_| name == first).ok_or(Bad(404))?;
+        let method = terms.place(name).filter(|_| name == first).ok_or(MessageError(404))?;
         let m = &terms.methods[method];
         if (verb == "GET") != (m.effect == Effect::Retryable) {
-            return Err(Bad(405));
+            return Err(MessageError(405));
         }
         // Danger: if endpoints cannot recognize a retried request by its id or key, its effect could happen twice.
-        let required = |name| text(name)?.filter(|value| !value.is_empty()).ok_or(Bad(400));
+        let required = |name| text(name)?.filter(|value| !value.is_empty()).ok_or(MessageError(400));
         let id = required(ID_HEADER)?.into();
         if m.effect == Effect::Deduplicated {
             required("Idempotency-Key")?;
         }
         let remaining = match text("X-Remaining-Ms")? {
             None => m.deadline,
-            Some(millis) if !millis.bytes().all(|byte| byte.is_ascii_digit()) => return Err(Bad(400)),
-            Some(millis) => millis.parse().map(Span::from_millis).map_err(|_| Bad(400))?.min(m.deadline),
+            Some(millis) if !millis.bytes().all(|byte| byte.is_ascii_digit()) => {
+                return Err(MessageError(400));
+            }
+            Some(millis) => {
+                millis.parse().map(Span::from_millis).map_err(|_| MessageError(400))?.min(m.deadline)
+            }
         };
         // The cost is a hint: a value that does not parse is ignored and does not fail the request.
         let labels = text("X-Labels").ok().flatten().unwrap_or("");
@@ -226,7 +230,7 @@
         let cost = labels.find(|(name, _)| *name == COST_LABEL).and_then(|(_, nanos)| nanos.parse().ok());
         Ok(Parsed::Request { method, remaining, cost: cost.map(Span::from_nanos), id })
     };
-    http::with_request(head, read).unwrap_or(Err(Bad(400)))
+    http::with_request(head, read).unwrap_or(Err(MessageError(400)))
 }
 
 /// Returns the maximum number of client connections out of a total.
@@ -253,7 +257,7 @@
             listener: Some(listener),
             slots: Slots::default(),
             open_ids: HashSet::new(),
-            max_connections: max_clients(turn.room as usize),
+            max_connections: max_clients(turn.free_connections as usize),
             accept_paused: false,
             lacks_descriptor: false,
             accept_retry_at: None,
@@ -291,7 +295,7 @@
         let mut may_evict = true;
         loop {
             // One connection above the maximum is accepted, because only then is it known that another must be evicted.
-            let full = turn.room < 0 || self.slots.len() > self.max_connections;
+            let full = turn.free_connections < 0 || self.slots.len() > self.max_connections;
             if full && !self.evict_for(true, turn, &mut with_input) {
                 self.pause_accepting(turn);
                 break;
@@ -340,7 +344,7 @@
             });
             match added {
                 Ok(key) => {
-                    turn.room -= 1;
+                    turn.free_connections -= 1;
                     self.set_deadline(key, turn.now + HEAD_TIMEOUT, turn);
                 }
                 Err(e) => log::warn!("client: {e}"),
@@ -356,7 +360,7 @@
     fn pause_accepting(&mut self, turn: &mut Turn) {
         self.accept_paused = true;
         self.accept_paused_since.get_or_insert(turn.now);
-        turn.deadlines.shift(Due::Accept, &mut self.accept_retry_at, Some(turn.now + ACCEPT_RETRY));
+        turn.deadlines.reschedule(Due::Accept, &mut self.accept_retry_at, Some(turn.now + ACCEPT_RETRY));
     }
 
     /// Closes the connection that has been idle for longest, and otherwise the one with a partial request that has sent nothing
@@ -386,7 +390,7 @@
     fn close_unless_input(&mut self, key: Key, turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get_mut(key) else { return false };
         let before = client.connection.input.len();
-        let works = client.connection.fill(http::MESSAGE_MOST).is_ok() && !client.connection.ended;
+        let works = client.connection.fill(http::MAX_MESSAGE_BYTES).is_ok() && !client.connection.ended;
         let close = !works || client.connection.input.len() == before;
         if !close {
             client.last_input = turn.now;
@@ -394,7 +398,7 @@
         }
         if works && client.has_partial_request() {
             self.head.clear();
-            http::own_answer(&mut self.head, 503, Some(ACCEPT_RETRY), false);
+            http::write_own_response(&mut self.head, 503, Some(ACCEPT_RETRY), false);
             // All input has been read, so the close does not reset the connection and the response arrives; if the write
             // fails, the client has disconnected.
             let _ = client.connection.send(&[&self.head]);
@@ -406,8 +410,8 @@
     fn close(&mut self, key: Key, turn: &mut Turn) {
         self.release_request_id(key);
         let Some(mut client) = self.slots.remove(key) else { return };
-        turn.room += 1;
-        turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
+        turn.free_connections += 1;
+        turn.deadlines.reschedule(Due::Client(key), &mut client.deadline, None);
         client.connection.close(&turn.registry);
     }
 
@@ -433,7 +437,7 @@
 
     fn set_deadline(&mut self, key: Key, at: Moment, turn: &mut Turn) {
         if let Some(client) = self.slots.get_mut(key) {
-            turn.deadlines.shift(Due::Client(key), &mut client.deadline, Some(at));
+            turn.deadlines.reschedule(Due::Client(key), &mut client.deadline, Some(at));
         }
     }
 
@@ -450,7 +454,7 @@
         if since.is_none_or(|since| now.since(since) < within) {
             return ClientState::Connected;
         }
-        let limit = http::MESSAGE_MOST + PRESENCE_READ_AHEAD;
+        let limit = http::MAX_MESSAGE_BYTES + PRESENCE_READ_AHEAD;
         let works = client.connection.fill(limit).is_ok();
         match () {
             _ if !works || client.connection.ended => ClientState::Disconnected,
@@ -470,7 +474,8 @@
     pub fn ready(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> ClientEvent {
         let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
         let (unsent, before) = (client.connection.unsent(), client.connection.input.len());
-        let works = client.connection.flush().is_ok() && client.connection.fill(http::MESSAGE_MOST).is_ok();
+        let works =
+            client.connection.flush().is_ok() && client.connection.fill(http::MAX_MESSAGE_BYTES).is_ok();
         if client.connection.input.len() > before {
             client.last_input = turn.now;
         }
@@ -481,7 +486,7 @@
             // sending would not get to read its response.
             for _ in 0..MAX_DISCARD_READS {
                 client.connection.input.clear();
-                if !client.connection.full || client.connection.fill(http::MESSAGE_MOST).is_err() {
+                if !client.connection.full || client.connection.fill(http::MAX_MESSAGE_BYTES).is_err() {
                     break;
                 }
             }
@@ -526,9 +531,9 @@
             let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
             let input = &mut client.connection.input;
             let read = http::request(input);
-            if matches!(read, Ok(Read::Body { .. } | Read::Long(..)))
+            if matches!(read, Ok(ReadState::PartialBody { .. } | ReadState::Streamed(..)))
                 && !client.continue_sent
-                && http::expects_leave(input)
+                && http::expects_continue(input)
             {
                 client.continue_sent = true;
                 // A failed write shows up at the next read.
@@ -536,16 +541,16 @@
             }
             let input = &mut client.connection.input;
             let (frame, long) = match read {
-                Ok(Read::Whole(frame)) => (frame, None),
-                Ok(Read::Long(frame, body)) => (frame, Some(body)),
-                Ok(Read::Head) => {
+                Ok(ReadState::Complete(frame)) => (frame, None),
+                Ok(ReadState::Streamed(frame, body)) => (frame, Some(body)),
+                Ok(ReadState::PartialHead) => {
                     // Danger: if a first request's time limit restarted at its first byte, it would be twice as long.
                     if !std::mem::replace(&mut client.partial, true) && client.has_answered {
                         self.set_deadline(key, turn.now + HEAD_TIMEOUT, turn);
                     }
                     return ClientEvent::Nothing;
                 }
-                Ok(Read::Body { .. }) => {
+                Ok(ReadState::PartialBody { .. }) => {
                     client.partial = true;
                     let more =
                         input.len() - std::mem::replace(&mut client.body_seen, input.len()).min(input.len());
@@ -554,7 +559,7 @@
                     self.set_deadline(key, until, turn);
                     return ClientEvent::Nothing;
                 }
-                Err(Bad(status)) => {
+                Err(MessageError(status)) => {
                     self.respond_and_close(key, status, turn);
                     return ClientEvent::Nothing;
                 }
@@ -565,7 +570,7 @@
                 Ok(Parsed::Request { method, remaining, cost, id }) => {
                     // Danger: two requests with one id would be taken for retries of each other by every endpoint.
                     if self.open_ids.insert(id) {
-                        turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
+                        turn.deadlines.reschedule(Due::Client(key), &mut client.deadline, None);
                         let left = remaining.less(std::mem::take(&mut client.queued_for));
                         return ClientEvent::Arrival { method, left, work: cost, frame };
                     }
@@ -575,7 +580,7 @@
                     let status = if self.failing_health_checks { 503 } else { 200 };
                     self.respond_directly(key, frame, status, turn);
                 }
-                Err(Bad(status)) => self.respond_directly(key, frame, status, turn),
+                Err(MessageError(status)) => self.respond_directly(key, frame, status, turn),
             }
             let more = |c: &Client| c.reading() && !c.connection.input.is_empty();
             if !self.slots.get(key).is_some_and(more) {
@@ -588,7 +593,7 @@
     fn respond_directly(&mut self, key: Key, frame: Frame, status: u16, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         client.stage = Stage::Waiting { request: NO_REQUEST, frame };
-        let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, None, keep);
+        let head = |out: &mut Vec<u8>, keep| http::write_own_response(out, status, None, keep);
         self.respond(key, head, b"", turn);
     }
 
@@ -623,7 +628,7 @@
         let client = self.slots.get(key)?;
         match client.stage {
             Stage::Waiting { request, .. }
-                if client.remaining_body.as_ref().is_some_and(|body| !body.done()) =>
+                if client.remaining_body.as_ref().is_some_and(|body| !body.is_complete()) =>
             {
                 Some(request)
             }
@@ -633,19 +638,19 @@
 
     /// The next piece of that request's body.
     pub fn next_piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
-        let Some(client) = self.slots.get_mut(key) else { return Piece::Broken };
+        let Some(client) = self.slots.get_mut(key) else { return Piece::Truncated };
         let (Stage::Waiting { frame, .. }, Some(body)) = (&client.stage, &mut client.remaining_body) else {
-            return Piece::Broken;
+            return Piece::Truncated;
         };
         // Danger: the last bytes from a client that has disconnected could complete its request, which would then run.
         let piece = body.next(&mut client.connection, frame.end, false);
         let until = match piece {
-            Piece::Later => Some(body_deadline(client.body_deadline, 0, turn.now)),
+            Piece::Pending => Some(body_deadline(client.body_deadline, 0, turn.now)),
             Piece::End => None,
             _ => return piece,
         };
         client.body_deadline = until;
-        turn.deadlines.shift(Due::Client(key), &mut client.deadline, until);
+        turn.deadlines.reschedule(Due::Client(key), &mut client.deadline, until);
         piece
     }
 
@@ -665,7 +670,7 @@
     pub fn pause_body_timeout(&mut self, key: Key, turn: &mut Turn) {
         if let Some(client) = self.slots.get_mut(key) {
             client.body_deadline = None;
-            turn.deadlines.shift(Due::Client(key), &mut client.deadline, None);
+            turn.deadlines.reschedule(Due::Client(key), &mut client.deadline, None);
         }
     }
 
@@ -684,13 +689,13 @@
         self.release_request_id(key);
         let Some(client) = self.slots.get_mut(key) else { return false };
         let Stage::Waiting { frame, .. } = client.stage else { return false };
-        let chunks = http::takes_chunks(frame.head_in(&client.connection.input));
-        let unknown = if chunks { Length::Chunked } else { Length::ToEnd };
+        let chunks = http::accepts_chunked(frame.head_in(&client.connection.input));
+        let unknown = if chunks { Length::Chunked } else { Length::UntilClose };
         let length = length.map_or(unknown, Length::Known);
-        let keep = client.keeps_alive(frame) && !self.draining && length != Length::ToEnd;
+        let keep = client.keeps_alive(frame) && !self.draining && length != Length::UntilClose;
         // Danger: a response delimited by the connection's close would look complete when cut short, even by the end of
         // this process, so the connection is set up to be reset.
-        if length == Length::ToEnd {
+        if length == Length::UntilClose {
             client.connection.reset_at_close();
         }
         self.head.clear();
@@ -714,7 +719,7 @@
     pub fn send_response_piece(&mut self, key: Key, data: &[u8], turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get(key) else { return false };
         let Stage::Forwarding { length, .. } = client.stage else { return false };
-        let (before, behind) = http::chunk_frame(length, Some(data));
+        let (before, behind) = http::chunk_framing(length, Some(data));
         self.send_parts(key, &[before.as_bytes(), data, behind], turn)
     }
 
@@ -726,7 +731,7 @@
         }
         // With nothing left to send, the endpoint is awaited and the client has no deadline.
         let until = (!client.connection.all_sent()).then(|| turn.now + WRITE_TIMEOUT);
-        turn.deadlines.shift(Due::Client(key), &mut client.deadline, until);
+        turn.deadlines.reschedule(Due::Client(key), &mut client.deadline, until);
         true
     }
 
@@ -738,7 +743,7 @@
             return self.close(key, turn);
         }
         client.stage = Stage::Closing;
-        let (end, _) = http::chunk_frame(length, None);
+        let (end, _) = http::chunk_framing(length, None);
         if client.connection.send(&[end.as_bytes()]).is_err() {
             return self.close(key, turn);
         }
@@ -889,7 +894,7 @@
 impl Client {
     /// Whether the connection may carry another request after this one: not while part of its body is unread.
     fn keeps_alive(&self, frame: Frame) -> bool {
-        frame.keep && self.remaining_body.as_ref().is_none_or(Body::done)
+        frame.keep && self.remaining_body.as_ref().is_none_or(Body::is_complete)
     }
 
     /// Whether the connection may be closed to free it for another. Danger: a first request that arrives just after the close
@@ -947,7 +952,7 @@
         let poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
         let now = Moment::from_nanos(1);
-        let mut turn = Turn { now, registry, deadlines: Default::default(), room: 8 };
+        let mut turn = Turn { now, registry, deadlines: Default::default(), free_connections: 8 };
         let mut clients = Clients::listen("127.0.0.1:0".parse().unwrap(), false, &mut turn).unwrap();
         let mut peer = std::net::TcpStream::connect(clients.address().unwrap()).unwrap();
         while clients.count() == 0 {
@@ -975,14 +980,15 @@
     fn pipelined_requests_beyond_the_read_limit_are_all_answered_without_an_endpoint() {
         let mut poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
-        let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 8 };
+        let mut turn =
+            Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), free_connections: 8 };
         let mut clients = Clients::listen("127.0.0.1:0".parse().unwrap(), false, &mut turn).unwrap();
         // Accepted connections inherit the buffer size from their listener.
         socket2::SockRef::from(clients.listener.as_ref().unwrap()).set_recv_buffer_size(1 << 20).unwrap();
         let mut peer = std::net::TcpStream::connect(clients.address().unwrap()).unwrap();
         const REQUESTS: usize = 3000;
         let requests = "GET /none HTTP/1.1\r\nX-Txn: 1\r\n\r\n".repeat(REQUESTS);
-        assert!(requests.len() > http::MESSAGE_MOST);
+        assert!(requests.len() > http::MAX_MESSAGE_BYTES);
         io::Write::write_all(&mut peer, requests.as_bytes()).unwrap();
         peer.set_nonblocking(true).unwrap();
         while clients.count() == 0 {
--- a/crates/sidecar/src/net/deadlines.rs
+++ b/crates/sidecar/src/net/deadlines.rs
@@ -15,9 +15,9 @@
     Discovery,
     Accept,
     /// The next step of turning clients away, for a drain or before the process leaves.
-    Away,
+    TurnAway,
     /// A check for other processes that serve this address.
-    Others,
+    OtherProcesses,
     Operator(Key),
     /// Operators' connections wait to be accepted for lack of a file descriptor.
     Operators,
@@ -36,7 +36,7 @@
     }
 
     /// Moves a deadline from one moment to another, or removes it. The caller keeps the current moment in `from`.
-    pub fn shift(&mut self, due: Due, from: &mut Option<Moment>, to: Option<Moment>) {
+    pub fn reschedule(&mut self, due: Due, from: &mut Option<Moment>, to: Option<Moment>) {
         if let Some(old) = std::mem::replace(from, to) {
             self.0.remove(&(old, due));
         }
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -18,7 +18,7 @@
 use super::deadlines::Due;
 use super::http;
 use super::slots::{Key, Peer, Slots};
-use super::{DESCRIPTOR_AGAIN, Turn};
+use super::{DESCRIPTOR_RETRY, Turn};
 use crate::figures::Discovery;
 
 /// The maximum size of a list in bytes: enough for a complete list of many thousand endpoints.
@@ -52,7 +52,7 @@
     fn partial_list(&self) -> Option<Vec<u8>> {
         let input = if self.head_read { &self.connection.input[..] } else { &[] };
         // Danger: the size line of an incomplete chunk would corrupt the entry that it splits.
-        let line = http::chunk_line(input).unwrap_or(0);
+        let line = http::chunk_data_start(input).unwrap_or(0);
         self.partial().then(|| [&self.text[..], &input[line..]].concat())
     }
 }
@@ -137,7 +137,7 @@
         match if allowed { None } else { self.schedule.defer(turn.now) } {
             None => self.open(turn),
             Some(again) => {
-                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(again));
+                turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(again));
                 false
             }
         }
@@ -178,7 +178,7 @@
         }
         // A call that was waiting for a descriptor is replaced by the one to the new address.
         self.lacks_descriptor = false;
-        turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(next));
+        turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(next));
         false
     }
 
@@ -234,7 +234,7 @@
 
     fn open(&mut self, turn: &mut Turn) -> bool {
         let lacked_before = std::mem::take(&mut self.lacks_descriptor);
-        let (at, call) = (self.at, http::watch_call(self.at, self.version));
+        let (at, call) = (self.at, http::watch_request(self.at, self.version));
         let since = turn.now;
         self.calls_made += 1;
         self.schedule.call_started();
@@ -264,7 +264,11 @@
                     self.schedule.failures()
                 );
                 self.open = Some(key);
-                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(turn.now + CONNECT_TIMEOUT));
+                turn.deadlines.reschedule(
+                    Due::Discovery,
+                    &mut self.deadline,
+                    Some(turn.now + CONNECT_TIMEOUT),
+                );
                 false
             }
             // Danger: counted as a failure of the service, each would lengthen the delay before the next call.
@@ -273,7 +277,11 @@
                     log::warn!("list at {at}: {e}");
                 }
                 self.lacks_descriptor = true;
-                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(turn.now + DESCRIPTOR_AGAIN));
+                turn.deadlines.reschedule(
+                    Due::Discovery,
+                    &mut self.deadline,
+                    Some(turn.now + DESCRIPTOR_RETRY),
+                );
                 false
             }
             Err(e) => self.fail(&e.to_string(), turn),
@@ -309,7 +317,7 @@
             self.version,
             self.calls_made
         );
-        turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(next));
+        turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(next));
         true
     }
 
@@ -366,20 +374,20 @@
             if !watch.up {
                 return Ok(());
             }
-            turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(answer_by));
+            turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(answer_by));
         }
         watch.connection.flush().map_err(broken)?;
         loop {
-            let over =
-                watch.connection.fill(MAX_LIST_BYTES + http::HEAD_MOST).is_err() || watch.connection.ended;
+            let over = watch.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err()
+                || watch.connection.ended;
             let full = watch.connection.full;
             if !watch.head_read {
                 watch.turned_away = over;
-                match http::watch_head(&watch.connection.input) {
+                match http::watch_response_head(&watch.connection.input) {
                     Ok(Some(head)) => watch.connection.consume(head),
                     Ok(None) if over => return Err("the connection ended before a response".to_string()),
                     Ok(None) => return Ok(()),
-                    Err(http::Bad(status)) => {
+                    Err(http::MessageError(status)) => {
                         watch.turned_away = true;
                         return Err(format!("answered {status}"));
                     }
@@ -392,7 +400,7 @@
                 watch.any_received = true;
                 self.last_heard = Some(turn.now);
                 self.schedule.data_received();
-                turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(turn.now + MAX_SILENCE));
+                turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(turn.now + MAX_SILENCE));
             }
             let whole = watch.scanner.whole(&watch.text);
             for list in serde_json::Deserializer::from_slice(&watch.text[..whole]).into_iter::<Value>() {
@@ -433,7 +441,7 @@
                     // Danger: a first list that trickles in would add to all the time that the call has taken.
                     let first = watch.since + CALL_TIMEOUT + LIST_STALL_TIMEOUT;
                     let until = if watch.received { until } else { until.min(first) };
-                    turn.deadlines.shift(Due::Discovery, &mut self.deadline, Some(until));
+                    turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(until));
                 }
                 return Ok(());
             }
@@ -450,9 +458,10 @@
             return Ok(None);
         }
         self.connection.flush().map_err(broken)?;
-        let over = self.connection.fill(MAX_LIST_BYTES + http::HEAD_MOST).is_err() || self.connection.ended;
+        let over =
+            self.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err() || self.connection.ended;
         if !self.head_read {
-            match http::watch_head(&self.connection.input) {
+            match http::watch_response_head(&self.connection.input) {
                 Ok(Some(head)) => self.connection.consume(head),
                 Ok(None) if !over => return Ok(None),
                 _ => return Err("no list".to_string()),
--- a/crates/sidecar/src/net/discovery/tests.rs
+++ b/crates/sidecar/src/net/discovery/tests.rs
@@ -14,7 +14,7 @@
 fn delays_between_calls_grow_to_a_maximum_and_are_spread() {
     let registry = mio::Poll::new().unwrap().registry().try_clone().unwrap();
     let now = Moment::from_nanos(0);
-    let mut turn = Turn { now, registry, deadlines: Default::default(), room: 0 };
+    let mut turn = Turn { now, registry, deadlines: Default::default(), free_connections: 0 };
     let unused_address = "127.0.0.1:1".parse().unwrap();
     let mut lists = [1, 2].map(|seed| DiscoveryClient::new(unused_address, 0, seed, callers(false)));
     let mut last = Span::ZERO;
@@ -68,7 +68,7 @@
     let mut poll = mio::Poll::new().unwrap();
     let registry = poll.registry().try_clone().unwrap();
     let now = Moment::from_nanos(1);
-    let mut turn = Turn { now, registry, deadlines: Default::default(), room: 0 };
+    let mut turn = Turn { now, registry, deadlines: Default::default(), free_connections: 0 };
     let mut list = DiscoveryClient::new(listener.local_addr().unwrap(), 0, 1, callers(pushed));
     list.start_watch(|| true, &mut turn);
     await_connect(&mut list, &mut turn, &mut poll);
--- a/crates/sidecar/src/net/http.rs
+++ b/crates/sidecar/src/net/http.rs
@@ -5,15 +5,15 @@
 use appledyke::units::Span;
 use httparse::{EMPTY_HEADER, Header, Request, Response, Status};
 
-use super::body::{Body, LINE_MOST, TRAILERS_MOST};
+use super::body::{Body, MAX_CHUNK_LINE_BYTES, MAX_TRAILERS_BYTES};
 
 /// The maximum size in bytes of a head, and of a body that is buffered as a whole.
-pub const HEAD_MOST: usize = 8192;
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 8192;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The maximum size in bytes of a body that is streamed: the 32 MB that operators specify, with a margin.
-pub const LONG_MOST: u64 = 40 << 20;
+pub const MAX_STREAMED_BODY_BYTES: u64 = 40 << 20;
 /// The maximum size in bytes of a message in a buffer, with a margin for chunk framing.
-pub const MESSAGE_MOST: usize = HEAD_MOST + BODY_MOST + 4096;
+pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES + 4096;
 /// The maximum number of headers in a message: several times the usual number, and few enough for the stack.
 const MAX_HEADERS: usize = 64;
 
@@ -54,25 +54,25 @@
 
 /// An invalid message, as the status code to send to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bad(pub u16);
+pub struct MessageError(pub u16);
 
-const MALFORMED: Bad = Bad(400);
-const BODY_TOO_LARGE: Bad = Bad(413);
-const HEAD_TOO_LARGE: Bad = Bad(431);
+const MALFORMED: MessageError = MessageError(400);
+const BODY_TOO_LARGE: MessageError = MessageError(413);
+const HEAD_TOO_LARGE: MessageError = MessageError(431);
 
 enum Framing {
     Length(u64),
     Chunked,
-    ToEnd,
+    UntilClose,
 }
 
-pub fn find<'a>(headers: &'a [Header<'a>], name: &str) -> Option<&'a str> {
+pub fn find_header<'a>(headers: &'a [Header<'a>], name: &str) -> Option<&'a str> {
     let header = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
 /// The value of a header that may occur only once and must be text.
-pub fn single_header<'a>(headers: &'a [Header<'a>], name: &str) -> Result<Option<&'a str>, Bad> {
+pub fn single_header<'a>(headers: &'a [Header<'a>], name: &str) -> Result<Option<&'a str>, MessageError> {
     let mut found = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
     match (found.next(), found.next()) {
         (None, _) => Ok(None),
@@ -96,7 +96,7 @@
 }
 
 /// How the body is framed. Danger: with conflicting lengths one message could smuggle in another.
-fn framing(headers: &[Header], without: Framing) -> Result<Framing, Bad> {
+fn framing(headers: &[Header], without: Framing) -> Result<Framing, MessageError> {
     let mut lengths = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("Content-Length"));
     let mut encodings = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("Transfer-Encoding"));
     let (length, encoding) = (lengths.next(), encodings.next());
@@ -113,7 +113,7 @@
         return Err(MALFORMED);
     }
     match std::str::from_utf8(digits).unwrap_or("").parse() {
-        Ok(length) if length <= LONG_MOST => Ok(Framing::Length(length)),
+        Ok(length) if length <= MAX_STREAMED_BODY_BYTES => Ok(Framing::Length(length)),
         _ => Err(BODY_TOO_LARGE),
     }
 }
@@ -128,28 +128,28 @@
 }
 
 /// Parses the chunks from `at` on.
-fn chunks(buffer: &[u8], mut at: usize) -> Result<Chunked, Bad> {
+fn chunks(buffer: &[u8], mut at: usize) -> Result<Chunked, MessageError> {
     let (mut found, mut total) = (Vec::new(), 0);
     loop {
         let (line, size) = match httparse::parse_chunk_size(&buffer[at..]).map_err(|_| MALFORMED)? {
             Status::Complete(chunk) => chunk,
             // Danger: an endless size line would be streamed as a long body, and no other endpoint could answer any more.
-            Status::Partial if buffer.len() - at > LINE_MOST => return Err(MALFORMED),
+            Status::Partial if buffer.len() - at > MAX_CHUNK_LINE_BYTES => return Err(MALFORMED),
             Status::Partial => return Ok(Chunked::Partial),
         };
         at += line;
         if size == 0 {
             return match trailers_end(buffer, at) {
                 Some(end) => Ok(Chunked::Whole(found, end)),
-                None if buffer.len() - at > TRAILERS_MOST => Err(MALFORMED),
+                None if buffer.len() - at > MAX_TRAILERS_BYTES => Err(MALFORMED),
                 None => Ok(Chunked::Partial),
             };
         }
-        total += size.min(LONG_MOST + 1);
-        if total > LONG_MOST {
+        total += size.min(MAX_STREAMED_BODY_BYTES + 1);
+        if total > MAX_STREAMED_BODY_BYTES {
             return Err(BODY_TOO_LARGE);
         }
-        if total > BODY_MOST as u64 {
+        if total > MAX_BUFFERED_BODY_BYTES as u64 {
             return Ok(Chunked::Long);
         }
         let size = size as usize;
@@ -175,16 +175,16 @@
 }
 
 /// What a buffer holds of a message.
-pub enum Read {
+pub enum ReadState {
     /// Part of a head.
-    Head,
+    PartialHead,
     /// A complete head, and part of a body that is being buffered; `open` if its length is unknown.
-    Body {
+    PartialBody {
         open: bool,
     },
-    Whole(Frame),
+    Complete(Frame),
     /// A complete head, in a frame without a body, and the body after it, which is to be streamed.
-    Long(Frame, Body),
+    Streamed(Frame, Body),
 }
 
 /// Finds the end of the body after a head, and makes a chunked body contiguous. With `late`, a body of unknown length is
@@ -196,27 +196,29 @@
     ended: bool,
     keep: bool,
     late: bool,
-) -> Result<Read, Bad> {
+) -> Result<ReadState, MessageError> {
     let open = !matches!(framing, Framing::Length(_));
-    let held = BODY_MOST as u64;
-    let long = |body| Ok(Read::Long(Frame { head, body: 0, end: head, keep }, body));
+    let held = MAX_BUFFERED_BODY_BYTES as u64;
+    let long = |body| Ok(ReadState::Streamed(Frame { head, body: 0, end: head, keep }, body));
     match framing {
         Framing::Length(length) if length > held => long(Body::of_length(length)),
         Framing::Length(length) if (buffer.len() - head) as u64 >= length => {
             let body = length as usize;
-            Ok(Read::Whole(Frame { head, body, end: head + body, keep }))
+            Ok(ReadState::Complete(Frame { head, body, end: head + body, keep }))
         }
-        Framing::Length(_) => Ok(Read::Body { open }),
-        Framing::ToEnd if ended && buffer.len() <= head + BODY_MOST => {
-            Ok(Read::Whole(Frame { head, body: buffer.len() - head, end: buffer.len(), keep: false }))
+        Framing::Length(_) => Ok(ReadState::PartialBody { open }),
+        Framing::UntilClose if ended && buffer.len() <= head + MAX_BUFFERED_BODY_BYTES => {
+            Ok(ReadState::Complete(Frame { head, body: buffer.len() - head, end: buffer.len(), keep: false }))
         }
-        Framing::ToEnd if late || buffer.len() > head + BODY_MOST => {
-            Ok(Read::Long(Frame { head, body: 0, end: head, keep: false }, Body::to_end()))
+        Framing::UntilClose if late || buffer.len() > head + MAX_BUFFERED_BODY_BYTES => {
+            Ok(ReadState::Streamed(Frame { head, body: 0, end: head, keep: false }, Body::until_close()))
         }
-        Framing::ToEnd => Ok(Read::Body { open }),
+        Framing::UntilClose => Ok(ReadState::PartialBody { open }),
         Framing::Chunked => match chunks(buffer, head)? {
             // The framing of small chunks may fill the buffer before their data reaches the limit.
-            Chunked::Partial if !late && buffer.len() < MESSAGE_MOST => Ok(Read::Body { open }),
+            Chunked::Partial if !late && buffer.len() < MAX_MESSAGE_BYTES => {
+                Ok(ReadState::PartialBody { open })
+            }
             Chunked::Partial | Chunked::Long => long(Body::chunked()),
             Chunked::Whole(found, end) => {
                 let mut body = 0;
@@ -224,17 +226,17 @@
                     buffer.copy_within(at..at + size, head + body);
                     body += size;
                 }
-                Ok(Read::Whole(Frame { head, body, end, keep }))
+                Ok(ReadState::Complete(Frame { head, body, end, keep }))
             }
         },
     }
 }
 
 /// The length of a head that was parsed from a buffer of `bytes` bytes, once it is complete.
-fn head_end(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, Bad> {
+fn head_end(parsed: httparse::Result<usize>, bytes: usize) -> Result<Option<usize>, MessageError> {
     match parsed {
-        Ok(Status::Complete(head)) if head <= HEAD_MOST => Ok(Some(head)),
-        Ok(Status::Partial) if bytes < HEAD_MOST => Ok(None),
+        Ok(Status::Complete(head)) if head <= MAX_HEAD_BYTES => Ok(Some(head)),
+        Ok(Status::Partial) if bytes < MAX_HEAD_BYTES => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HEAD_TOO_LARGE),
         Err(_) => Err(MALFORMED),
     }
@@ -248,39 +250,45 @@
 }
 
 /// Reads the first request in the buffer.
-pub fn request(buffer: &mut [u8]) -> Result<Read, Bad> {
+pub fn request(buffer: &mut [u8]) -> Result<ReadState, MessageError> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
-    let Some(head) = head_end(request.parse(buffer), buffer.len())? else { return Ok(Read::Head) };
+    let Some(head) = head_end(request.parse(buffer), buffer.len())? else {
+        return Ok(ReadState::PartialHead);
+    };
     let keep = keeps_alive(request.headers, request.version);
     let framing = framing(request.headers, Framing::Length(0))?;
     body(buffer, head, framing, false, keep, false)
 }
 
 /// Whether the client that sent this head can read a chunked body.
-pub fn takes_chunks(head: &[u8]) -> bool {
+pub fn accepts_chunked(head: &[u8]) -> bool {
     with_request(head, |request| request.version == Some(1)).unwrap_or(false)
 }
 
 /// Whether the client waits for `100 Continue` before it sends the body of the request with this head.
-pub fn expects_leave(buffer: &[u8]) -> bool {
+pub fn expects_continue(buffer: &[u8]) -> bool {
     with_request(buffer, |request| header_contains(request.headers, "Expect", "100-continue"))
         .unwrap_or(false)
 }
 
 /// Reads the first response in the buffer, with its status and whether it says that the endpoint rejected the request.
 /// With `late`, a response of unknown length has been buffered for long enough and is to be streamed from here on.
-pub fn answer(buffer: &mut Vec<u8>, ended: bool, late: bool) -> Result<(Read, u16, bool), Bad> {
+pub fn response(
+    buffer: &mut Vec<u8>,
+    ended: bool,
+    late: bool,
+) -> Result<(ReadState, u16, bool), MessageError> {
     loop {
         let mut headers = [EMPTY_HEADER; MAX_HEADERS];
         let mut response = Response::new(&mut headers);
         let Some(head) = head_end(response.parse(buffer), buffer.len())? else {
-            return Ok((Read::Head, 0, false));
+            return Ok((ReadState::PartialHead, 0, false));
         };
         let status = response.code.unwrap_or(0);
-        let turned_away = find(response.headers, "X-Turned-Away") == Some("1");
+        let turned_away = find_header(response.headers, "X-Turned-Away") == Some("1");
         let keep = keeps_alive(response.headers, response.version);
-        let without = if matches!(status, 204 | 304) { Framing::Length(0) } else { Framing::ToEnd };
+        let without = if matches!(status, 204 | 304) { Framing::Length(0) } else { Framing::UntilClose };
         let framing = framing(response.headers, without)?;
         match status {
             101 => return Err(MALFORMED),
@@ -311,7 +319,7 @@
 }
 
 /// Writes the head of a request as it is forwarded to an endpoint, without its last line.
-pub fn forwarded_head(out: &mut Vec<u8>, request: &Request, body: Length) {
+pub fn write_request_head(out: &mut Vec<u8>, request: &Request, body: Length) {
     let (method, path) = (request.method.unwrap_or(""), origin_form(request.path.unwrap_or("")));
     write(out, format_args!("{method} {path} HTTP/1.1\r\n"));
     let passed =
@@ -323,12 +331,12 @@
 }
 
 /// The last line of such a head: the time remaining when the request is sent.
-pub fn last_line(left: Span) -> String {
+pub fn remaining_time_line(left: Span) -> String {
     format!("X-Remaining-Ms: {}\r\n\r\n", left.nanos() / 1_000_000)
 }
 
 /// Writes the head of an endpoint's response as it is forwarded to a client.
-pub fn relayed_head(out: &mut Vec<u8>, head: &[u8], body: Length, keep: bool) {
+pub fn write_response_head(out: &mut Vec<u8>, head: &[u8], body: Length, keep: bool) {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut response = Response::new(&mut headers);
     if response.parse(head).is_ok() {
@@ -340,7 +348,7 @@
 }
 
 /// Writes the head of a response by the sidecar itself, without a body.
-pub fn own_answer(out: &mut Vec<u8>, status: u16, retry_after: Option<Span>, keep: bool) {
+pub fn write_own_response(out: &mut Vec<u8>, status: u16, retry_after: Option<Span>, keep: bool) {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -372,11 +380,11 @@
     Known(u64),
     Chunked,
     /// Delimited by the connection's close.
-    ToEnd,
+    UntilClose,
 }
 
 /// The bytes to send before and after a piece of a body in this framing, or at the body's end.
-pub fn chunk_frame(framing: Length, data: Option<&[u8]>) -> (String, &'static [u8]) {
+pub fn chunk_framing(framing: Length, data: Option<&[u8]>) -> (String, &'static [u8]) {
     match (framing, data) {
         (Length::Chunked, Some(data)) => (format!("{:x}\r\n", data.len()), b"\r\n"),
         (Length::Chunked, None) => ("0\r\n\r\n".to_string(), b""),
@@ -388,7 +396,7 @@
     match body {
         Length::Known(length) => write(out, format_args!("Content-Length: {length}\r\n")),
         Length::Chunked => out.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
-        Length::ToEnd => {}
+        Length::UntilClose => {}
     }
 }
 
@@ -401,23 +409,23 @@
 }
 
 /// The request that opens a watch on changes to the endpoint list after a version.
-pub fn watch_call(host: std::net::SocketAddr, since: u64) -> Vec<u8> {
+pub fn watch_request(host: std::net::SocketAddr, since: u64) -> Vec<u8> {
     format!("GET /v1/servers?follow=1&since={since} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
 }
 
 /// The length of the head of a response that opens a watch, once it is complete.
-pub fn watch_head(buffer: &[u8]) -> Result<Option<usize>, Bad> {
+pub fn watch_response_head(buffer: &[u8]) -> Result<Option<usize>, MessageError> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut response = Response::new(&mut headers);
     let Some(head) = head_end(response.parse(buffer), buffer.len())? else { return Ok(None) };
-    match (response.code, framing(response.headers, Framing::ToEnd)?) {
+    match (response.code, framing(response.headers, Framing::UntilClose)?) {
         (Some(200), Framing::Chunked) => Ok(Some(head)),
-        (code, _) => Err(Bad(code.unwrap_or(0))),
+        (code, _) => Err(MessageError(code.unwrap_or(0))),
     }
 }
 
 /// The first chunk in the buffer, once it is complete: where its data starts, its size, and its end.
-pub fn chunk(buffer: &[u8], most: usize) -> Result<Option<(usize, usize, usize)>, Bad> {
+pub fn chunk(buffer: &[u8], most: usize) -> Result<Option<(usize, usize, usize)>, MessageError> {
     let (line, size) = match httparse::parse_chunk_size(buffer).map_err(|_| MALFORMED)? {
         Status::Complete((line, size)) => (line, usize::try_from(size).unwrap_or(usize::MAX)),
         Status::Partial => return Ok(None),
@@ -429,7 +437,7 @@
 }
 
 /// Where the data of the first chunk in the buffer starts, whether the chunk is complete or not.
-pub fn chunk_line(buffer: &[u8]) -> Option<usize> {
+pub fn chunk_data_start(buffer: &[u8]) -> Option<usize> {
     match httparse::parse_chunk_size(buffer) {
         Ok(Status::Complete((line, _))) => Some(line),
         _ => None,
@@ -461,14 +469,14 @@
                 }
             }
             // The bounds of a chunk must lie within the buffer too.
-            if let Ok(Some((data, size, end))) = chunk(&buffer, BODY_MOST) {
+            if let Ok(Some((data, size, end))) = chunk(&buffer, MAX_BUFFERED_BODY_BYTES) {
                 assert!(data + size <= end && end <= buffer.len());
             }
             let found = match round % valid.len() {
                 0 | 1 => request(&mut buffer),
-                _ => answer(&mut buffer, round % 8 < 4, round % 16 < 8).map(|(read, ..)| read),
+                _ => response(&mut buffer, round % 8 < 4, round % 16 < 8).map(|(read, ..)| read),
             };
-            if let Ok(Read::Whole(frame) | Read::Long(frame, _)) = found {
+            if let Ok(ReadState::Complete(frame) | ReadState::Streamed(frame, _)) = found {
                 assert!(frame.head + frame.body <= frame.end && frame.end <= buffer.len());
                 whole += 1;
             }
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -11,7 +11,7 @@
 pub mod slots;
 
 /// Delay before an operation that failed for lack of a file descriptor is retried, if none could be freed.
-pub const DESCRIPTOR_AGAIN: appledyke::units::Span = appledyke::units::Span::from_millis(100);
+pub const DESCRIPTOR_RETRY: appledyke::units::Span = appledyke::units::Span::from_millis(100);
 
 /// The current turn of the event loop: its time, and the registry and deadlines that all peers share.
 pub struct Turn {
@@ -19,5 +19,5 @@
     pub registry: mio::Registry,
     pub deadlines: deadlines::Deadlines,
     /// The number of connections that may still be opened or accepted by all peers together; below 0, one must be closed.
-    pub room: isize,
+    pub free_connections: isize,
 }
--- a/crates/sidecar/src/net/operator.rs
+++ b/crates/sidecar/src/net/operator.rs
@@ -10,7 +10,7 @@
 use super::connection::{self, Connection};
 use super::deadlines::Due;
 use super::slots::{Key, Peer, Slots};
-use super::{DESCRIPTOR_AGAIN, Turn};
+use super::{DESCRIPTOR_RETRY, Turn};
 
 /// The maximum length of a line in bytes: several times the longest command.
 const MAX_LINE_BYTES: usize = 128;
@@ -96,7 +96,7 @@
         let mut accepted = 0;
         // Danger: logged at every retry, this would crowd all other lines out of the log.
         let logged = self.accept_retry_at.is_some();
-        turn.deadlines.shift(Due::Operators, &mut self.accept_retry_at, None);
+        turn.deadlines.reschedule(Due::Operators, &mut self.accept_retry_at, None);
         loop {
             let stream = match connection::accept(&self.listener) {
                 Ok(Some(stream)) => stream,
@@ -106,8 +106,8 @@
                         log::warn!("operator: accept: {e}");
                     }
                     // Danger: waiting connections raise no further event, and would wait until the next one arrives.
-                    let again = turn.now + DESCRIPTOR_AGAIN;
-                    turn.deadlines.shift(Due::Operators, &mut self.accept_retry_at, Some(again));
+                    let again = turn.now + DESCRIPTOR_RETRY;
+                    turn.deadlines.reschedule(Due::Operators, &mut self.accept_retry_at, Some(again));
                     return (accepted, connection::lacks_descriptor(&e));
                 }
             };
@@ -135,13 +135,13 @@
 
     fn set_deadline(&mut self, key: Key, at: Moment, turn: &mut Turn) {
         if let Some(client) = self.slots.get_mut(key) {
-            turn.deadlines.shift(Due::Operator(key), &mut client.deadline, Some(at));
+            turn.deadlines.reschedule(Due::Operator(key), &mut client.deadline, Some(at));
         }
     }
 
     fn close(&mut self, key: Key, turn: &mut Turn) {
         let Some(mut client) = self.slots.remove(key) else { return };
-        turn.deadlines.shift(Due::Operator(key), &mut client.deadline, None);
+        turn.deadlines.reschedule(Due::Operator(key), &mut client.deadline, None);
         client.connection.close(&turn.registry);
     }
 
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -10,7 +10,7 @@
 use super::body::{Body, Piece};
 use super::connection::{self, AttemptResult, Connection};
 use super::deadlines::Due;
-use super::http::{self, Frame, Length, Read};
+use super::http::{self, Frame, Length, ReadState};
 use super::slots::{Key, Peer, Slots};
 use crate::figures::End;
 
@@ -166,7 +166,11 @@
         // Danger: a connection kept for the old limit could be closed by its endpoint just as a request is written to it.
         for (key, since) in self.endpoints.iter().flat_map(|state| &state.idle) {
             if let Some(link) = self.links.get_mut(*key) {
-                turn.deadlines.shift(Due::Server(*key), &mut link.deadline, Some(*since + self.max_idle));
+                turn.deadlines.reschedule(
+                    Due::Server(*key),
+                    &mut link.deadline,
+                    Some(*since + self.max_idle),
+                );
             }
         }
     }
@@ -235,8 +239,8 @@
 
     pub fn close(&mut self, key: Key, turn: &mut Turn) {
         let Some(mut link) = self.links.remove(key) else { return };
-        turn.room += 1;
-        turn.deadlines.shift(Due::Server(key), &mut link.deadline, None);
+        turn.free_connections += 1;
+        turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, None);
         self.endpoints[link.endpoint].idle.retain(|(idle, _)| *idle != key);
         link.connection.close(&turn.registry);
     }
@@ -260,7 +264,7 @@
         self.head.clear();
         let length = streamed_body.unwrap_or(Length::Known(body.len() as u64));
         let out = &mut self.head;
-        http::with_request(head, |request| http::forwarded_head(out, request, length));
+        http::with_request(head, |request| http::write_request_head(out, request, length));
         // Danger: bytes that arrive late behind a response would be taken for the response to the next request.
         let now = turn.now;
         let strays_seen = now < self.stray_bytes_until;
@@ -277,7 +281,7 @@
                 self.close_noting_strays(key, turn);
                 continue;
             }
-            let last_line = http::last_line(carried.give_up.since(now));
+            let last_line = http::remaining_time_line(carried.give_up.since(now));
             if link.connection.send(&[&self.head, last_line.as_bytes(), body]).is_err() {
                 self.close(key, turn);
                 return Err(AttemptResult::Broken { request_sent: false });
@@ -287,7 +291,7 @@
             link.buffered_since = None;
             self.sent_attempts += link.count_if_sent();
             let until = link.deadline_for(carried.give_up, now);
-            turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
+            turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, Some(until));
             return Ok(key);
         }
         let to = self
@@ -297,7 +301,7 @@
             .ok_or(AttemptResult::ConnectFailed)?;
         let full =
             self.max_per_endpoint.is_some_and(|most| self.connection_counts(endpoint).0 as u64 >= most);
-        if full || turn.room <= 0 && !self.evict_idle(turn) {
+        if full || turn.free_connections <= 0 && !self.evict_idle(turn) {
             return Err(AttemptResult::NoCapacity);
         }
         let mut opened = self.open(endpoint, to, carried, streamed_body, body, turn);
@@ -309,10 +313,10 @@
             log::warn!("connect {to}: {e}");
             AttemptResult::NoCapacity
         })?;
-        turn.room -= 1;
+        turn.free_connections -= 1;
         let link = self.links.get_mut(key).expect("just added");
         let until = carried.give_up.min(turn.now + self.connect_timeout);
-        turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
+        turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, Some(until));
         Ok(key)
     }
 
@@ -378,34 +382,34 @@
                 Err(_) => return self.end(key, AttemptResult::ConnectFailed, turn),
             }
             if let Some(at) = link.head_end.take() {
-                let last_line = http::last_line(carried.give_up.since(turn.now));
+                let last_line = http::remaining_time_line(carried.give_up.since(turn.now));
                 link.connection.insert(at, last_line.as_bytes());
             }
             let until = link.deadline_for(carried.give_up, turn.now);
-            turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
+            turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, Some(until));
         }
         let written = link.connection.flush();
         let request_sent = link.is_sent();
         self.sent_attempts += link.count_if_sent();
-        let read = link.connection.fill(http::MESSAGE_MOST);
+        let read = link.connection.fill(http::MAX_MESSAGE_BYTES);
         let ended = link.connection.ended;
         // Danger: a slow response of unknown length would be held back until it fills the buffer. One that has stalled is
         // still waited for: it may be broken, and another endpoint may answer the request instead.
         let late = link.buffered_since.is_some_and(|since| turn.now.since(since) >= MAX_BUFFERING);
         // Bytes read before the connection broke are still used.
-        let ending = match http::answer(&mut link.connection.input, ended, late) {
+        let ending = match http::response(&mut link.connection.input, ended, late) {
             // Danger: a reset does not complete a response that is delimited by the close, and once the response to the client
             // has begun, no other endpoint can answer.
-            Ok((Read::Long(_, body), ..)) if read.is_err() && body.lasts_to_end() => {
+            Ok((ReadState::Streamed(_, body), ..)) if read.is_err() && body.is_until_close() => {
                 AttemptResult::Broken { request_sent }
             }
-            Ok((message @ (Read::Whole(_) | Read::Long(..)), status, turned_away)) => {
+            Ok((message @ (ReadState::Complete(_) | ReadState::Streamed(..)), status, turned_away)) => {
                 let works = !ended && read.is_ok() && written.is_ok();
                 let (frame, long) = match message {
-                    Read::Whole(frame) => {
+                    ReadState::Complete(frame) => {
                         (Frame { keep: frame.keep && request_sent && works, ..frame }, None)
                     }
-                    Read::Long(frame, body) => {
+                    ReadState::Streamed(frame, body) => {
                         (Frame { keep: frame.keep && request_sent, ..frame }, Some(body))
                     }
                     _ => return None,
@@ -417,7 +421,7 @@
             }
             Err(_) => AttemptResult::InvalidResponse,
             Ok(_) if ended || read.is_err() || written.is_err() => AttemptResult::Broken { request_sent },
-            Ok((Read::Body { open: true }, ..)) => {
+            Ok((ReadState::PartialBody { open: true }, ..)) => {
                 link.buffered_since.get_or_insert(turn.now);
                 return None;
             }
@@ -453,7 +457,7 @@
         if !frame.keep || moved || !link.connection.input.is_empty() {
             return self.close_noting_strays(key, turn);
         }
-        turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(turn.now + self.max_idle));
+        turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, Some(turn.now + self.max_idle));
         self.endpoints[link.endpoint].idle.push((key, turn.now));
     }
 
@@ -476,7 +480,7 @@
     pub fn send_body(&mut self, key: Key, data: Option<&[u8]>, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get_mut(key)?;
         let (carried, streamed_body) = (link.active?, link.streamed_body?);
-        let (before, behind) = http::chunk_frame(streamed_body, data);
+        let (before, behind) = http::chunk_framing(streamed_body, data);
         if link.connection.send(&[before.as_bytes(), data.unwrap_or_default(), behind]).is_err() {
             return self.end(key, AttemptResult::Broken { request_sent: false }, turn);
         }
@@ -489,7 +493,7 @@
             self.sent_attempts += link.count_if_sent();
         }
         let until = link.deadline_for(give_up, turn.now);
-        turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(until));
+        turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, Some(until));
         None
     }
 
@@ -521,11 +525,11 @@
 
     /// The next piece of the response that is being streamed.
     pub fn next_piece(&mut self, key: Key, turn: &mut Turn) -> Piece {
-        let Some(link) = self.links.get_mut(key) else { return Piece::Broken };
-        let Some(forwarding) = &mut link.forwarding else { return Piece::Broken };
+        let Some(link) = self.links.get_mut(key) else { return Piece::Truncated };
+        let Some(forwarding) = &mut link.forwarding else { return Piece::Truncated };
         let piece = forwarding.body.next(&mut link.connection, 0, true);
-        if matches!(piece, Piece::Later) {
-            turn.deadlines.shift(Due::Server(key), &mut link.deadline, Some(turn.now + STREAM_TIMEOUT));
+        if matches!(piece, Piece::Pending) {
+            turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, Some(turn.now + STREAM_TIMEOUT));
         }
         piece
     }
@@ -533,7 +537,7 @@
     /// Stops the clock for the response while the client has not taken what was sent: the endpoint is not to blame.
     pub fn pause_timeout(&mut self, key: Key, turn: &mut Turn) {
         if let Some(link) = self.links.get_mut(key) {
-            turn.deadlines.shift(Due::Server(key), &mut link.deadline, None);
+            turn.deadlines.reschedule(Due::Server(key), &mut link.deadline, None);
         }
     }
 
@@ -603,7 +607,8 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
-        let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 2 };
+        let mut turn =
+            Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), free_connections: 2 };
         let mut servers = Servers::new(Span::from_millis(60_000), Span::from_millis(200));
         servers.set_address(0, listener.local_addr().unwrap(), None, &mut turn);
         (listener, poll, turn, servers)
@@ -722,7 +727,7 @@
                 match servers.next_piece(key, &mut turn) {
                     Piece::Data(range) => servers.consume(key, range.end),
                     Piece::End => break,
-                    Piece::Later => poll.poll(&mut events, None).unwrap(),
+                    Piece::Pending => poll.poll(&mut events, None).unwrap(),
                     _ => panic!("the response was not streamed to its end"),
                 }
             }
@@ -765,7 +770,7 @@
         assert_eq!(send(&mut servers, &mut turn), keys[1]);
         // After recent stray bytes, a connection is not reused before `REUSE_DELAY` has passed.
         servers.stray_bytes_until = turn.now + STRAY_BYTES_MEMORY;
-        turn.room = 1;
+        turn.free_connections = 1;
         let third = send(&mut servers, &mut turn);
         assert!(!keys.contains(&third));
     }
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -181,8 +181,12 @@
         };
         let now = clock.now();
         let registry = poll.registry().try_clone().map_err(|e| format!("poll: {e}"))?;
-        let mut turn =
-            Turn { now, registry, deadlines: Deadlines::default(), room: launch.fixed.connections as isize };
+        let mut turn = Turn {
+            now,
+            registry,
+            deadlines: Deadlines::default(),
+            free_connections: launch.fixed.connections as isize,
+        };
         let Fixed { name, listen, operator, connections, .. } = launch.fixed.clone();
         let clients = Clients::listen(listen, operator.is_some(), &mut turn)
             .map_err(|e| format!("listen: {listen}: {e}"))?;
@@ -388,7 +392,8 @@
         loop {
             let brought = self.clients.accept(&mut self.turn);
             self.look_again.extend(brought);
-            let full = self.clients.accept_paused && (self.turn.room < 0 || self.clients.lacks_descriptor);
+            let full = self.clients.accept_paused
+                && (self.turn.free_connections < 0 || self.clients.lacks_descriptor);
             if !full || !self.servers.evict_idle(&mut self.turn) {
                 return;
             }
@@ -437,8 +442,8 @@
                 self.list_failed(failed);
             }
             Due::Accept => self.accept(),
-            Due::Away => self.away_further(),
-            Due::Others => self.look_at_others(),
+            Due::TurnAway => self.away_further(),
+            Due::OtherProcesses => self.look_at_others(),
             Due::Fleet => self.fleet_due(),
             Due::Operators => self.accept_operators(),
             Due::Settings => self.read_again(),
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::figures::AnsweredHere;
-use crate::net::DESCRIPTOR_AGAIN;
+use crate::net::DESCRIPTOR_RETRY;
 use crate::net::connection::lacks_descriptor;
 
 /// After SIGTERM all must be answered within the longest deadline, at most this, and so much more: whoever
@@ -47,11 +47,11 @@
     /// Takes over what can change while requests are under way: the settings, and where the list is asked. The rest is for a
     /// start.
     pub(super) fn read_again(&mut self) {
-        self.turn.deadlines.shift(Due::Settings, &mut self.read_at, None);
+        self.turn.deadlines.reschedule(Due::Settings, &mut self.read_at, None);
         // Danger: what was told once would never be taken over.
         if File::open("/").is_err_and(|e| lacks_descriptor(&e)) && !self.make_room() {
-            let again = self.turn.now + DESCRIPTOR_AGAIN;
-            return self.turn.deadlines.shift(Due::Settings, &mut self.read_at, Some(again));
+            let again = self.turn.now + DESCRIPTOR_RETRY;
+            return self.turn.deadlines.reschedule(Due::Settings, &mut self.read_at, Some(again));
         }
         self.tell_watch();
         let agreed =
@@ -130,7 +130,7 @@
     }
 
     pub(super) fn look_away(&mut self, now: Moment) {
-        self.turn.deadlines.shift(Due::Away, &mut self.away_at, Some(now + AWAY_LOOK));
+        self.turn.deadlines.reschedule(Due::TurnAway, &mut self.away_at, Some(now + AWAY_LOOK));
     }
 
     /// Looks how far leaving or draining has come.
@@ -236,11 +236,15 @@
             log::info!("other processes at this address: {}", others.alive());
         }
         let part = self.fixed.connections / (1 + others.alive());
-        self.turn.room += part as isize - std::mem::replace(&mut self.part, part) as isize;
+        self.turn.free_connections += part as isize - std::mem::replace(&mut self.part, part) as isize;
         self.clients.resize(part);
         self.others = others;
         self.hand_over();
-        self.turn.deadlines.shift(Due::Others, &mut self.others_at, Some(self.turn.now + OTHERS_LOOK));
+        self.turn.deadlines.reschedule(
+            Due::OtherProcesses,
+            &mut self.others_at,
+            Some(self.turn.now + OTHERS_LOOK),
+        );
     }
 
     pub(super) fn drain(&mut self) -> &'static str {
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -120,12 +120,12 @@
                     let ended = self.servers.send_body(link, None, &mut self.turn);
                     return self.ended(link, ended);
                 }
-                Piece::Later => return,
-                Piece::Bad(status) => {
+                Piece::Pending => return,
+                Piece::Invalid(status) => {
                     self.answer(request, status, None, AnsweredHere::BadRequest);
                     return self.client_disconnected(request);
                 }
-                Piece::Broken => return self.client_ready(client),
+                Piece::Truncated => return self.client_ready(client),
             }
         }
         self.pass_again.push(Peer::Client(client));
@@ -152,8 +152,8 @@
                     self.take_next(client);
                     return self.count(method, end);
                 }
-                Piece::Later => return,
-                Piece::Bad(_) | Piece::Broken => return self.break_off(link),
+                Piece::Pending => return,
+                Piece::Invalid(_) | Piece::Truncated => return self.break_off(link),
             }
         }
         self.pass_again.push(Peer::Server(link));
@@ -256,7 +256,7 @@
     pub(super) fn relay(&mut self, key: Key, frame: Frame, client: Key) {
         if let Some((head, body)) = self.servers.message(key, frame) {
             let length = Length::Known(body.len() as u64);
-            let write = |out: &mut Vec<u8>, keep| http::relayed_head(out, head, length, keep);
+            let write = |out: &mut Vec<u8>, keep| http::write_response_head(out, head, length, keep);
             self.clients.respond(client, write, body, &mut self.turn);
             self.take_next(client);
         }
@@ -265,7 +265,7 @@
     /// A long answer is to pass to the client; whether it can.
     pub(super) fn begin(&mut self, key: Key, frame: Frame, body: Body, whose: (Key, usize, End)) -> bool {
         let Some((head, _)) = self.servers.message(key, frame) else { return false };
-        let write = |out: &mut Vec<u8>, length, keep| http::relayed_head(out, head, length, keep);
+        let write = |out: &mut Vec<u8>, length, keep| http::write_response_head(out, head, length, keep);
         let begun = self.clients.begin_response(whose.0, key, body.length(), write, &mut self.turn);
         if begun {
             self.servers.begin_forwarding(key, frame, body, whose);
@@ -489,7 +489,7 @@
         let id = self.request(request).map_or("", |r| &r.id);
         log::debug!("request {id}: answered {status} here, {}", why.name());
         self.count(method, if status == 503 { End::Rejected } else { End::Failed });
-        let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, retry_after, keep);
+        let head = |out: &mut Vec<u8>, keep| http::write_own_response(out, status, retry_after, keep);
         self.clients.respond(client, head, b"", &mut self.turn);
         self.take_next(client);
     }
--- a/crates/sidecar/tests/late_connects.rs
+++ b/crates/sidecar/tests/late_connects.rs
@@ -23,7 +23,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
-        let mut turn = Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), room: 2 };
+        let mut turn =
+            Turn { now: Moment::from_nanos(1), registry, deadlines: Default::default(), free_connections: 2 };
         let mut servers = Servers::new(Span::from_millis(60_000), most);
         servers.set_address(0, listener.local_addr().unwrap(), None, &mut turn);
         let carried = ActiveAttempt { request: 0, attempt: 0, give_up: turn.now + deadline };
--- a/crates/sidecar/tests/list_calls.rs
+++ b/crates/sidecar/tests/list_calls.rs
@@ -113,7 +113,8 @@
         let at = listener.local_addr().unwrap();
         let poll = mio::Poll::new().unwrap();
         let registry = poll.registry().try_clone().unwrap();
-        let turn = Turn { now: moment(Span::ZERO), registry, deadlines: Default::default(), room: 0 };
+        let turn =
+            Turn { now: moment(Span::ZERO), registry, deadlines: Default::default(), free_connections: 0 };
         World {
             list: DiscoveryClient::new(at, 0, seed, Callers { pushed: false, instances }),
             turn,
