--- a/crates/daemon/src/serve/connections.rs
+++ b/crates/daemon/src/serve/connections.rs
@@ -44,7 +44,7 @@
             }
             let (now, registry) = (self.now, self.poll.registry());
             let taken = self.peers.insert_with(|key| {
-                let connection = Connection::take(stream, registry, key.only_token())?;
+                let connection = Connection::from_stream(stream, registry, key.only_token())?;
                 Ok::<_, io::Error>(Peer::new(connection, now, None, VERSION))
             });
             if let Err(e) = taken {
--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -387,7 +387,7 @@
         let in_memory = (memory / (2.0 * http::MAX_MESSAGE_BYTES as f64)) as usize;
         let member = fleet::Terms::read(&file)?;
         let kept = SOCKETS_KEPT
-            + operator.map_or(0, |_| operator::SOCKETS)
+            + operator.map_or(0, |_| operator::MAX_DESCRIPTORS)
             + member.as_ref().map_or(0, |_| fleet::SOCKETS);
         let connections = sockets.saturating_sub(kept).min(in_memory);
         if connections < CONNECTIONS_LEAST {
--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -324,7 +324,7 @@
             let unread_since = Some(self.accept_paused_since.unwrap_or(self.input_since));
             let queued_for = self.accept_paused_since.map_or(Span::ZERO, |since| turn.now.since(since));
             let added = self.slots.insert_with(|key| {
-                let connection = Connection::take(stream, &turn.registry, Peer::Client(key).token())?;
+                let connection = Connection::from_stream(stream, &turn.registry, Peer::Client(key).token())?;
                 let stage = Stage::Reading;
                 Ok::<_, io::Error>(Client {
                     connection,
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -98,10 +98,10 @@
 
 impl Connection {
     pub fn open(to: SocketAddr, registry: &Registry, token: Token) -> io::Result<Connection> {
-        Connection::take(TcpStream::connect(to)?, registry, token)
+        Connection::from_stream(TcpStream::connect(to)?, registry, token)
     }
 
-    pub fn take(mut stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Connection> {
+    pub fn from_stream(mut stream: TcpStream, registry: &Registry, token: Token) -> io::Result<Connection> {
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         // Sends small writes without delay; if the option cannot be set, the connection is only slower.
         let _ = stream.set_nodelay(true);
--- a/crates/sidecar/src/net/operator.rs
+++ b/crates/sidecar/src/net/operator.rs
@@ -18,20 +18,20 @@
 const MAX_CONNECTIONS: usize = 16;
 /// The maximum number of file descriptors in use: the listener, the connections, and one that is accepted before another is
 /// closed.
-pub const SOCKETS: usize = MAX_CONNECTIONS + 2;
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
 /// Time limits for receiving a line and for the client to read the response: operators' tools wait for a second, and a hung
 /// connection must be closed before all connections are used up.
 const LINE_TIMEOUT: Span = Span::from_millis(1500);
 const READ_TIMEOUT: Span = Span::from_millis(1500);
 
 /// The error for an unknown command.
-pub const UNKNOWN: &str = "unknown call; known are ready, show-stat, drain, resume";
+pub const UNKNOWN_COMMAND: &str = "unknown call; known are ready, show-stat, drain, resume";
 
 /// The command in a line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum Command {
     Ready,
-    Figures,
+    ShowStat,
     Drain,
     /// Drain regardless of what is already out of service in the fleet, with a reason. Only supported by a fleet member.
     DrainAnyway(String),
@@ -52,7 +52,7 @@
 }
 
 /// Parses the bytes received on a connection: `None` if the line is incomplete, a command, or an error message.
-fn parse_line(bytes: &[u8], ended: bool) -> Option<Result<Call, &'static str>> {
+fn parse_line(bytes: &[u8], ended: bool) -> Option<Result<Command, &'static str>> {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return match bytes.len() {
             MAX_LINE_BYTES.. => Some(Err("the line is too long")),
@@ -66,16 +66,16 @@
     }
     let line = bytes[..end].strip_suffix(b"\r").unwrap_or(&bytes[..end]);
     Some(match line {
-        b"ready" => Ok(Call::Ready),
-        b"show-stat" => Ok(Call::Figures),
-        b"drain" => Ok(Call::Drain),
-        b"resume" => Ok(Call::Resume),
+        b"ready" => Ok(Command::Ready),
+        b"show-stat" => Ok(Command::ShowStat),
+        b"drain" => Ok(Command::Drain),
+        b"resume" => Ok(Command::Resume),
         b"" => Err("the line is empty"),
         line => match line.strip_prefix(b"drain anyway").map(std::str::from_utf8) {
             Some(Ok(why)) if why.is_empty() || why.starts_with(' ') => {
-                Ok(Call::DrainAnyway(why.trim().to_string()))
+                Ok(Command::DrainAnyway(why.trim().to_string()))
             }
-            _ => Err(UNKNOWN),
+            _ => Err(UNKNOWN_COMMAND),
         },
     })
 }
@@ -118,7 +118,8 @@
                 self.close(oldest, turn);
             }
             let added = self.slots.insert_with(|key| {
-                let connection = Connection::take(stream, &turn.registry, Peer::Operator(key).token())?;
+                let connection =
+                    Connection::from_stream(stream, &turn.registry, Peer::Operator(key).token())?;
                 Ok::<_, io::Error>(AdminConnection {
                     connection,
                     since: turn.now,
@@ -146,7 +147,7 @@
     }
 
     /// Reads and writes what a connection is ready for. Returns its command once it is known, which must then be answered.
-    pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Option<Call> {
+    pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Option<Command> {
         let client = self.slots.get_mut(key)?;
         let usable = client.connection.flush().is_ok() && client.connection.fill(MAX_LINE_BYTES).is_ok();
         if client.answered {
@@ -211,9 +212,9 @@
     #[test]
     fn lines_are_parsed_as_commands_or_get_an_error() {
         for (bytes, expected) in [
-            (&b"ready\n"[..], Some(Ok(Call::Ready))),
-            (b"show-stat\r\n", Some(Ok(Call::Figures))),
-            (b"drain\n\r\n", Some(Ok(Call::Drain))),
+            (&b"ready\n"[..], Some(Ok(Command::Ready))),
+            (b"show-stat\r\n", Some(Ok(Command::ShowStat))),
+            (b"drain\n\r\n", Some(Ok(Command::Drain))),
             (b"resu", None),
             (b"\n", Some(Err("the line is empty"))),
             (b"drain\nresume\n", Some(Err("one line to a connection"))),
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -30,7 +30,7 @@
 use crate::net::discovery::schedule::Callers;
 use crate::net::discovery::{self, DiscoveryClient};
 use crate::net::http::{Frame, Length};
-use crate::net::operator::{self, Call, Operators};
+use crate::net::operator::{self, Command, Operators};
 use crate::net::servers::{ActiveAttempt, EndedAttempt, OutgoingRequest, PROBE, Servers};
 use crate::net::slots::{Key, Peer, Slots};
 use crate::net::{Turn, http};
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -153,17 +153,17 @@
         let call = self.operators.as_mut().and_then(|operators| operators.ready(key, &mut self.turn));
         let Some(call) = call else { return };
         let answer = match call {
-            Call::Ready => {
+            Command::Ready => {
                 // Danger: SIGTERM may reach the other process right after the yes, so it has to be told before.
                 self.look_at_others();
                 self.is_ready().to_string()
             }
-            Call::Figures => format!("{}EOF", self.figures()),
-            Call::Drain if self.fleet.is_some() => return self.drain_with(key, None),
-            Call::DrainAnyway(why) if self.fleet.is_some() => return self.drain_with(key, Some(why)),
-            Call::DrainAnyway(_) => format!("400 {}", operator::UNKNOWN),
-            Call::Drain => self.drain().to_string(),
-            Call::Resume => self.resume().to_string(),
+            Command::ShowStat => format!("{}EOF", self.figures()),
+            Command::Drain if self.fleet.is_some() => return self.drain_with(key, None),
+            Command::DrainAnyway(why) if self.fleet.is_some() => return self.drain_with(key, Some(why)),
+            Command::DrainAnyway(_) => format!("400 {}", operator::UNKNOWN_COMMAND),
+            Command::Drain => self.drain().to_string(),
+            Command::Resume => self.resume().to_string(),
         };
         self.answer_operator(key, answer);
     }
