--- a/crates/sidecar/src/net/body.rs
+++ b/crates/sidecar/src/net/body.rs
@@ -92,8 +92,8 @@
         self.is_complete()
     }
 
-    /// Parses the connection's buffer from `from` on, and reads more from the socket as needed. With `use_last_bytes`, bytes that
-    /// were received before the connection broke are still used.
+    /// Parses the connection's buffer from `from` on, and reads more from the socket as needed. With `use_last_bytes`,
+    /// bytes that were received before the connection broke are still used.
     pub fn next(&mut self, connection: &mut Connection, from: usize, use_last_bytes: bool) -> Piece {
         loop {
             match self.step(&connection.input[from..]) {
@@ -132,9 +132,11 @@
                 Position::Length(_) | Position::Chunk(_) | Position::UntilClose if rest.is_empty() => {
                     return Ok(Step::More(used));
                 }
-                Position::Length(left) => return self.data(used, rest.len(), left, Position::Length),
+                Position::Length(remaining) => {
+                    return self.data(used, rest.len(), remaining, Position::Length);
+                }
                 Position::Chunk(0) => self.at = Position::ChunkEnd,
-                Position::Chunk(left) => return self.data(used, rest.len(), left, Position::Chunk),
+                Position::Chunk(remaining) => return self.data(used, rest.len(), remaining, Position::Chunk),
                 Position::UntilClose => {
                     return self.data(used, rest.len(), u64::MAX, |_| Position::UntilClose);
                 }
@@ -156,8 +158,8 @@
                 },
                 Position::Trailers(before) => {
                     let Some(line) = rest.iter().position(|byte| *byte == b'\n') else {
-                        let most = MAX_TRAILERS_BYTES.saturating_sub(before);
-                        return if rest.len() <= most {
+                        let limit = MAX_TRAILERS_BYTES.saturating_sub(before);
+                        return if rest.len() <= limit {
                             Ok(Step::More(used))
                         } else {
                             Err(MessageError(400))
@@ -179,17 +181,17 @@
         &mut self,
         used: usize,
         available: usize,
-        left: u64,
+        remaining: u64,
         position_after: impl Fn(u64) -> Position,
     ) -> Result<Step, MessageError> {
-        let taken = (available as u64).min(left);
-        self.total += taken;
+        let len = (available as u64).min(remaining);
+        self.total += len;
         // Danger: a body without a length may never end.
         if self.total > MAX_STREAMED_BODY_BYTES {
             return Err(MessageError(413));
         }
-        self.at = position_after(left - taken);
-        Ok(Step::Data(used..used + taken as usize))
+        self.at = position_after(remaining - len);
+        Ok(Step::Data(used..used + len as usize))
     }
 }
 
@@ -197,8 +199,8 @@
 mod tests {
     use super::*;
 
-    /// Parses the bytes in pieces that end at these offsets. Returns the data, the number of bytes left after it, and whether
-    /// the body was complete.
+    /// Parses the bytes in pieces that end at these offsets. Returns the data, the number of bytes left after it, and
+    /// whether the body was complete.
     fn parse(mut body: Body, bytes: &[u8], cuts: &[usize]) -> (Vec<u8>, usize, Result<bool, MessageError>) {
         let (mut data, mut buffer) = (Vec::new(), Vec::new());
         let mut from = 0;
@@ -223,14 +225,14 @@
                 }
             }
         }
-        let whole = body.finish_at_close();
-        (data, buffer.len(), Ok(whole))
+        let complete = body.finish_at_close();
+        (data, buffer.len(), Ok(complete))
     }
 
     #[test]
     fn body_parses_the_same_when_split_at_any_byte() {
         let chunked = b"5;x=y\r\nsoups\r\n1\r\n!\r\n0\r\nT: t\r\nU: u\r\n\r\nGET /next";
-        for (body, bytes, expected, left) in [
+        for (body, bytes, expected, remaining) in [
             (Body::chunked(), &chunked[..], "soups!", 9),
             (Body::of_length(5), b"soupsGET", "soups", 3),
             (Body::of_length(0), b"GET", "", 3),
@@ -238,10 +240,10 @@
         ] {
             for one in 0..=bytes.len() {
                 for other in one..=bytes.len() {
-                    let (data, behind, end) = parse(body.clone(), bytes, &[one, other]);
+                    let (data, after, end) = parse(body.clone(), bytes, &[one, other]);
                     assert_eq!(
-                        (data.as_slice(), behind, end),
-                        (expected.as_bytes(), left, Ok(true)),
+                        (data.as_slice(), after, end),
+                        (expected.as_bytes(), remaining, Ok(true)),
                         "{one} {other}"
                     );
                 }
--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -43,10 +43,10 @@
 const DRAIN_PARTIAL_TIMEOUT: Span = Span::from_millis(1200);
 /// How long a new connection, or one with a partial request, is protected from eviction: the rest is likely on its way.
 const EVICTION_GRACE: Span = Span::from_millis(1000);
-/// Once connections have waited in the backlog for all of `EVICTION_GRACE`, only those with input within this time are protected.
-/// Danger: a crowd of clients that stay silent, or stop within a head, would otherwise be replaced only once per `EVICTION_GRACE`, and
-/// a health check would wait behind all of them. Evicting by age alone would hit slow writers first, so no connection is
-/// evicted for a new client unless it has paused for this long.
+/// Once connections have waited in the backlog for all of `EVICTION_GRACE`, only those with input within this time are
+/// protected. Danger: a crowd of clients that stay silent, or stop within a head, would otherwise be replaced only once
+/// per `EVICTION_GRACE`, and a health check would wait behind all of them. Evicting by age alone would hit slow writers
+/// first, so no connection is evicted for a new client unless it has paused for this long.
 const MAX_PAUSE: Span = Span::from_millis(100);
 /// Time limit for answering a health check behind a full backlog: the shortest time within which its response must be seen
 /// after a drain begins. The limit holds from this many client connections on: what a limit of 256 descriptors, the lowest
@@ -100,8 +100,8 @@
     remaining_body: Option<Body>,
     /// Since when, during this request, the socket may hold more input than the buffer takes.
     unread_since: Option<Moment>,
-    /// How long the first request may have waited in the backlog. Danger: a client's deadline runs from the last byte that it
-    /// sent, so without this an attempt would tell its endpoint more remaining time than there is.
+    /// How long the first request may have waited in the backlog. Danger: a client's deadline runs from the last byte
+    /// that it sent, so without this an attempt would tell its endpoint more remaining time than there is.
     queued_for: Span,
     /// Input length at the last look at a body, and the deadline for more of it.
     body_seen: usize,
@@ -363,8 +363,8 @@
         turn.deadlines.reschedule(Due::Accept, &mut self.accept_retry_at, Some(turn.now + ACCEPT_RETRY));
     }
 
-    /// Closes the connection that has been idle for longest, and otherwise the one with a partial request that has sent nothing
-    /// for longest. Danger: clients that never complete a request could otherwise keep all others out.
+    /// Closes the connection that has been idle for longest, and otherwise the one with a partial request that has sent
+    /// nothing for longest. Danger: clients that never complete a request could otherwise keep all others out.
     pub fn evict(&mut self, turn: &mut Turn, with_input: &mut Vec<Key>) -> bool {
         self.evict_for(false, turn, with_input)
     }
@@ -390,13 +390,13 @@
     fn close_unless_input(&mut self, key: Key, turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get_mut(key) else { return false };
         let before = client.connection.input.len();
-        let works = client.connection.fill(http::MAX_MESSAGE_BYTES).is_ok() && !client.connection.ended;
-        let close = !works || client.connection.input.len() == before;
+        let io_ok = client.connection.fill(http::MAX_MESSAGE_BYTES).is_ok() && !client.connection.ended;
+        let close = !io_ok || client.connection.input.len() == before;
         if !close {
             client.last_input = turn.now;
             return false;
         }
-        if works && client.has_partial_request() {
+        if io_ok && client.has_partial_request() {
             self.head.clear();
             http::write_own_response(&mut self.head, 503, Some(ACCEPT_RETRY), false);
             // All input has been read, so the close does not reset the connection and the response arrives; if the write
@@ -455,9 +455,9 @@
             return ClientState::Connected;
         }
         let limit = http::MAX_MESSAGE_BYTES + PRESENCE_READ_AHEAD;
-        let works = client.connection.fill(limit).is_ok();
+        let io_ok = client.connection.fill(limit).is_ok();
         match () {
-            _ if !works || client.connection.ended => ClientState::Disconnected,
+            _ if !io_ok || client.connection.ended => ClientState::Disconnected,
             _ if client.connection.input.len() >= limit => ClientState::Unknown,
             // All input has been read, so a close would have been noticed.
             _ => ClientState::Connected,
@@ -474,7 +474,7 @@
     pub fn ready(&mut self, key: Key, terms: &Terms, turn: &mut Turn) -> ClientEvent {
         let Some(client) = self.slots.get_mut(key) else { return ClientEvent::Nothing };
         let (unsent, before) = (client.connection.unsent(), client.connection.input.len());
-        let works =
+        let io_ok =
             client.connection.flush().is_ok() && client.connection.fill(http::MAX_MESSAGE_BYTES).is_ok();
         if client.connection.input.len() > before {
             client.last_input = turn.now;
@@ -493,7 +493,7 @@
             client.connection.input.clear();
         }
         // A client that closes its sending side counts as disconnected.
-        if !works || client.connection.ended {
+        if !io_ok || client.connection.ended {
             let event = match client.stage {
                 Stage::Waiting { request, .. } => ClientEvent::Disconnected { request },
                 Stage::Forwarding { from, .. } => ClientEvent::DisconnectedMidResponse { from },
@@ -513,7 +513,8 @@
             Stage::Closing if client.connection.all_sent() => client.connection.finish(),
             Stage::Reading if client.connection.all_sent() && !client.connection.input.is_empty() => {
                 let event = self.read_request(key, terms, turn);
-                // Danger: neither an event nor an endpoint's response would lead back to the input left beyond the read limit.
+                // Danger: neither an event nor an endpoint's response would lead back to the input left beyond the read
+                // limit.
                 let unread = self.slots.get(key).is_some_and(|c| c.reading() && c.connection.full);
                 return if unread && matches!(event, ClientEvent::Nothing) {
                     ClientEvent::InputPending
@@ -719,8 +720,8 @@
     pub fn send_response_piece(&mut self, key: Key, data: &[u8], turn: &mut Turn) -> bool {
         let Some(client) = self.slots.get(key) else { return false };
         let Stage::Forwarding { length, .. } = client.stage else { return false };
-        let (before, behind) = http::chunk_framing(length, Some(data));
-        self.send_parts(key, &[before.as_bytes(), data, behind], turn)
+        let (before, after) = http::chunk_framing(length, Some(data));
+        self.send_parts(key, &[before.as_bytes(), data, after], turn)
     }
 
     fn send_parts(&mut self, key: Key, parts: &[&[u8]], turn: &mut Turn) -> bool {
@@ -736,10 +737,10 @@
     }
 
     /// Ends the streamed response. Danger: one that is not complete must end in a way that the client can detect.
-    pub fn end_response(&mut self, key: Key, whole: bool, turn: &mut Turn) {
+    pub fn end_response(&mut self, key: Key, complete: bool, turn: &mut Turn) {
         let Some(client) = self.slots.get_mut(key) else { return };
         let Stage::Forwarding { keep, length, .. } = client.stage else { return };
-        if !whole {
+        if !complete {
             return self.close(key, turn);
         }
         client.stage = Stage::Closing;
@@ -897,15 +898,16 @@
         frame.keep && self.remaining_body.as_ref().is_none_or(Body::is_complete)
     }
 
-    /// Whether the connection may be closed to free it for another. Danger: a first request that arrives just after the close
-    /// is lost, as clients do not retry it. On a connection that has carried a request before, they do.
+    /// Whether the connection may be closed to free it for another. Danger: a first request that arrives just after the
+    /// close is lost, as clients do not retry it. On a connection that has carried a request before, they do.
     fn is_evictable(&self, now: Moment, crowded: bool, for_new_client: bool) -> bool {
         if self.idle() && self.has_answered {
             return now > self.waiting_since;
         }
         let (paused, old) =
             (now.since(self.last_input) >= MAX_PAUSE, now.since(self.waiting_since) >= EVICTION_GRACE);
-        // Danger: a new client may be one of a crowd, and slow writers would be evicted for it. Complete requests matter more.
+        // Danger: a new client may be one of a crowd, and slow writers would be evicted for it. For a complete request,
+        // which matters more, age alone suffices.
         let evictable = if for_new_client { paused && (crowded || old) } else { old || paused && crowded };
         (self.idle() || self.has_partial_request()) && evictable
     }
--- a/crates/sidecar/src/net/connection.rs
+++ b/crates/sidecar/src/net/connection.rs
@@ -40,11 +40,12 @@
         match self {
             AttemptResult::Answered { status: 200, .. } => Outcome::Success,
             AttemptResult::Answered { status: 503 | 504, turned_away: true } => Outcome::Overloaded,
-            // Danger: counted as errors, a bad client's requests would be retried on endpoint after endpoint and held against
-            // each of them.
+            // Danger: counted as errors, a bad client's requests would be retried on endpoint after endpoint and held
+            // against each of them.
             AttemptResult::Answered { status: 400..=407 | 409..=428 | 430..=499, .. } => Outcome::ClientError,
             AttemptResult::Answered { .. } | AttemptResult::InvalidResponse => Outcome::Error,
-            // Danger: a request cannot have run before its last byte was sent; after that it may have, whatever response came.
+            // Danger: a request cannot have run before its last byte was sent; after that it may have, whatever response
+            // came.
             AttemptResult::ConnectFailed
             | AttemptResult::Broken { request_sent: false }
             | AttemptResult::TimedOut { request_sent: false } => Outcome::ConnectFailure,
@@ -70,8 +71,8 @@
     /// Reading stopped at the limit, so no event will report the input left in the socket.
     pub full: bool,
     finished: bool,
-    /// A read or a write has failed. Danger: the kernel reports a reset only once and a regular close from then on, so a body
-    /// that is delimited by the close would look complete.
+    /// A read or a write has failed. Danger: the kernel reports a reset only once and a regular close from then on, so a
+    /// body that is delimited by the close would look complete.
     broken: bool,
     /// Closing it sends a reset, also when the process ends.
     resets: bool,
@@ -140,13 +141,13 @@
         error
     }
 
-    /// Reads until the socket would block, the peer closes or `most` bytes are buffered.
-    pub fn fill(&mut self, most: usize) -> io::Result<()> {
-        while !self.ended && self.input.len() < most {
+    /// Reads until the socket would block, the peer closes or `limit` bytes are buffered.
+    pub fn fill(&mut self, limit: usize) -> io::Result<()> {
+        while !self.ended && self.input.len() < limit {
             let len = self.input.len();
-            // The buffer grows by doubling, but never past `most`, on which the memory budget is based.
-            self.input.reserve_exact(len.max(READ_BYTES).min(most - len));
-            self.input.resize((len + READ_BYTES).min(most), 0);
+            // The buffer grows by doubling, but never past `limit`, on which the memory budget is based.
+            self.input.reserve_exact(len.max(READ_BYTES).min(limit - len));
+            self.input.resize((len + READ_BYTES).min(limit), 0);
             let read = self.stream.read(&mut self.input[len..]);
             self.input.truncate(len + *read.as_ref().unwrap_or(&0));
             match read {
@@ -158,31 +159,31 @@
                 Err(e) => return Err(self.record_failure(e)),
             }
         }
-        self.full = self.input.len() >= most;
+        self.full = self.input.len() >= limit;
         Ok(())
     }
 
     /// Writes the parts; what the socket does not accept now is queued and flushed later.
     pub fn send(&mut self, parts: &[&[u8]]) -> io::Result<()> {
-        let mut taken = 0;
+        let mut written = 0;
         if self.unsent.is_empty() {
             let slices: Vec<_> = parts.iter().map(|part| IoSlice::new(part)).collect();
             match self.stream.write_vectored(&slices) {
-                Ok(n) => taken = n,
+                Ok(n) => written = n,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
                 Err(e) => return Err(self.record_failure(e)),
             }
         }
-        self.queue(parts, taken);
+        self.queue(parts, written);
         self.flush()
     }
 
-    /// Queues the parts for the next flush, without their first `taken` bytes.
-    pub fn queue(&mut self, parts: &[&[u8]], mut taken: usize) {
+    /// Queues the parts for the next flush, without their first `written` bytes.
+    pub fn queue(&mut self, parts: &[&[u8]], mut written: usize) {
         for part in parts {
-            let skip = taken.min(part.len());
+            let skip = written.min(part.len());
             self.unsent.extend_from_slice(&part[skip..]);
-            taken -= skip;
+            written -= skip;
         }
     }
 
@@ -244,9 +245,9 @@
         self.linger(Some(Duration::ZERO));
     }
 
-    fn linger(&self, most: Option<Duration>) {
+    fn linger(&self, limit: Option<Duration>) {
         // Where the option is not supported, the connection is closed normally.
-        let _ = SockRef::from(&self.stream).set_linger(most);
+        let _ = SockRef::from(&self.stream).set_linger(limit);
     }
 
     pub fn close(mut self, registry: &Registry) {
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -321,7 +321,8 @@
         true
     }
 
-    /// Handles the deadline of a silent watch, or the end of the delay before the next call. Returns whether a call has failed.
+    /// Handles the deadline of a silent watch, or the end of the delay before the next call. Returns whether a call has
+    /// failed.
     pub fn timed_out(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
         self.deadline = None;
         match self.open {
@@ -349,12 +350,12 @@
             self.read_superseded(key, turn, &mut hear);
             return false;
         }
-        let mut heard = false;
+        let mut received_list = false;
         let read = self.read(key, turn, &mut |complete, list| {
-            heard = true;
+            received_list = true;
             hear(complete, list);
         });
-        if heard {
+        if received_list {
             // A list from a previous address is older than this one.
             self.close_superseded(turn);
         }
@@ -378,14 +379,14 @@
         }
         watch.connection.flush().map_err(broken)?;
         loop {
-            let over = watch.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err()
+            let ended = watch.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err()
                 || watch.connection.ended;
             let full = watch.connection.full;
             if !watch.head_read {
-                watch.turned_away = over;
+                watch.turned_away = ended;
                 match http::watch_response_head(&watch.connection.input) {
                     Ok(Some(head)) => watch.connection.consume(head),
-                    Ok(None) if over => return Err("the connection ended before a response".to_string()),
+                    Ok(None) if ended => return Err("the connection ended before a response".to_string()),
                     Ok(None) => return Ok(()),
                     Err(http::MessageError(status)) => {
                         watch.turned_away = true;
@@ -402,8 +403,9 @@
                 self.schedule.data_received();
                 turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(turn.now + MAX_SILENCE));
             }
-            let whole = watch.scanner.whole(&watch.text);
-            for list in serde_json::Deserializer::from_slice(&watch.text[..whole]).into_iter::<Value>() {
+            let complete_len = watch.scanner.complete_len(&watch.text);
+            for list in serde_json::Deserializer::from_slice(&watch.text[..complete_len]).into_iter::<Value>()
+            {
                 let list = list.map_err(|e| format!("bad list: {e}"))?;
                 let (version, complete) = version(&list)?;
                 // Danger: if a list were applied up to an invalid entry, the rest would be lost.
@@ -420,9 +422,9 @@
                 self.schedule.list_received();
                 hear(complete, list);
             }
-            watch.drop_processed(whole)?;
-            // Danger: a watch with only heartbeats is healthy too; if earlier failures stayed counted, the next call would be
-            // delayed for long.
+            watch.drop_processed(complete_len)?;
+            // Danger: a watch with only heartbeats is healthy too; if earlier failures stayed counted, the next call
+            // would be delayed for long.
             if any && watch.text.is_empty() {
                 watch.received = true;
                 self.schedule.list_received();
@@ -430,7 +432,7 @@
             if let Some(what) = chunk_error {
                 return Err(what.to_string());
             }
-            if over {
+            if ended {
                 return Err("the watch was closed or reset".to_string());
             }
             if !full {
@@ -458,19 +460,20 @@
             return Ok(None);
         }
         self.connection.flush().map_err(broken)?;
-        let over =
+        let ended =
             self.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err() || self.connection.ended;
         if !self.head_read {
             match http::watch_response_head(&self.connection.input) {
                 Ok(Some(head)) => self.connection.consume(head),
-                Ok(None) if !over => return Ok(None),
+                Ok(None) if !ended => return Ok(None),
                 _ => return Err("no list".to_string()),
             }
             self.head_read = true;
         }
         let (_, chunk_error) = self.take_chunks();
-        let whole = self.scanner.whole(&self.text);
-        let first = serde_json::Deserializer::from_slice(&self.text[..whole]).into_iter::<Value>().next();
+        let complete_len = self.scanner.complete_len(&self.text);
+        let first =
+            serde_json::Deserializer::from_slice(&self.text[..complete_len]).into_iter::<Value>().next();
         match first {
             Some(list) => {
                 let list = list.map_err(|e| format!("bad list: {e}"))?;
@@ -478,12 +481,13 @@
                 entries(&list, |_, _, _, _, _| {})?;
                 Ok(Some((complete, list)))
             }
-            None if over || chunk_error.is_some() => Err("no list".to_string()),
+            None if ended || chunk_error.is_some() => Err("no list".to_string()),
             None => Ok(None),
         }
     }
 
-    /// Moves the data of complete chunks to `text`. Returns whether there was any, and what ends or breaks the watch after it.
+    /// Moves the data of complete chunks to `text`. Returns whether there was any, and what ends or breaks the watch
+    /// after it.
     fn take_chunks(&mut self) -> (bool, Option<&'static str>) {
         let (input, mut done) = (&self.connection.input, 0);
         let chunk_error = loop {
@@ -502,8 +506,8 @@
     }
 
     /// Drops the processed lists and heartbeats.
-    fn drop_processed(&mut self, whole: usize) -> Result<(), String> {
-        self.text.drain(..whole);
+    fn drop_processed(&mut self, complete_len: usize) -> Result<(), String> {
+        self.text.drain(..complete_len);
         if self.text.trim_ascii_start().is_empty() {
             (self.text, self.scanner.scanned) = (Vec::new(), 0);
         }
--- a/crates/sidecar/src/net/discovery/format.rs
+++ b/crates/sidecar/src/net/discovery/format.rs
@@ -55,8 +55,8 @@
 
 impl ListScanner {
     /// The number of bytes at the start of the buffer that hold complete lists. Bytes already scanned are skipped.
-    pub fn whole(&mut self, buffer: &[u8]) -> usize {
-        let mut whole = 0;
+    pub fn complete_len(&mut self, buffer: &[u8]) -> usize {
+        let mut complete_len = 0;
         for (at, byte) in buffer.iter().enumerate().skip(self.scanned) {
             match byte {
                 _ if std::mem::take(&mut self.escaped) => {}
@@ -66,23 +66,23 @@
                 b'}' if !self.in_string => {
                     self.depth = self.depth.saturating_sub(1);
                     if self.depth == 0 {
-                        whole = at + 1;
+                        complete_len = at + 1;
                     }
                 }
                 _ => {}
             }
         }
-        self.scanned = buffer.len() - whole;
-        whole
+        self.scanned = buffer.len() - complete_len;
+        complete_len
     }
 }
 
 /// The complete entries in a truncated list that say that an endpoint is draining or removed.
 pub fn salvage(part: &[u8]) -> Vec<Value> {
     let starts = part.iter().enumerate().filter(|(_, byte)| **byte == b'{').map(|(at, _)| at);
-    let whole = starts.filter_map(|at| {
+    let entries = starts.filter_map(|at| {
         let entry = serde_json::Deserializer::from_slice(&part[at..]).into_iter::<Value>().next();
         entry?.ok().filter(|entry| matches!(entry["status"].as_str(), Some("draining" | "removed")))
     });
-    whole.collect()
+    entries.collect()
 }
--- a/crates/sidecar/src/net/discovery/schedule.rs
+++ b/crates/sidecar/src/net/discovery/schedule.rs
@@ -1,8 +1,8 @@
 //! When discovery is called: pure arithmetic on how earlier calls have ended, with seeded jitter.
 //!
 //! Two bounds must hold for every sequence of failures: a change is received within `NOTIFIED_AFTER` of the service's
-//! recovery, and within `NOTIFIED_AFTER_MOVE` of a new configuration with the service's address. The sums behind these bounds
-//! are asserted below.
+//! recovery, and within `NOTIFIED_AFTER_MOVE` of a new configuration with the service's address. The sums behind these
+//! bounds are asserted below.
 
 use appledyke::units::{Moment, Span};
 use oorandom::Rand64;
@@ -22,8 +22,8 @@
 pub const CALL_TIMEOUT: Span = Span::from_millis(3200);
 /// The longest silence of a watch: the heartbeat interval of 2 s, with a margin for a busy service.
 pub const MAX_SILENCE: Span = Span::from_millis(2800);
-/// Time limit for answering the first call after such a silence. Danger: changes that a silent watch misses count as notified
-/// 6 s after it fell silent, so if that call is lost there must be time for another.
+/// Time limit for answering the first call after such a silence. Danger: changes that a silent watch misses count as
+/// notified 6 s after it fell silent, so if that call is lost there must be time for another.
 const ANSWER_TIMEOUT_AFTER_SILENCE: Span = Span::from_millis(1500);
 /// With lists pushed by an agent: the time limit for answering a call, doubled with each failure up to the maximum, and the
 /// longest delay between two calls. Danger: what the agent receives when its service recovers counts as notified at once,
--- a/crates/sidecar/src/net/http.rs
+++ b/crates/sidecar/src/net/http.rs
@@ -331,8 +331,8 @@
 }
 
 /// The last line of such a head: the time remaining when the request is sent.
-pub fn remaining_time_line(left: Span) -> String {
-    format!("X-Remaining-Ms: {}\r\n\r\n", left.nanos() / 1_000_000)
+pub fn remaining_time_line(remaining: Span) -> String {
+    format!("X-Remaining-Ms: {}\r\n\r\n", remaining.nanos() / 1_000_000)
 }
 
 /// Writes the head of an endpoint's response as it is forwarded to a client.
@@ -425,12 +425,12 @@
 }
 
 /// The first chunk in the buffer, once it is complete: where its data starts, its size, and its end.
-pub fn chunk(buffer: &[u8], most: usize) -> Result<Option<(usize, usize, usize)>, MessageError> {
+pub fn chunk(buffer: &[u8], limit: usize) -> Result<Option<(usize, usize, usize)>, MessageError> {
     let (line, size) = match httparse::parse_chunk_size(buffer).map_err(|_| MALFORMED)? {
         Status::Complete((line, size)) => (line, usize::try_from(size).unwrap_or(usize::MAX)),
         Status::Partial => return Ok(None),
     };
-    if size > most {
+    if size > limit {
         return Err(BODY_TOO_LARGE);
     }
     Ok((buffer.len() >= line + size + 2).then_some((line, size, line + size + 2)))
@@ -457,7 +457,7 @@
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmenu\r\n0\r\n\r\n",
             b"HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
         ];
-        let (mut random, mut whole) = (oorandom::Rand32::new(7), 0);
+        let (mut random, mut complete) = (oorandom::Rand32::new(7), 0);
         for round in 0..40_000 {
             let mut buffer = valid[round % valid.len()].to_vec();
             for _ in 0..random.rand_range(0..4) {
@@ -478,9 +478,9 @@
             };
             if let Ok(ReadState::Complete(frame) | ReadState::Streamed(frame, _)) = found {
                 assert!(frame.head + frame.body <= frame.end && frame.end <= buffer.len());
-                whole += 1;
+                complete += 1;
             }
         }
-        assert!(whole > 10_000, "{whole}");
+        assert!(complete > 10_000, "{complete}");
     }
 }
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -17,9 +17,9 @@
 /// The share of the endpoints' idle timeout after which this side closes an idle connection, well before they do.
 const IDLE_TIMEOUT_SHARE: f64 = 0.75;
 /// How long a connection should stay idle after a response before it carries the next request, so that stray bytes behind
-/// the response show up first: they were seen 1 to 3.5 ms late. While stray bytes have been seen within `STRAY_BYTES_MEMORY`, a new
-/// connection is opened rather than one reused sooner. Otherwise the one idle for longest is reused, as opening another
-/// costs the endpoint work.
+/// the response show up first: they were seen 1 to 3.5 ms late. While stray bytes have been seen within
+/// `STRAY_BYTES_MEMORY`, a new connection is opened rather than one reused sooner. Otherwise the one idle for longest is
+/// reused, as opening another costs the endpoint work.
 const REUSE_DELAY: Span = Span::from_millis(4);
 const STRAY_BYTES_MEMORY: Span = Span::from_millis(60_000);
 /// How long a response of unknown length is buffered while more of it arrives, before it is streamed.
@@ -94,8 +94,8 @@
         u64::from(newly)
     }
 
-    /// The deadline for its attempt. Danger: a request's deadlines run from its last byte, so while its body is streamed only
-    /// a stall ends the attempt.
+    /// The deadline for its attempt. Danger: a request's deadlines run from its last byte, so while its body is streamed
+    /// only a stall ends the attempt.
     fn deadline_for(&self, give_up: Moment, now: Moment) -> Moment {
         if self.streamed_body.is_some() { now + STREAM_TIMEOUT } else { give_up }
     }
@@ -217,13 +217,13 @@
             let (all, out) = &mut held[link.endpoint];
             (*all, *out) = (*all + 1, *out + usize::from(link.active.is_some()));
         }
-        held.into_iter().fold((0, 0), |most, held| (most.0.max(held.0), most.1.max(held.1)))
+        held.into_iter().fold((0, 0), |max, held| (max.0.max(held.0), max.1.max(held.1)))
     }
 
-    /// Closes idle connections of endpoints that have more than `most` connections.
-    pub fn trim(&mut self, most: u64, turn: &mut Turn) {
+    /// Closes idle connections of endpoints that have more than `limit` connections.
+    pub fn trim(&mut self, limit: u64, turn: &mut Turn) {
         for endpoint in 0..self.endpoints.len() {
-            let over = (self.connection_counts(endpoint).0 as u64).saturating_sub(most) as usize;
+            let over = (self.connection_counts(endpoint).0 as u64).saturating_sub(limit) as usize;
             let idle: Vec<Key> =
                 self.endpoints[endpoint].idle.iter().take(over).map(|(key, _)| *key).collect();
             idle.into_iter().for_each(|key| self.close(key, turn));
@@ -300,7 +300,7 @@
             .and_then(|state| state.address)
             .ok_or(AttemptResult::ConnectFailed)?;
         let full =
-            self.max_per_endpoint.is_some_and(|most| self.connection_counts(endpoint).0 as u64 >= most);
+            self.max_per_endpoint.is_some_and(|limit| self.connection_counts(endpoint).0 as u64 >= limit);
         if full || turn.free_connections <= 0 && !self.evict_idle(turn) {
             return Err(AttemptResult::NoCapacity);
         }
@@ -370,8 +370,9 @@
             return None;
         };
         if !link.up {
-            // Danger: after a stall of this process, the connect's completion is seen before its timeout is checked. The request
-            // would be written though nobody waits for it any more, or though its endpoint has begun to drain since.
+            // Danger: after a stall of this process, the connect's completion is seen before its timeout is checked. The
+            // request would be written though nobody waits for it any more, or though its endpoint has begun to drain
+            // since.
             if link.deadline.is_some_and(|at| at <= turn.now) {
                 let ending = link.connect_result(carried, turn.now);
                 return self.end(key, ending, turn);
@@ -398,16 +399,16 @@
         let late = link.buffered_since.is_some_and(|since| turn.now.since(since) >= MAX_BUFFERING);
         // Bytes read before the connection broke are still used.
         let ending = match http::response(&mut link.connection.input, ended, late) {
-            // Danger: a reset does not complete a response that is delimited by the close, and once the response to the client
-            // has begun, no other endpoint can answer.
+            // Danger: a reset does not complete a response that is delimited by the close, and once the response to the
+            // client has begun, no other endpoint can answer.
             Ok((ReadState::Streamed(_, body), ..)) if read.is_err() && body.is_until_close() => {
                 AttemptResult::Broken { request_sent }
             }
             Ok((message @ (ReadState::Complete(_) | ReadState::Streamed(..)), status, turned_away)) => {
-                let works = !ended && read.is_ok() && written.is_ok();
+                let io_ok = !ended && read.is_ok() && written.is_ok();
                 let (frame, long) = match message {
                     ReadState::Complete(frame) => {
-                        (Frame { keep: frame.keep && request_sent && works, ..frame }, None)
+                        (Frame { keep: frame.keep && request_sent && io_ok, ..frame }, None)
                     }
                     ReadState::Streamed(frame, body) => {
                         (Frame { keep: frame.keep && request_sent, ..frame }, Some(body))
@@ -480,8 +481,8 @@
     pub fn send_body(&mut self, key: Key, data: Option<&[u8]>, turn: &mut Turn) -> Option<EndedAttempt> {
         let link = self.links.get_mut(key)?;
         let (carried, streamed_body) = (link.active?, link.streamed_body?);
-        let (before, behind) = http::chunk_framing(streamed_body, data);
-        if link.connection.send(&[before.as_bytes(), data.unwrap_or_default(), behind]).is_err() {
+        let (before, after) = http::chunk_framing(streamed_body, data);
+        if link.connection.send(&[before.as_bytes(), data.unwrap_or_default(), after]).is_err() {
             return self.end(key, AttemptResult::Broken { request_sent: false }, turn);
         }
         let mut give_up = carried.give_up;
@@ -672,8 +673,9 @@
         assert_eq!(turn.deadlines.next(), Some(turn.now + Span::from_millis(4000) * IDLE_TIMEOUT_SHARE));
     }
 
-    /// Danger: a late turn of the event loop sees that a connect has completed before it checks the timeout, and would write a
-    /// request that nobody waits for, that its group may have forgotten, or that its endpoint may no longer be sent.
+    /// Danger: a late turn of the event loop sees that a connect has completed before it checks the timeout, and would
+    /// write a request that nobody waits for, that its group may have forgotten, or that its endpoint may no longer be
+    /// sent.
     #[test]
     fn connect_that_completes_after_its_timeout_sends_nothing() {
         for (give_up, ending) in
@@ -697,8 +699,8 @@
         }
     }
 
-    /// Danger: if an endpoint's index is reused while a response is streamed, its connection would carry the next request for
-    /// the new endpoint of that index to the old one.
+    /// Danger: if an endpoint's index is reused while a response is streamed, its connection would carry the next request
+    /// for the new endpoint of that index to the old one.
     #[test]
     fn connection_is_closed_if_its_endpoint_index_is_reused_while_streaming() {
         let other = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -760,7 +762,8 @@
         answered(&mut servers, &mut turn, keys[0], &mut peers[0]);
         turn.now = turn.now + REUSE_DELAY;
         answered(&mut servers, &mut turn, keys[1], &mut peers[1]);
-        // The first has been idle for `REUSE_DELAY`. While it is in use the second is reused all the same, and no third is opened.
+        // The first has been idle for `REUSE_DELAY`. While it is in use the second is reused all the same, and no third
+        // is opened.
         assert_eq!(send(&mut servers, &mut turn), keys[0]);
         assert_eq!(send(&mut servers, &mut turn), keys[1]);
         // Neither has been idle for `REUSE_DELAY`: the one that was answered first is used.
