--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use crate::fleet::{self, Agreed};
-use crate::net::{http, list, operator};
+use crate::net::{discovery, http, operator};
 
 /// Descriptors kept for all that is not a connection of a client or an endpoint: standard streams, the poll,
 /// signals, the listener and the list.
@@ -384,10 +384,10 @@
         let stops = stops.filter(|stops| *stops > Span::ZERO);
         let sockets = limit(&file, "sockets", SOCKETS)? as usize;
         let memory = limit(&file, "memory_mb", MEMORY_MB)? as f64 * 1e6 * BUFFERS_SHARE;
-        let in_memory = (memory / (2.0 * http::MESSAGE_MOST as f64)) as usize;
+        let in_memory = (memory / (2.0 * http::MAX_MESSAGE_BYTES as f64)) as usize;
         let member = fleet::Terms::read(&file)?;
         let kept = SOCKETS_KEPT
-            + operator.map_or(0, |_| operator::SOCKETS)
+            + operator.map_or(0, |_| operator::MAX_DESCRIPTORS)
             + member.as_ref().map_or(0, |_| fleet::SOCKETS);
         let connections = sockets.saturating_sub(kept).min(in_memory);
         if connections < CONNECTIONS_LEAST {
@@ -409,8 +409,8 @@
         let connections = connections.min(within);
         if !file["known"].is_null() {
             let known = &file["known"];
-            list::version(known)
-                .and_then(|_| list::entries(known, |_, _, _, _, _| {}))
+            discovery::version(known)
+                .and_then(|_| discovery::entries(known, |_, _, _, _, _| {}))
                 .map_err(|what| format!("known.{what}"))?;
         }
         let fixed = Fixed { name, listen, operator, connections, fleet: member, watches: watched.is_some() };
--- /dev/null
+++ b/crates/sidecar/src/net/discovery.rs
@@ -0,0 +1,523 @@
+//! The endpoint list: a watch on service discovery, opened on request and reopened when it breaks.
+
+mod format;
+pub mod schedule;
+
+use std::net::SocketAddr;
+
+use appledyke::units::Moment;
+use serde_json::{Value, json};
+
+use format::{ListScanner, salvage};
+pub use format::{entries, version};
+use schedule::{
+    CALL_TIMEOUT, CONNECT_TIMEOUT, CallEnd, Callers, LIST_STALL_TIMEOUT, LIST_TIMEOUT, MAX_SILENCE, Schedule,
+};
+
+use super::connection::{self, Connection};
+use super::deadlines::Due;
+use super::http;
+use super::slots::{Key, Peer, Slots};
+use super::{DESCRIPTOR_RETRY, Turn};
+use crate::figures::Discovery;
+
+/// The maximum size of a list in bytes: enough for a complete list of many thousand endpoints.
+const MAX_LIST_BYTES: usize = 4 << 20;
+
+struct Watch {
+    connection: Connection,
+    /// When the call was started.
+    since: Moment,
+    up: bool,
+    head_read: bool,
+    /// Any chunk has been received; and a complete list or heartbeat has.
+    any_received: bool,
+    received: bool,
+    /// The service ended it without a list: by another response, or by a reset.
+    turned_away: bool,
+    /// The received data that is not a complete list yet, and the scanner that finds where a list ends in it.
+    text: Vec<u8>,
+    scanner: ListScanner,
+    /// Since when part of a list has been buffered.
+    partial_since: Option<Moment>,
+}
+
+impl Watch {
+    /// Whether part of a list has been received.
+    fn partial(&self) -> bool {
+        !self.text.is_empty() || self.head_read && !self.connection.input.is_empty()
+    }
+
+    /// What has been received of an incomplete list.
+    fn partial_list(&self) -> Option<Vec<u8>> {
+        let input = if self.head_read { &self.connection.input[..] } else { &[] };
+        // Danger: the size line of an incomplete chunk would corrupt the entry that it splits.
+        let line = http::chunk_data_start(input).unwrap_or(0);
+        self.partial().then(|| [&self.text[..], &input[line..]].concat())
+    }
+}
+
+pub struct DiscoveryClient {
+    at: SocketAddr,
+    /// Slots give each watch a token of its own.
+    watches: Slots<Watch>,
+    /// The call, or the watch, at the current address.
+    open: Option<Key>,
+    /// The oldest unanswered call at a previous address, kept until the current address has sent a list. Danger: the service
+    /// processes such a call anyway, and each of a series of new configurations would give up its position in the service's
+    /// queue and start again behind all others.
+    superseded: Option<Key>,
+    watch_wanted: bool,
+    /// The number of calls made.
+    pub calls_made: u64,
+    deadline: Option<Moment>,
+    /// A call that is due failed for lack of a file descriptor.
+    pub lacks_descriptor: bool,
+    schedule: Schedule,
+    /// Counters of how calls ended, for the metrics.
+    call_counts: Discovery,
+    /// When a list or a heartbeat last arrived; before the first one, when a watch was first wanted.
+    last_heard: Option<Moment>,
+    /// The last version received from this address.
+    version: u64,
+    /// The entries of a truncated list for endpoints that are draining or removed.
+    salvaged: Vec<Value>,
+}
+
+impl DiscoveryClient {
+    /// Follows the list at this address, of which this version is known.
+    pub fn new(at: SocketAddr, version: u64, seed: u64, callers: Callers) -> DiscoveryClient {
+        DiscoveryClient {
+            at,
+            watches: Slots::default(),
+            open: None,
+            superseded: None,
+            watch_wanted: false,
+            calls_made: 0,
+            deadline: None,
+            lacks_descriptor: false,
+            schedule: Schedule::new(callers, seed),
+            call_counts: Discovery::default(),
+            last_heard: None,
+            version,
+            salvaged: Vec::new(),
+        }
+    }
+
+    /// The last version received from this address.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// The discovery metrics.
+    pub fn figures(&self, now: Moment) -> Discovery {
+        let silent_ms = self.last_heard.map_or(0, |at| now.since(at).nanos() / 1_000_000);
+        Discovery { calls: self.calls_made, version: self.version, silent_ms, ..self.call_counts }
+    }
+
+    /// Sets who else calls the same service.
+    pub fn set_callers(&mut self, callers: Callers) {
+        self.schedule.callers = callers;
+    }
+
+    /// Requests a watch, which is opened now if `may` allows it. Returns whether the call failed immediately.
+    pub fn start_watch(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
+        // A call that waits after a failure is not brought forward: the service may be down.
+        if std::mem::replace(&mut self.watch_wanted, true) {
+            return false;
+        }
+        self.schedule.watch_wanted(turn.now);
+        self.last_heard = Some(turn.now);
+        self.open_if_allowed(may, turn)
+    }
+
+    /// Opens a watch if that is allowed now. Otherwise it waits as long as after a first failure, without counting as one.
+    fn open_if_allowed(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
+        let allowed = self.lacks_descriptor || may();
+        match if allowed { None } else { self.schedule.defer(turn.now) } {
+            None => self.open(turn),
+            Some(again) => {
+                turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(again));
+                false
+            }
+        }
+    }
+
+    /// Sets the address of the list. Unread lists from the watch on the previous address are passed to `hear` first. Returns
+    /// whether a call to the new address failed immediately.
+    pub fn set_address(
+        &mut self,
+        at: SocketAddr,
+        may: impl FnOnce() -> bool,
+        turn: &mut Turn,
+        hear: impl FnMut(bool, Value),
+    ) -> bool {
+        if self.at == at {
+            return false;
+        }
+        // Danger: what the service has written to this watch counts as notified, and would be dropped with it.
+        if let Some(key) = self.open {
+            self.ready(key, turn, hear);
+        }
+        if let Some(partial_list) =
+            self.open.and_then(|key| self.watches.get(key)).and_then(Watch::partial_list)
+        {
+            self.salvaged = salvage(&partial_list);
+        }
+        self.at = at;
+        // Danger: another service numbers versions on its own, and would send only changes after the old service's number.
+        self.version = 0;
+        self.call_counts.moves += 1;
+        let next = self.schedule.address_changed(turn.now);
+        self.supersede(turn);
+        // Danger: what the new address has counts as notified, even if a process that has just started wanted no watch yet.
+        self.watch_wanted = true;
+        self.last_heard.get_or_insert(turn.now);
+        if next <= turn.now {
+            return self.open_if_allowed(may, turn);
+        }
+        // A call that was waiting for a descriptor is replaced by the one to the new address.
+        self.lacks_descriptor = false;
+        turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(next));
+        false
+    }
+
+    fn close(&mut self, turn: &mut Turn) {
+        let open = self.open.take();
+        self.close_watch(open, turn);
+    }
+
+    fn close_watch(&mut self, key: Option<Key>, turn: &mut Turn) {
+        if let Some(watch) = key.and_then(|key| self.watches.remove(key)) {
+            watch.connection.close(&turn.registry);
+        }
+    }
+
+    /// Closes the watch on the address that is being replaced. An unanswered call is kept, unless an older one is already.
+    fn supersede(&mut self, turn: &mut Turn) {
+        let waits = |key: &Key| self.watches.get(*key).is_some_and(|watch| !watch.received);
+        let kept = self.open.filter(waits).filter(|_| !self.schedule.callers.pushed);
+        if self.superseded.is_none() && kept.is_some() {
+            self.superseded = self.open.take();
+        }
+        self.close(turn);
+    }
+
+    fn close_superseded(&mut self, turn: &mut Turn) {
+        let superseded = self.superseded.take();
+        self.close_watch(superseded, turn);
+    }
+
+    /// Reads from the call at a previous address and passes its first list to `hear`.
+    fn read_superseded(&mut self, key: Key, turn: &mut Turn, hear: &mut impl FnMut(bool, Value)) {
+        let Some(watch) = self.watches.get_mut(key) else { return };
+        let in_time = turn.now.since(watch.since) <= CALL_TIMEOUT + LIST_STALL_TIMEOUT;
+        match watch.first_list() {
+            Ok(None) if in_time => return,
+            Ok(Some((complete, list))) if in_time => {
+                let took = turn.now.since(watch.since).secs() * 1e3;
+                log::info!(
+                    "list: version {} received from a previous address, {took:.0} ms after the call",
+                    list["index"]
+                );
+                hear(complete, list);
+            }
+            _ => {}
+        }
+        self.close_superseded(turn);
+    }
+
+    /// Retries the call that failed for lack of a file descriptor. Returns whether it failed immediately.
+    pub fn retry_call(&mut self, turn: &mut Turn) -> bool {
+        self.open(turn)
+    }
+
+    fn open(&mut self, turn: &mut Turn) -> bool {
+        let lacked_before = std::mem::take(&mut self.lacks_descriptor);
+        let (at, call) = (self.at, http::watch_request(self.at, self.version));
+        let since = turn.now;
+        self.calls_made += 1;
+        self.schedule.call_started();
+        let opened = self.watches.insert_with(|key| {
+            let mut connection = Connection::open(at, &turn.registry, Peer::Discovery(key).token())?;
+            connection.queue(&[&call], 0);
+            let (text, scanner) = (Vec::new(), ListScanner::default());
+            Ok::<_, std::io::Error>(Watch {
+                connection,
+                since,
+                up: false,
+                head_read: false,
+                any_received: false,
+                received: false,
+                turned_away: false,
+                text,
+                scanner,
+                partial_since: None,
+            })
+        });
+        match opened {
+            Ok(key) => {
+                log::info!(
+                    "list at {at}: call {}, since version {}, after {} failures",
+                    self.calls_made,
+                    self.version,
+                    self.schedule.failures()
+                );
+                self.open = Some(key);
+                turn.deadlines.reschedule(
+                    Due::Discovery,
+                    &mut self.deadline,
+                    Some(turn.now + CONNECT_TIMEOUT),
+                );
+                false
+            }
+            // Danger: counted as a failure of the service, each would lengthen the delay before the next call.
+            Err(e) if connection::lacks_descriptor(&e) => {
+                if !lacked_before {
+                    log::warn!("list at {at}: {e}");
+                }
+                self.lacks_descriptor = true;
+                turn.deadlines.reschedule(
+                    Due::Discovery,
+                    &mut self.deadline,
+                    Some(turn.now + DESCRIPTOR_RETRY),
+                );
+                false
+            }
+            Err(e) => self.fail(&e.to_string(), turn),
+        }
+    }
+
+    /// Handles a failed call or a watch that has ended: the known list stays in force, and the next call is scheduled.
+    fn fail(&mut self, what: &str, turn: &mut Turn) -> bool {
+        // Danger: the sidecar counts as notified even of a list that was truncated. Its drains are applied;
+        // everything else waits for the complete list, which will be sent again as the version is unchanged.
+        let open = self.open.and_then(|key| self.watches.get(key));
+        let partial_list = open.and_then(Watch::partial_list);
+        let since = open.filter(|watch| !watch.received).map_or(turn.now, |watch| watch.since);
+        let end = match open {
+            _ if partial_list.is_some() => CallEnd::Truncated,
+            Some(watch) if watch.turned_away => CallEnd::Rejected,
+            _ => CallEnd::Lost,
+        };
+        let open_since = open.map_or(turn.now, |watch| watch.since);
+        self.salvaged = salvage(partial_list.as_deref().unwrap_or_default());
+        self.close(turn);
+        match end {
+            CallEnd::Rejected => self.call_counts.turned_away += 1,
+            CallEnd::Truncated => self.call_counts.torn += 1,
+            CallEnd::Lost => self.call_counts.lost += 1,
+        }
+        let next = self.schedule.call_failed(since, turn.now, end);
+        let took = turn.now.since(open_since).secs() * 1e3;
+        let wait = next.since(turn.now).secs() * 1e3;
+        log::warn!(
+            "list at {}, version {}: {what}; call {} took {took:.0} ms, next in {wait:.0} ms",
+            self.at,
+            self.version,
+            self.calls_made
+        );
+        turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(next));
+        true
+    }
+
+    /// Handles the deadline of a silent watch, or the end of the delay before the next call. Returns whether a call has
+    /// failed.
+    pub fn timed_out(&mut self, may: impl FnOnce() -> bool, turn: &mut Turn) -> bool {
+        self.deadline = None;
+        match self.open {
+            Some(key) => {
+                if self.watches.get(key).is_some_and(|watch| watch.any_received) {
+                    self.schedule.watch_fell_silent();
+                }
+                self.fail("timed out with nothing received", turn)
+            }
+            None => self.open_if_allowed(may, turn),
+        }
+    }
+
+    /// Takes the entries salvaged from a truncated list, as a partial list.
+    pub fn take_salvaged(&mut self) -> Option<Value> {
+        let entries = std::mem::take(&mut self.salvaged);
+        let list = || json!({"index": self.version, "snapshot": false, "endpoints": entries});
+        (!entries.is_empty()).then(list).filter(|list| self::entries(list, |_, _, _, _, _| {}).is_ok())
+    }
+
+    /// Reads from the watch: each valid list is passed to `hear`, with whether it is complete. Returns whether the call has
+    /// failed.
+    pub fn ready(&mut self, key: Key, turn: &mut Turn, mut hear: impl FnMut(bool, Value)) -> bool {
+        if self.superseded == Some(key) {
+            self.read_superseded(key, turn, &mut hear);
+            return false;
+        }
+        let mut received_list = false;
+        let read = self.read(key, turn, &mut |complete, list| {
+            received_list = true;
+            hear(complete, list);
+        });
+        if received_list {
+            // A list from a previous address is older than this one.
+            self.close_superseded(turn);
+        }
+        match read {
+            Ok(()) => false,
+            Err(what) => self.fail(&what, turn),
+        }
+    }
+
+    fn read(&mut self, key: Key, turn: &mut Turn, hear: &mut impl FnMut(bool, Value)) -> Result<(), String> {
+        let Some(watch) = self.watches.get(key) else { return Ok(()) };
+        let answer_by = self.schedule.answer_deadline(watch.since, turn.now);
+        let Some(watch) = self.watches.get_mut(key) else { return Ok(()) };
+        let broken = |e: std::io::Error| e.to_string();
+        if !watch.up {
+            watch.up = watch.connection.is_up().map_err(broken)?;
+            if !watch.up {
+                return Ok(());
+            }
+            turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(answer_by));
+        }
+        watch.connection.flush().map_err(broken)?;
+        loop {
+            let ended = watch.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err()
+                || watch.connection.ended;
+            let full = watch.connection.full;
+            if !watch.head_read {
+                watch.turned_away = ended;
+                match http::watch_response_head(&watch.connection.input) {
+                    Ok(Some(head)) => watch.connection.consume(head),
+                    Ok(None) if ended => return Err("the connection ended before a response".to_string()),
+                    Ok(None) => return Ok(()),
+                    Err(http::MessageError(status)) => {
+                        watch.turned_away = true;
+                        return Err(format!("answered {status}"));
+                    }
+                }
+                (watch.head_read, watch.turned_away) = (true, false);
+            }
+            // Danger: data received before an end or an error counts as notified, so it is applied first.
+            let (any, chunk_error) = watch.take_chunks();
+            if any {
+                watch.any_received = true;
+                self.last_heard = Some(turn.now);
+                self.schedule.data_received();
+                turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(turn.now + MAX_SILENCE));
+            }
+            let complete_len = watch.scanner.complete_len(&watch.text);
+            for list in serde_json::Deserializer::from_slice(&watch.text[..complete_len]).into_iter::<Value>()
+            {
+                let list = list.map_err(|e| format!("bad list: {e}"))?;
+                let (version, complete) = version(&list)?;
+                // Danger: if a list were applied up to an invalid entry, the rest would be lost.
+                entries(&list, |_, _, _, _, _| {})?;
+                if version != self.version || !watch.received {
+                    let took = turn.now.since(watch.since).secs() * 1e3;
+                    log::info!(
+                        "list at {}: version {version} received, complete {complete}, {took:.0} ms after call {}",
+                        self.at,
+                        self.calls_made
+                    );
+                }
+                (self.version, watch.received) = (version, true);
+                self.schedule.list_received();
+                hear(complete, list);
+            }
+            watch.drop_processed(complete_len)?;
+            // Danger: a watch with only heartbeats is healthy too; if earlier failures stayed counted, the next call
+            // would be delayed for long.
+            if any && watch.text.is_empty() {
+                watch.received = true;
+                self.schedule.list_received();
+            }
+            if let Some(what) = chunk_error {
+                return Err(what.to_string());
+            }
+            if ended {
+                return Err("the watch was closed or reset".to_string());
+            }
+            if !full {
+                // Danger: without a deadline of its own, a list that stalls would be waited for as long as a heartbeat.
+                watch.partial_since = watch.partial().then(|| watch.partial_since.unwrap_or(turn.now));
+                if let Some(since) = watch.partial_since {
+                    let until = (turn.now + LIST_STALL_TIMEOUT).min(since + LIST_TIMEOUT);
+                    // Danger: a first list that trickles in would add to all the time that the call has taken.
+                    let first = watch.since + CALL_TIMEOUT + LIST_STALL_TIMEOUT;
+                    let until = if watch.received { until } else { until.min(first) };
+                    turn.deadlines.reschedule(Due::Discovery, &mut self.deadline, Some(until));
+                }
+                return Ok(());
+            }
+        }
+    }
+}
+
+impl Watch {
+    /// The first list of a call that has sent none yet, and whether it is complete; `None` if more data is needed.
+    fn first_list(&mut self) -> Result<Option<(bool, Value)>, String> {
+        let broken = |e: std::io::Error| e.to_string();
+        self.up = self.up || self.connection.is_up().map_err(broken)?;
+        if !self.up {
+            return Ok(None);
+        }
+        self.connection.flush().map_err(broken)?;
+        let ended =
+            self.connection.fill(MAX_LIST_BYTES + http::MAX_HEAD_BYTES).is_err() || self.connection.ended;
+        if !self.head_read {
+            match http::watch_response_head(&self.connection.input) {
+                Ok(Some(head)) => self.connection.consume(head),
+                Ok(None) if !ended => return Ok(None),
+                _ => return Err("no list".to_string()),
+            }
+            self.head_read = true;
+        }
+        let (_, chunk_error) = self.take_chunks();
+        let complete_len = self.scanner.complete_len(&self.text);
+        let first =
+            serde_json::Deserializer::from_slice(&self.text[..complete_len]).into_iter::<Value>().next();
+        match first {
+            Some(list) => {
+                let list = list.map_err(|e| format!("bad list: {e}"))?;
+                let (_, complete) = version(&list)?;
+                entries(&list, |_, _, _, _, _| {})?;
+                Ok(Some((complete, list)))
+            }
+            None if ended || chunk_error.is_some() => Err("no list".to_string()),
+            None => Ok(None),
+        }
+    }
+
+    /// Moves the data of complete chunks to `text`. Returns whether there was any, and what ends or breaks the watch
+    /// after it.
+    fn take_chunks(&mut self) -> (bool, Option<&'static str>) {
+        let (input, mut done) = (&self.connection.input, 0);
+        let chunk_error = loop {
+            match http::chunk(&input[done..], MAX_LIST_BYTES) {
+                Ok(Some((_, 0, _))) => break Some("the service ended the watch"),
+                Ok(Some((data, size, end))) => {
+                    self.text.extend_from_slice(&input[done + data..done + data + size]);
+                    done += end;
+                }
+                Ok(None) => break None,
+                Err(_) => break Some("invalid chunk"),
+            }
+        };
+        self.connection.consume(done);
+        (done > 0, chunk_error)
+    }
+
+    /// Drops the processed lists and heartbeats.
+    fn drop_processed(&mut self, complete_len: usize) -> Result<(), String> {
+        self.text.drain(..complete_len);
+        if self.text.trim_ascii_start().is_empty() {
+            (self.text, self.scanner.scanned) = (Vec::new(), 0);
+        }
+        match self.text.trim_ascii_start().first() {
+            Some(first) if *first != b'{' => Err("bad list: not a JSON object".to_string()),
+            _ if self.text.len() > MAX_LIST_BYTES => Err("a list is too long".to_string()),
+            _ => Ok(()),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -24,14 +24,14 @@
 use crate::handover::{self, Latest};
 use crate::launch::{Fixed, Kept, Launch, Winner};
 use crate::net::body::{Body, Piece};
-use crate::net::clients::{Clients, Said, Sight};
-use crate::net::connection::Ending;
+use crate::net::clients::{ClientEvent, ClientState, Clients};
+use crate::net::connection::AttemptResult;
 use crate::net::deadlines::{Deadlines, Due};
+use crate::net::discovery::schedule::Callers;
+use crate::net::discovery::{self, DiscoveryClient};
 use crate::net::http::{Frame, Length};
-use crate::net::list::schedule::Callers;
-use crate::net::list::{self, List};
-use crate::net::operator::{self, Call, Operators};
-use crate::net::servers::{Carried, Ended, Message, PROBE, Servers};
+use crate::net::operator::{self, Command, Operators};
+use crate::net::servers::{ActiveAttempt, EndedAttempt, OutgoingRequest, PROBE, Servers};
 use crate::net::slots::{Key, Peer, Slots};
 use crate::net::{Turn, http};
 use crate::presence::{Others, Presence, Standing};
@@ -104,7 +104,7 @@
     places: Places,
     clients: Clients,
     servers: Servers,
-    list: List,
+    list: DiscoveryClient,
     /// Clients whose next request may have come already.
     look_again: Vec<Key>,
     /// Connections with more to pass on than a turn may take up: of clients, and of endpoints.
@@ -181,15 +181,19 @@
         };
         let now = clock.now();
         let registry = poll.registry().try_clone().map_err(|e| format!("poll: {e}"))?;
-        let mut turn =
-            Turn { now, registry, deadlines: Deadlines::default(), room: launch.fixed.connections as isize };
+        let mut turn = Turn {
+            now,
+            registry,
+            deadlines: Deadlines::default(),
+            free_connections: launch.fixed.connections as isize,
+        };
         let Fixed { name, listen, operator, connections, .. } = launch.fixed.clone();
         let clients = Clients::listen(listen, operator.is_some(), &mut turn)
             .map_err(|e| format!("listen: {listen}: {e}"))?;
         let operators =
             operator.map(|at| Operators::listen(at, &mut turn).map_err(|e| format!("operator: {at}: {e}")));
         let operators = operators.transpose()?;
-        let known = list::version(&launch.known).ok();
+        let known = discovery::version(&launch.known).ok();
         let callers = callers(&launch.terms);
         let unasked = callers.pushed;
         let mut sidecar = Sidecar {
@@ -207,7 +211,12 @@
             places,
             clients,
             servers: Servers::new(launch.connection_idle, launch.connect_timeout),
-            list: List::new(launch.discovery, known.map_or(0, |(version, _)| version), launch.seed, callers),
+            list: DiscoveryClient::new(
+                launch.discovery,
+                known.map_or(0, |(version, _)| version),
+                launch.seed,
+                callers,
+            ),
             look_again: Vec::new(),
             pass_again: Vec::new(),
             operators,
@@ -294,7 +303,7 @@
             // Danger: what was there before the poll may have come at any time since the one before, or while the process
             // stood still, and how old it is tells whether its client may have left behind it.
             let waited = self.turn.now.since(self.looked) >= POLL_WAITED;
-            self.clients.came_since = if waited { self.turn.now } else { last };
+            self.clients.input_since = if waited { self.turn.now } else { last };
             // Danger: who is on call waits a second at the most, however much else a turn brings.
             let came: Vec<Peer> =
                 self.later.drain(..).chain(events.iter().map(|event| Peer::of(event.token()))).collect();
@@ -320,12 +329,12 @@
             }
             self.stand();
             self.decide();
-            if self.clients.held_back {
+            if self.clients.accept_paused {
                 self.accept();
                 self.decide();
             }
             let over = self.leaving.is_some_and(|leaving| self.all_over(leaving));
-            if over || self.clients.none_left() {
+            if over || self.clients.is_closed() {
                 self.tell_watch();
                 self.farewell();
                 log::info!("left with all answered");
@@ -340,7 +349,7 @@
             Peer::Signal => self.told(),
             Peer::Client(key) => self.client_ready(key),
             Peer::Server(key) => self.server_ready(key),
-            Peer::List(key) => self.list_ready(key),
+            Peer::Discovery(key) => self.list_ready(key),
             Peer::Fleet(key) => self.fleet_ready(key),
             // These come first in a turn.
             Peer::Operators | Peer::Operator(_) => {}
@@ -375,7 +384,7 @@
     /// Nothing is left that is worth staying for. Danger: what an endpoint still gives of a long answer would be cut
     /// off; whoever cannot wait for it ends this process.
     fn all_over(&self, leaving: Leaving) -> bool {
-        let last = if self.servers.passing().next().is_some() { LEAVE_PASSING } else { LEAVE_LAST };
+        let last = if self.servers.forwarded_methods().next().is_some() { LEAVE_PASSING } else { LEAVE_LAST };
         self.turn.now >= leaving.until + last
     }
 
@@ -383,8 +392,9 @@
         loop {
             let brought = self.clients.accept(&mut self.turn);
             self.look_again.extend(brought);
-            let full = self.clients.held_back && (self.turn.room < 0 || self.clients.lacks_descriptor);
-            if !full || !self.servers.make_room(&mut self.turn) {
+            let full = self.clients.accept_paused
+                && (self.turn.free_connections < 0 || self.clients.lacks_descriptor);
+            if !full || !self.servers.evict_idle(&mut self.turn) {
                 return;
             }
         }
@@ -407,7 +417,7 @@
     fn make_room(&mut self) -> bool {
         let mut brought = Vec::new();
         let made =
-            self.clients.make_room(&mut self.turn, &mut brought) || self.servers.make_room(&mut self.turn);
+            self.clients.evict(&mut self.turn, &mut brought) || self.servers.evict_idle(&mut self.turn);
         self.look_again.extend(brought);
         made
     }
@@ -420,20 +430,20 @@
                 let said = self.clients.timed_out(key, turn);
                 self.said(key, said);
             }
-            Due::Server(key) if self.servers.passes(key).is_some() => self.break_off(key),
+            Due::Server(key) if self.servers.forwarding_to(key).is_some() => self.break_off(key),
             Due::Server(key) => {
                 let ended = self.servers.timed_out(key, turn);
                 self.ended(key, ended);
             }
-            Due::List => {
+            Due::Discovery => {
                 let may = may_call_list(&mut self.fleet, &self.clock);
                 let failed = self.list.timed_out(may, turn);
                 let failed = self.call_list_again() || failed;
                 self.list_failed(failed);
             }
             Due::Accept => self.accept(),
-            Due::Away => self.away_further(),
-            Due::Others => self.look_at_others(),
+            Due::TurnAway => self.away_further(),
+            Due::OtherProcesses => self.look_at_others(),
             Due::Fleet => self.fleet_due(),
             Due::Operators => self.accept_operators(),
             Due::Settings => self.read_again(),
@@ -469,7 +479,7 @@
         }
         states.open();
         balancer.list_begin(complete);
-        let told = list::entries(list, |name, address, (zone, cell, kind), standing, started| {
+        let told = discovery::entries(list, |name, address, (zone, cell, kind), standing, started| {
             let endpoint = endpoints.index(name);
             let (zone, kind) = (places.zones.index(zone), places.kinds.index(kind));
             let mut entry =
@@ -481,7 +491,7 @@
             states.observe(endpoint, standing);
             balancer.listed(turn.now, endpoint, entry);
             if let Some(address) = address {
-                servers.place(endpoint, address, started, turn);
+                servers.set_address(endpoint, address, started, turn);
             }
         });
         balancer.list_end(turn.now);
@@ -504,7 +514,7 @@
                 return;
             }
             let key = self.look_again.remove(0);
-            if self.clients.has_more(key) {
+            if self.clients.may_hold_request(key) {
                 looks += 1;
                 self.client_ready(key);
             }
@@ -513,7 +523,7 @@
 
     fn subscribe(&mut self) {
         let may = may_call_list(&mut self.fleet, &self.clock);
-        let failed = self.list.watch(may, &mut self.turn);
+        let failed = self.list.start_watch(may, &mut self.turn);
         if self.call_list_again() || failed {
             self.balancer.list_failed(self.turn.now);
         }
@@ -522,6 +532,6 @@
     /// A call to the list for which there was no descriptor is made on that of an idle connection. Returns whether it
     /// failed at once.
     fn call_list_again(&mut self) -> bool {
-        self.list.lacks_descriptor && self.make_room() && self.list.call_again(&mut self.turn)
+        self.list.lacks_descriptor && self.make_room() && self.list.retry_call(&mut self.turn)
     }
 }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::figures::AnsweredHere;
-use crate::net::DESCRIPTOR_AGAIN;
+use crate::net::DESCRIPTOR_RETRY;
 use crate::net::connection::lacks_descriptor;
 
 /// After SIGTERM all must be answered within the longest deadline, at most this, and so much more: whoever
@@ -47,11 +47,11 @@
     /// Takes over what can change while requests are under way: the settings, and where the list is asked. The rest is for a
     /// start.
     pub(super) fn read_again(&mut self) {
-        self.turn.deadlines.shift(Due::Settings, &mut self.read_at, None);
+        self.turn.deadlines.reschedule(Due::Settings, &mut self.read_at, None);
         // Danger: what was told once would never be taken over.
         if File::open("/").is_err_and(|e| lacks_descriptor(&e)) && !self.make_room() {
-            let again = self.turn.now + DESCRIPTOR_AGAIN;
-            return self.turn.deadlines.shift(Due::Settings, &mut self.read_at, Some(again));
+            let again = self.turn.now + DESCRIPTOR_RETRY;
+            return self.turn.deadlines.reschedule(Due::Settings, &mut self.read_at, Some(again));
         }
         self.tell_watch();
         let agreed =
@@ -81,7 +81,7 @@
         let may = may_call_list(&mut self.fleet, &self.clock);
         let mut lists = Vec::new();
         let hear = |complete, list| lists.push((complete, list));
-        let failed = self.list.move_to(launch.discovery, may, &mut self.turn, hear);
+        let failed = self.list.set_address(launch.discovery, may, &mut self.turn, hear);
         lists.into_iter().for_each(|(complete, list)| self.listed(complete, &list));
         let failed = self.call_list_again() || failed;
         self.list_failed(failed);
@@ -91,7 +91,8 @@
 
     /// Other terms hold for requests that arrive from now on; open ones keep the methods that they came with.
     pub(super) fn update_terms(&mut self, terms: Terms, watched: Option<Terms>) {
-        let held = self.requests.iter().map(|(_, request)| request.method).chain(self.servers.passing());
+        let held =
+            self.requests.iter().map(|(_, request)| request.method).chain(self.servers.forwarded_methods());
         let held: HashSet<usize> = held.collect();
         let (terms, places) = terms.after(self.balancer.terms(), |at| held.contains(&at));
         let names = places.iter().map(|(at, _)| terms.methods[*at].name.as_str()).collect::<Vec<_>>();
@@ -123,13 +124,13 @@
             log::info!("another process serves on");
             self.look_again.extend(self.clients.hand_over(&mut self.turn));
         } else {
-            self.clients.turn_away();
+            self.clients.fail_health_checks();
         }
         self.look_away(since);
     }
 
     pub(super) fn look_away(&mut self, now: Moment) {
-        self.turn.deadlines.shift(Due::Away, &mut self.away_at, Some(now + AWAY_LOOK));
+        self.turn.deadlines.reschedule(Due::TurnAway, &mut self.away_at, Some(now + AWAY_LOOK));
     }
 
     /// Looks how far leaving or draining has come.
@@ -139,7 +140,7 @@
             (Some(leaving), _) => self.leave_further(leaving),
             (None, Some(since)) => {
                 if self.turn.now.since(since) >= DRAIN_GRACE {
-                    self.look_again.extend(self.clients.part(&mut self.turn));
+                    self.look_again.extend(self.clients.drain(&mut self.turn));
                 }
                 self.look_away(self.turn.now);
             }
@@ -152,17 +153,17 @@
         let call = self.operators.as_mut().and_then(|operators| operators.ready(key, &mut self.turn));
         let Some(call) = call else { return };
         let answer = match call {
-            Call::Ready => {
+            Command::Ready => {
                 // Danger: SIGTERM may reach the other process right after the yes, so it has to be told before.
                 self.look_at_others();
                 self.is_ready().to_string()
             }
-            Call::Figures => format!("{}EOF", self.figures()),
-            Call::Drain if self.fleet.is_some() => return self.drain_with(key, None),
-            Call::DrainAnyway(why) if self.fleet.is_some() => return self.drain_with(key, Some(why)),
-            Call::DrainAnyway(_) => format!("400 {}", operator::UNKNOWN),
-            Call::Drain => self.drain().to_string(),
-            Call::Resume => self.resume().to_string(),
+            Command::ShowStat => format!("{}EOF", self.figures()),
+            Command::Drain if self.fleet.is_some() => return self.drain_with(key, None),
+            Command::DrainAnyway(why) if self.fleet.is_some() => return self.drain_with(key, Some(why)),
+            Command::DrainAnyway(_) => format!("400 {}", operator::UNKNOWN_COMMAND),
+            Command::Drain => self.drain().to_string(),
+            Command::Resume => self.resume().to_string(),
         };
         self.answer_operator(key, answer);
     }
@@ -235,11 +236,15 @@
             log::info!("other processes at this address: {}", others.alive());
         }
         let part = self.fixed.connections / (1 + others.alive());
-        self.turn.room += part as isize - std::mem::replace(&mut self.part, part) as isize;
+        self.turn.free_connections += part as isize - std::mem::replace(&mut self.part, part) as isize;
         self.clients.resize(part);
         self.others = others;
         self.hand_over();
-        self.turn.deadlines.shift(Due::Others, &mut self.others_at, Some(self.turn.now + OTHERS_LOOK));
+        self.turn.deadlines.reschedule(
+            Due::OtherProcesses,
+            &mut self.others_at,
+            Some(self.turn.now + OTHERS_LOOK),
+        );
     }
 
     pub(super) fn drain(&mut self) -> &'static str {
@@ -249,7 +254,7 @@
         if self.draining.is_none() {
             log::info!("told to drain");
             self.draining = Some(self.turn.now);
-            self.clients.turn_away();
+            self.clients.fail_health_checks();
             self.look_away(self.turn.now);
         }
         "200 drains"
@@ -262,20 +267,21 @@
         self.sent_out = false;
         if self.draining.take().is_some() {
             log::info!("told to resume");
-            self.clients.take_again();
+            self.clients.resume();
         }
         "200 takes clients"
     }
 
     /// Requests whose clients wait, and long answers that are on their way.
     fn open(&self) -> usize {
-        self.requests.iter().filter(|(_, r)| r.client.is_some()).count() + self.servers.passing().count()
+        self.requests.iter().filter(|(_, r)| r.client.is_some()).count()
+            + self.servers.forwarded_methods().count()
     }
 
     pub(super) fn figures(&self) -> String {
         let open = self.open();
         let (listed, avoided) = self.balancer.avoided(self.turn.now);
-        let written = self.servers.written;
+        let written = self.servers.sent_attempts;
         let text = self.figures.text(&Now {
             open,
             written,
@@ -293,16 +299,16 @@
     pub(super) fn leave_further(&mut self, Leaving { since, until, succeeded }: Leaving) {
         let now = self.turn.now;
         let gone = now.since(since);
-        let alone = !succeeded && gone >= LEAVE_LEAST && self.clients.quiet(&self.turn);
+        let alone = !succeeded && gone >= LEAVE_LEAST && self.clients.is_quiet(&self.turn);
         if succeeded {
             self.clients.stop_listening(&mut self.turn);
         }
         if alone || gone >= until.since(since) * LEAVE_TAKING {
-            self.look_again.extend(self.clients.part(&mut self.turn));
+            self.look_again.extend(self.clients.drain(&mut self.turn));
             self.clients.stop_listening(&mut self.turn);
         }
         if now >= until {
-            self.look_again.extend(self.clients.part_at_once(&mut self.turn));
+            self.look_again.extend(self.clients.drain_now(&mut self.turn));
             // What has come in this turn is decided first: a rejection invites a repeat elsewhere, a failure does not.
             self.decide();
             // Danger: what has no answer when this process is killed is lost.
@@ -312,7 +318,7 @@
                 self.client_disconnected(request);
             }
         }
-        if !self.clients.none_left() {
+        if !self.clients.is_closed() {
             self.look_away(now);
         }
     }
@@ -397,8 +403,9 @@
         outs.iter()
             .filter_map(|name| endpoints.find(name))
             .for_each(|endpoint| servers.close_idle(endpoint, turn));
-        let holds =
-            |name: &&String| endpoints.find(name).is_some_and(|endpoint| servers.held(endpoint).0 > 0);
+        let holds = |name: &&String| {
+            endpoints.find(name).is_some_and(|endpoint| servers.connection_counts(endpoint).0 > 0)
+        };
         fleet.holds_at(outs.iter().filter(holds).cloned().collect());
         let ready =
             |name: &&String| entries.get(*name).is_some_and(|entry| entry.state == EndpointStanding::Ready);
@@ -407,14 +414,14 @@
         let early = draining.is_some_and(|since| turn.now.since(since) < DRAIN_GRACE);
         fleet.stands_with(open + clients.count() + usize::from(early), lacks);
         // Danger: a cap that is not taken back would outlive its budget.
-        servers.most_at_one = fleet.connections_most(now);
+        servers.max_per_endpoint = fleet.connections_most(now);
         if !fleet.is_limited() {
             return;
         }
-        if let Some(most) = servers.most_at_one {
+        if let Some(most) = servers.max_per_endpoint {
             servers.trim(most, turn);
         }
-        let (connections, out) = servers.most_held();
+        let (connections, out) = servers.max_connection_counts();
         fleet.holds(connections, out, alone);
     }
 
