--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -1,4 +1,5 @@
-//! The loop: poll, take the time once, feed what was heard, pull decisions until there is none, write.
+//! The event loop. Each turn polls, reads the clock once, passes the events to the balancer, and carries out its
+//! decisions until there are none left.
 
 mod process;
 mod requests;
@@ -38,27 +39,28 @@
 use crate::trace::EndpointStates;
 use crate::watch::Decider;
 
-/// Events that one poll brings beside one of each connection that there may be: the fixed peers' own. Danger: of what a
-/// poll leaves for the next, decisions know nothing.
-const EVENTS_MORE: usize = 512;
-/// Requests that may have come already and are looked at in one turn, before others have theirs: well over what a turn
-/// brings, and some milliseconds.
-const LOOKS_MOST: usize = 256;
-/// Longest from the close of a client that has reached this machine to an attempt that still begins for it.
+/// Event capacity for the fixed sources (listeners, signals, discovery), in addition to one event per possible
+/// connection. Danger: events that do not fit wait for the next poll, and decisions are made without them.
+const FIXED_SOURCE_EVENTS: usize = 512;
+/// Most pipelined requests processed in one turn, so that other connections are not starved. This is well above what
+/// a turn normally brings and takes a few milliseconds.
+const MAX_PIPELINED_PER_TURN: usize = 256;
+/// Longest time between the arrival of a client's close at this machine and the start of an attempt made for that
+/// client.
 pub const GONE_MOST: Span = Span::from_millis(100);
-/// Age, at an attempt's beginning, from which what is known of clients that leave is looked up anew; a turn may take long.
-/// The rest of `GONE_MOST` is for the one decision, or the one event, that comes between such a look and the write.
-pub const LOOK_MOST: Span = Span::from_millis(20);
-const _: () = assert!(4 * LOOK_MOST.nanos() < GONE_MOST.nanos());
-/// A poll that took as long has waited for what it brings, so that came at its end.
-const POLL_WAITED: Span = Span::from_millis(1);
-const _: () = assert!(POLL_WAITED.nanos() < LOOK_MOST.nanos());
-/// Time in which last answers go out.
-const LEAVE_LAST: Span = Span::from_millis(150);
-/// Time in which long answers that have begun may go on.
-const LEAVE_PASSING: Span = Span::from_millis(30_000);
+/// Age from which the known client disconnects are refreshed before an attempt begins, as a turn may take long. The
+/// rest of `GONE_MOST` covers the single decision or event between that refresh and the write.
+pub const MAX_DISCONNECT_AGE: Span = Span::from_millis(20);
+const _: () = assert!(4 * MAX_DISCONNECT_AGE.nanos() < GONE_MOST.nanos());
+/// A poll that took at least this long was blocked waiting, so its events arrived at its end.
+const BLOCKING_POLL: Span = Span::from_millis(1);
+const _: () = assert!(BLOCKING_POLL.nanos() < MAX_DISCONNECT_AGE.nanos());
+/// Time allowed after the shutdown deadline for the last responses to be written.
+const SHUTDOWN_LAST_WRITES: Span = Span::from_millis(150);
+/// Time allowed after the shutdown deadline for streamed responses that have already begun.
+const SHUTDOWN_STREAMING: Span = Span::from_millis(30_000);
 
-/// A clock that only advances, started at the machine's time: the list tells starts by that.
+/// A monotonic clock that starts at the machine's wall-clock time, as the endpoint list gives start times in that.
 struct Clock {
     start: Instant,
     unix: Duration,
@@ -70,31 +72,32 @@
     }
 }
 
-/// For one request, until nothing more can be heard of it.
+/// State of a request, kept until no further event can concern it.
 struct Request {
     method: usize,
-    /// When it came.
+    /// When it arrived.
     since: Moment,
-    /// Who waits for the answer; none once it is given or the client has gone.
+    /// The client waiting for the response; `None` once it is answered or has disconnected.
     client: Option<Key>,
-    /// The connections of its attempts, as long as they are out.
+    /// The connection of each attempt while that is in flight.
     attempts: Vec<Option<Key>>,
-    /// How its last attempt ended.
+    /// Outcome of its last attempt.
     last_outcome: Option<Outcome>,
-    /// What its client calls it; empty where single requests are not logged.
+    /// The client's request id; empty unless individual requests are logged.
     id: String,
 }
 
 pub struct Sidecar {
-    /// What configures it.
-    file: PathBuf,
-    /// What a later file must have of the one taken last, and what of that the start has fixed.
+    /// The configuration file.
+    config_path: PathBuf,
+    /// What a reloaded file must share with the current one, and the settings that only a restart changes.
     kept: Kept,
     fixed: Fixed,
     poll: Poll,
-    /// Events that came within a turn, to be handled in the next. All that had come by this moment is known.
-    later: Vec<Peer>,
-    looked: Moment,
+    /// Events received during a turn, to be handled in the next one; and when the last poll began: everything that
+    /// had arrived by then is known.
+    deferred_events: Vec<Peer>,
+    last_poll: Moment,
     signals: Signals,
     clock: Clock,
     turn: Turn,
@@ -105,68 +108,70 @@
     clients: Clients,
     servers: Servers,
     list: List,
-    /// Clients whose next request may have come already.
-    look_again: Vec<Key>,
-    /// Connections with more to pass on than a turn may take up: of clients, and of endpoints.
-    pass_again: Vec<Peer>,
+    /// Clients whose next request may already be in the buffer.
+    clients_to_recheck: Vec<Key>,
+    /// Client and endpoint connections whose streamed body exceeded one turn's share and continues in the next.
+    streams_to_resume: Vec<Peer>,
     operators: Option<Operators>,
     figures: Figures,
-    /// The fleet that it is a member of, and the file below what is agreed there.
+    /// The fleet membership, and the local configuration that the fleet's agreed settings are merged into.
     fleet: Option<Fleet>,
-    base: Value,
-    /// Operators who wait to hear whether it drains.
-    drainers: Vec<Key>,
-    /// How the list's endpoints stood last, for the log.
-    states: EndpointStates,
-    /// What the list says of endpoints, and which of them the fleet has out of service: kept where there is a fleet.
+    base_config: Value,
+    /// Admin connections waiting for the answer to a drain request.
+    drain_waiters: Vec<Key>,
+    /// Last known state of each endpoint, for logging changes.
+    endpoint_states: EndpointStates,
+    /// Endpoint entries as listed, and the endpoints that the fleet has taken out of service. Kept only as a fleet
+    /// member.
     entries: HashMap<String, Entry>,
-    outs: HashSet<String>,
-    /// One of them insists.
-    insists: bool,
-    started: Moment,
-    /// The list's service has been heard since the start.
-    list_heard: bool,
-    /// Since when clients are turned away by an operator's word, or by that of a release.
+    out_of_service: HashSet<String>,
+    /// One of the waiting admin connections asked to drain whatever the fleet answers.
+    drain_forced: bool,
+    started_at: Moment,
+    /// Service discovery has sent a list since the start.
+    list_received: bool,
+    /// Since when this process drains, on an operator's command or for a release; and whether a release asked for it.
     draining: Option<Moment>,
-    sent_out: bool,
-    /// What other processes at this address see of this one, and what it saw of them last.
+    drained_by_release: bool,
+    /// This process's presence file, and the other processes last seen at the same address.
     presence: Option<Presence>,
-    others: Others,
-    /// What is handed over to these.
-    latest: Latest,
-    /// This process's part of the connections that there may be at this address.
-    part: usize,
-    leaving: Option<Leaving>,
-    /// When it is looked next for other processes, and how far draining or leaving has come.
-    others_at: Option<Moment>,
-    away_at: Option<Moment>,
-    /// When its file is read again, for which there was no descriptor.
-    read_at: Option<Moment>,
+    siblings: Others,
+    /// Outcomes of recent attempts, shared with those processes.
+    recent_attempts: Latest,
+    /// This process's share of the connections allowed at this address.
+    connection_share: usize,
+    shutdown: Option<Shutdown>,
+    /// When to check next for other processes, and for the progress of a drain or shutdown.
+    sibling_check_at: Option<Moment>,
+    drain_check_at: Option<Moment>,
+    /// When to retry a configuration reload that found no free file descriptor.
+    reload_retry_at: Option<Moment>,
 }
 
-/// An endpoint's entry as the fleet has it: one that is out of service drains, by the module's own rule.
-fn in_service(entry: Entry, out: bool) -> Entry {
-    let drains = out && entry.state == EndpointStanding::Ready;
+/// Applies the fleet's view to an endpoint's entry: a ready endpoint that is out of service counts as draining.
+fn apply_fleet_state(entry: Entry, out_of_service: bool) -> Entry {
+    let drains = out_of_service && entry.state == EndpointStanding::Ready;
     Entry { state: if drains { EndpointStanding::Draining } else { entry.state }, ..entry }
 }
 
-/// Who calls the service that tells the list, as the settings have it.
-fn callers(terms: &Terms) -> Callers {
+/// How many instances call service discovery, and how, according to the settings.
+fn discovery_callers(terms: &Terms) -> Callers {
     Callers { pushed: terms.ask_within.is_none(), instances: terms.instances }
 }
 
-/// Whether the fleet's budgets allow a call to the list's service, asked when one is to be made.
+/// Returns a check, evaluated when a call is about to be made, of whether the fleet's budgets allow a call to service
+/// discovery.
 fn may_call_list(fleet: &mut Option<Fleet>, clock: &Clock) -> impl FnOnce() -> bool {
     || fleet.as_mut().is_none_or(|fleet| fleet.may_call_list(clock.now()))
 }
 
-/// Since when it leaves, and by when all must be answered.
+/// A graceful shutdown: when it began, and by when all requests must be answered.
 #[derive(Clone, Copy)]
-struct Leaving {
+struct Shutdown {
     since: Moment,
     until: Moment,
     /// Another process serves this address.
-    succeeded: bool,
+    has_successor: bool,
 }
 
 impl Sidecar {
@@ -190,14 +195,14 @@
             operator.map(|at| Operators::listen(at, &mut turn).map_err(|e| format!("operator: {at}: {e}")));
         let operators = operators.transpose()?;
         let known = list::version(&launch.known).ok();
-        let callers = callers(&launch.terms);
-        let unasked = callers.pushed;
+        let callers = discovery_callers(&launch.terms);
+        let pushed = callers.pushed;
         let mut sidecar = Sidecar {
-            file: launch.path,
+            config_path: launch.path,
             kept: launch.kept,
             fixed: launch.fixed,
-            later: Vec::new(),
-            looked: now,
+            deferred_events: Vec::new(),
+            last_poll: now,
             signals,
             clock,
             turn,
@@ -208,29 +213,29 @@
             clients,
             servers: Servers::new(launch.connection_idle, launch.connect_timeout),
             list: List::new(launch.discovery, known.map_or(0, |(version, _)| version), launch.seed, callers),
-            look_again: Vec::new(),
-            pass_again: Vec::new(),
+            clients_to_recheck: Vec::new(),
+            streams_to_resume: Vec::new(),
             operators,
             figures: Figures::default(),
             fleet: None,
-            base: launch.base,
-            drainers: Vec::new(),
-            states: EndpointStates::default(),
+            base_config: launch.base,
+            drain_waiters: Vec::new(),
+            endpoint_states: EndpointStates::default(),
             entries: HashMap::new(),
-            outs: HashSet::new(),
-            insists: false,
-            started: now,
-            list_heard: false,
+            out_of_service: HashSet::new(),
+            drain_forced: false,
+            started_at: now,
+            list_received: false,
             draining: None,
-            sent_out: false,
+            drained_by_release: false,
             presence: None,
-            others: Others::default(),
-            latest: Latest::default(),
-            part: connections,
-            leaving: None,
-            others_at: None,
-            away_at: None,
-            read_at: None,
+            siblings: Others::default(),
+            recent_attempts: Latest::default(),
+            connection_share: connections,
+            shutdown: None,
+            sibling_check_at: None,
+            drain_check_at: None,
+            reload_retry_at: None,
             poll,
         };
         sidecar.balancer.terms().methods.iter().for_each(|method| sidecar.figures.offer(&method.name));
@@ -239,150 +244,160 @@
             match Presence::announce(folder, at, std::process::id()) {
                 Ok(presence) => sidecar.presence = Some(presence),
                 Err(e) => log::warn!(
-                    "TMPDIR: {}: {e}; another process at this address goes unseen",
+                    "TMPDIR: {}: {e}; another process at this address cannot be detected",
                     folder.display()
                 ),
             }
-            sidecar.look_at_others();
+            sidecar.update_siblings();
         }
         if let Some(terms) = sidecar.fixed.fleet.clone() {
             let fleet = Fleet::new(terms, &name, launch.seed, launch.agreed, &mut sidecar.turn);
             sidecar.fleet = Some(fleet);
         }
         if known.is_some() {
-            sidecar.listed(true, &launch.known);
+            sidecar.apply_list(true, &launch.known);
         }
-        if unasked {
-            // Where changes are told unasked, nothing will be decided about asking.
+        if pushed {
+            // Where discovery pushes changes, the balancer makes no decision to subscribe.
             sidecar.subscribe();
         }
-        sidecar.decide();
+        sidecar.run_decisions();
         launch.unmet.iter().for_each(|unmet| log::warn!("{unmet}"));
         if let Some(at) = sidecar.operators.as_ref().and_then(|operators| operators.address().ok()) {
             log::info!("{name} is asked at {at}");
         }
-        sidecar.log_terms();
+        sidecar.log_discovery_settings();
         log::info!("{name} listens on {}", sidecar.clients.address().unwrap_or(listen));
         Ok(sidecar)
     }
 
-    /// Logs the settings by which the calls to discovery are judged.
-    fn log_terms(&self) {
+    /// Logs the settings that govern calls to service discovery.
+    fn log_discovery_settings(&self) {
         let terms = self.balancer.terms();
         let ask_within = terms.ask_within.map_or("never".to_string(), |span| format!("{:.1} s", span.secs()));
         log::info!("settings: {} instances, discovery is asked within {ask_within}", terms.instances);
     }
 
-    /// Serves until it has been told to leave and has answered all that it had taken.
+    /// Serves until a shutdown signal, then until every accepted request is answered.
     pub fn run(mut self) -> Result<(), String> {
-        // One poll brings all that there is: no connection has more than one event in it.
-        let mut events = Events::with_capacity(self.fixed.connections + EVENTS_MORE);
+        // Large enough for one poll to return everything: each connection has at most one event in it.
+        let mut events = Events::with_capacity(self.fixed.connections + FIXED_SOURCE_EVENTS);
         loop {
-            // Danger: a process may stand still on its way back from the poll, and what that has told is old by then.
-            self.looked = self.clock.now();
+            // Danger: the process may be suspended between the poll and its return, which makes the events stale. So
+            // the time is taken before the poll.
+            self.last_poll = self.clock.now();
             let wait =
-                self.turn.deadlines.next().map(|at| Duration::from_nanos(at.since(self.looked).nanos()));
-            let at_once =
-                !(self.pass_again.is_empty() && self.look_again.is_empty() && self.later.is_empty());
-            match self.poll.poll(&mut events, if at_once { Some(Duration::ZERO) } else { wait }) {
-                // Danger: a wait that was cut short has heard nothing, so nothing may be decided on it, however late it is
-                // by now: a process that was stopped would repeat what ran out meanwhile for clients that have left.
+                self.turn.deadlines.next().map(|at| Duration::from_nanos(at.since(self.last_poll).nanos()));
+            let no_wait = !(self.streams_to_resume.is_empty()
+                && self.clients_to_recheck.is_empty()
+                && self.deferred_events.is_empty());
+            match self.poll.poll(&mut events, if no_wait { Some(Duration::ZERO) } else { wait }) {
+                // Danger: an interrupted poll returns no events, so no decision may follow it, however late it is. A
+                // process that was stopped and resumed would otherwise retry expired attempts for clients that have
+                // disconnected.
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 other => other.map_err(|e| format!("poll: {e}"))?,
             }
             let last = std::mem::replace(&mut self.turn.now, self.clock.now());
-            // Danger: what was there before the poll may have come at any time since the one before, or while the process
-            // stood still, and how old it is tells whether its client may have left behind it.
-            let waited = self.turn.now.since(self.looked) >= POLL_WAITED;
+            // Danger: data that was there before the poll may have arrived at any time since the previous one, or
+            // while the process was suspended. Its possible age decides whether the client may have disconnected
+            // behind it.
+            let waited = self.turn.now.since(self.last_poll) >= BLOCKING_POLL;
             self.clients.came_since = if waited { self.turn.now } else { last };
-            // Danger: who is on call waits a second at the most, however much else a turn brings.
-            let came: Vec<Peer> =
-                self.later.drain(..).chain(events.iter().map(|event| Peer::of(event.token()))).collect();
-            for peer in &came {
+            // Danger: operators wait one second at most, so admin connections are served first, however much else a
+            // turn brings.
+            let ready: Vec<Peer> = self
+                .deferred_events
+                .drain(..)
+                .chain(events.iter().map(|event| Peer::of(event.token())))
+                .collect();
+            for peer in &ready {
                 match *peer {
                     Peer::Operators => self.accept_operators(),
                     Peer::Operator(key) => self.operator_ready(key),
                     _ => {}
                 }
             }
-            // Danger: a connect that comes up before its client leaves, and in the same turn, would write for nobody.
-            self.clients_leave(&events);
-            came.into_iter().for_each(|peer| self.ready(peer));
-            for peer in std::mem::take(&mut self.pass_again) {
+            // Danger: an upstream connect and its client's disconnect may arrive in the same turn. Disconnects are
+            // handled first, so that no request is written for a client that is gone.
+            self.handle_disconnects(&events);
+            ready.into_iter().for_each(|peer| self.handle_event(peer));
+            for peer in std::mem::take(&mut self.streams_to_resume) {
                 match peer {
-                    Peer::Client(key) => self.pass_up(key),
-                    Peer::Server(key) => self.pass_down(key),
+                    Peer::Client(key) => self.forward_request(key),
+                    Peer::Server(key) => self.forward_response(key),
                     _ => {}
                 }
             }
             while let Some(due) = self.turn.deadlines.pop(self.turn.now) {
-                self.due(due);
+                self.handle_deadline(due);
             }
-            self.stand();
-            self.decide();
+            self.update_member_status();
+            self.run_decisions();
             if self.clients.held_back {
                 self.accept();
-                self.decide();
+                self.run_decisions();
             }
-            let over = self.leaving.is_some_and(|leaving| self.all_over(leaving));
-            if over || self.clients.none_left() {
-                self.tell_watch();
-                self.farewell();
-                log::info!("left with all answered");
+            let expired = self.shutdown.is_some_and(|shutdown| self.shutdown_expired(shutdown));
+            if expired || self.clients.none_left() {
+                self.log_shadow_counts();
+                self.report_gone();
+                log::info!("shutdown complete");
                 return Ok(());
             }
         }
     }
 
-    fn ready(&mut self, peer: Peer) {
+    fn handle_event(&mut self, peer: Peer) {
         match peer {
             Peer::Listener => self.accept(),
-            Peer::Signal => self.told(),
+            Peer::Signal => self.handle_signals(),
             Peer::Client(key) => self.client_ready(key),
             Peer::Server(key) => self.server_ready(key),
             Peer::List(key) => self.list_ready(key),
             Peer::Fleet(key) => self.fleet_ready(key),
-            // These come first in a turn.
+            // Already handled at the start of the turn.
             Peer::Operators | Peer::Operator(_) => {}
         }
     }
 
-    /// The clients whose end these events tell have left.
-    fn clients_leave(&mut self, events: &Events) {
+    /// Marks the clients as disconnected whose connections these events report as closed.
+    fn handle_disconnects(&mut self, events: &Events) {
         for event in events.iter().filter(|event| event.is_read_closed() || event.is_error()) {
             if let Peer::Client(key) = Peer::of(event.token()) {
-                self.client_leaves(key);
+                self.client_closed(key);
             }
         }
     }
 
-    /// An attempt is about to begin whose client was there at this moment: hears which clients have left meanwhile if that,
-    /// or the last look, is too old. What else has come waits for the next turn.
-    fn look(&mut self, there: Moment) {
+    /// Called before an attempt begins whose client was connected at `seen`. If both that and the last poll are too
+    /// old, polls again for client disconnects; all other events wait for the next turn.
+    fn refresh_disconnects(&mut self, seen: Moment) {
         let now = self.clock.now();
-        if now.since(there.max(self.looked)) < LOOK_MOST {
+        if now.since(seen.max(self.last_poll)) < MAX_DISCONNECT_AGE {
             return;
         }
-        let mut events = Events::with_capacity(self.fixed.connections + EVENTS_MORE);
-        // What fails here is told by the next turn's poll.
+        let mut events = Events::with_capacity(self.fixed.connections + FIXED_SOURCE_EVENTS);
+        // A failure here is reported by the next turn's poll.
         if self.poll.poll(&mut events, Some(Duration::ZERO)).is_ok() {
-            self.looked = now;
+            self.last_poll = now;
         }
-        self.clients_leave(&events);
-        self.later.extend(events.iter().map(|event| Peer::of(event.token())));
+        self.handle_disconnects(&events);
+        self.deferred_events.extend(events.iter().map(|event| Peer::of(event.token())));
     }
 
-    /// Nothing is left that is worth staying for. Danger: what an endpoint still gives of a long answer would be cut
-    /// off; whoever cannot wait for it ends this process.
-    fn all_over(&self, leaving: Leaving) -> bool {
-        let last = if self.servers.passing().next().is_some() { LEAVE_PASSING } else { LEAVE_LAST };
-        self.turn.now >= leaving.until + last
+    /// Whether the shutdown's last time limit has passed. Danger: exiting cuts off a streamed response, so those get
+    /// a longer limit; a supervisor that cannot wait kills this process.
+    fn shutdown_expired(&self, shutdown: Shutdown) -> bool {
+        let last =
+            if self.servers.passing().next().is_some() { SHUTDOWN_STREAMING } else { SHUTDOWN_LAST_WRITES };
+        self.turn.now >= shutdown.until + last
     }
 
     fn accept(&mut self) {
         loop {
             let brought = self.clients.accept(&mut self.turn);
-            self.look_again.extend(brought);
+            self.clients_to_recheck.extend(brought);
             let full = self.clients.held_back && (self.turn.room < 0 || self.clients.lacks_descriptor);
             if !full || !self.servers.make_room(&mut self.turn) {
                 return;
@@ -395,7 +410,8 @@
         loop {
             let accepted = self.operators.as_mut().map(|operators| operators.accept(&mut self.turn));
             let Some((taken, true)) = accepted else { return };
-            // Danger: where the machine has none left, others take what is freed here, and all would go for nothing.
+            // Danger: when the machine has no descriptors left, other processes take those freed here, and every idle
+            // connection would be closed in vain. So room is made at most once per accepted connection.
             may_make |= taken > 0;
             if !std::mem::take(&mut may_make) || !self.make_room() {
                 return;
@@ -403,40 +419,40 @@
         }
     }
 
-    /// Closes an idle connection, of a client or an endpoint, for a descriptor that is needed for something else.
+    /// Closes an idle connection of a client or an endpoint to free its file descriptor.
     fn make_room(&mut self) -> bool {
         let mut brought = Vec::new();
         let made =
             self.clients.make_room(&mut self.turn, &mut brought) || self.servers.make_room(&mut self.turn);
-        self.look_again.extend(brought);
+        self.clients_to_recheck.extend(brought);
         made
     }
 
-    fn due(&mut self, due: Due) {
+    fn handle_deadline(&mut self, due: Due) {
         let (now, turn) = (self.turn.now, &mut self.turn);
         match due {
             Due::Wake => self.balancer.wake(now),
             Due::Client(key) => {
                 let said = self.clients.timed_out(key, turn);
-                self.said(key, said);
+                self.handle_client(key, said);
             }
-            Due::Server(key) if self.servers.passes(key).is_some() => self.break_off(key),
+            Due::Server(key) if self.servers.passes(key).is_some() => self.abort_response(key),
             Due::Server(key) => {
                 let ended = self.servers.timed_out(key, turn);
-                self.ended(key, ended);
+                self.attempt_ended(key, ended);
             }
             Due::List => {
                 let may = may_call_list(&mut self.fleet, &self.clock);
                 let failed = self.list.timed_out(may, turn);
-                let failed = self.call_list_again() || failed;
-                self.list_failed(failed);
+                let failed = self.retry_list_call() || failed;
+                self.handle_list_failure(failed);
             }
             Due::Accept => self.accept(),
-            Due::Away => self.away_further(),
-            Due::Others => self.look_at_others(),
+            Due::Away => self.advance_drain(),
+            Due::Others => self.update_siblings(),
             Due::Fleet => self.fleet_due(),
             Due::Operators => self.accept_operators(),
-            Due::Settings => self.read_again(),
+            Due::Settings => self.reload_config(),
             Due::Operator(key) => self.operators.iter_mut().for_each(|o| o.timed_out(key, turn)),
         }
     }
@@ -445,67 +461,78 @@
         let mut lists = Vec::new();
         let failed = self.list.ready(key, &mut self.turn, |complete, list| lists.push((complete, list)));
         for (complete, list) in lists {
-            self.list_heard = true;
-            self.listed(complete, &list);
+            self.list_received = true;
+            self.apply_list(complete, &list);
         }
-        self.list_failed(failed);
+        self.handle_list_failure(failed);
     }
 
-    /// A call to the list may have failed, and within a line.
-    fn list_failed(&mut self, failed: bool) {
+    /// Handles a call to service discovery that may have failed, possibly in the middle of a line.
+    fn handle_list_failure(&mut self, failed: bool) {
         if let Some(list) = self.list.take_salvaged() {
-            self.listed(false, &list);
+            self.apply_list(false, &list);
         }
         if failed {
             self.balancer.list_failed(self.turn.now);
         }
     }
 
-    /// A list that has been found readable.
-    fn listed(&mut self, complete: bool, list: &Value) {
-        let Sidecar { turn, balancer, servers, endpoints, places, entries, outs, fleet, states, .. } = self;
+    /// Applies an endpoint list that has been validated.
+    fn apply_list(&mut self, complete: bool, list: &Value) {
+        let Sidecar {
+            turn,
+            balancer,
+            servers,
+            endpoints,
+            places,
+            entries,
+            out_of_service,
+            fleet,
+            endpoint_states,
+            ..
+        } = self;
         if complete {
             entries.clear();
         }
-        states.open();
+        endpoint_states.open();
         balancer.list_begin(complete);
-        let told = list::entries(list, |name, address, (zone, cell, kind), standing, started| {
+        let applied = list::entries(list, |name, address, (zone, cell, kind), standing, started| {
             let endpoint = endpoints.index(name);
             let (zone, kind) = (places.zones.index(zone), places.kinds.index(kind));
             let mut entry =
                 Entry { state: standing, started, zone, cell, kind, name_hash: ids::name_hash(name) };
             if fleet.is_some() {
                 entries.insert(name.to_string(), entry);
-                entry = in_service(entry, outs.contains(name));
+                entry = apply_fleet_state(entry, out_of_service.contains(name));
             }
-            states.observe(endpoint, standing);
+            endpoint_states.observe(endpoint, standing);
             balancer.listed(turn.now, endpoint, entry);
             if let Some(address) = address {
                 servers.place(endpoint, address, started, turn);
             }
         });
         balancer.list_end(turn.now);
-        if let Some(changes) = states.close(complete, |endpoint| endpoints.name(endpoint)) {
+        if let Some(changes) = endpoint_states.close(complete, |endpoint| endpoints.name(endpoint)) {
             log::info!("list version {}: {changes}", list["index"]);
         }
-        if let Err(what) = told {
+        if let Err(what) = applied {
             log::warn!("list: {what}");
         }
     }
 
-    fn decide(&mut self) {
-        let mut looks = 0;
+    fn run_decisions(&mut self) {
+        let mut rechecked = 0;
         loop {
             while let Some(decision) = self.balancer.next_decision(self.turn.now) {
-                self.carry_out(decision);
+                self.execute(decision);
             }
-            // Danger: a client that asks again at once, and is answered at once, would keep all others waiting.
-            if self.look_again.is_empty() || looks == LOOKS_MOST {
+            // Danger: a client that pipelines requests which are answered at once would starve all others.
+            if self.clients_to_recheck.is_empty() || rechecked == MAX_PIPELINED_PER_TURN {
                 return;
             }
-            let key = self.look_again.remove(0);
+            let key = self.clients_to_recheck.remove(0);
             if self.clients.has_more(key) {
-                looks += 1;
+                rechecked += 1;
                 self.client_ready(key);
             }
         }
@@ -514,14 +541,14 @@
     fn subscribe(&mut self) {
         let may = may_call_list(&mut self.fleet, &self.clock);
         let failed = self.list.watch(may, &mut self.turn);
-        if self.call_list_again() || failed {
+        if self.retry_list_call() || failed {
             self.balancer.list_failed(self.turn.now);
         }
     }
 
-    /// A call to the list for which there was no descriptor is made on that of an idle connection. Returns whether it
-    /// failed at once.
-    fn call_list_again(&mut self) -> bool {
+    /// Retries a call to service discovery that found no descriptor, after closing an idle connection. Returns
+    /// whether it failed at once.
+    fn retry_list_call(&mut self) -> bool {
         self.list.lacks_descriptor && self.make_room() && self.list.call_again(&mut self.turn)
     }
 }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -1,99 +1,109 @@
-//! What a process has once: its signals, its settings, its operators, others at its address, and how it leaves.
+//! Process-wide concerns: signals, configuration reload, the admin endpoint, other processes at the same address,
+//! fleet membership, drain and shutdown.
 
 use std::fs::File;
 
 use appledyke_fleet::Version;
 use appledyke_fleet::evidence::{self, RelayedObservation};
-use appledyke_fleet::members::MemberStatus as Member;
+use appledyke_fleet::members::MemberStatus;
 
 use super::*;
 use crate::figures::AnsweredHere;
 use crate::net::DESCRIPTOR_AGAIN;
 use crate::net::connection::lacks_descriptor;
 
-/// After SIGTERM all must be answered within the longest deadline, at most this, and so much more: whoever
-/// sent it ends what is left soon after.
-const LEAVE_DEADLINE: Span = Span::from_millis(3000);
-const LEAVE_MORE: Span = Span::from_millis(400);
-/// Part of that time in which requests are taken as ever: other sidecars may be away as well, and clients lose
-/// least while the connections that they have go on. The rest is time to answer.
-const LEAVE_TAKING: f64 = 0.6;
-/// Least time in which new connections may still come.
-const LEAVE_LEAST: Span = Span::from_millis(600);
-/// Between two looks at how far leaving or draining has come.
-const AWAY_LOOK: Span = Span::from_millis(50);
-/// How long all goes on as ever once the health check says no to a drain: the front asks often, and sends new
-/// connections for a little longer than until it has heard.
+/// After SIGTERM all requests must be answered within the longest method deadline, capped at the first value, plus
+/// the second: the supervisor kills the process soon after.
+const SHUTDOWN_MAX_DEADLINE: Span = Span::from_millis(3000);
+const SHUTDOWN_MARGIN: Span = Span::from_millis(400);
+/// Share of that time in which requests are accepted as usual: other sidecars may be shutting down as well, and
+/// clients lose least while their existing connections keep working. The rest is left for responses.
+const SHUTDOWN_ACCEPT_SHARE: f64 = 0.6;
+/// Minimum time in which new connections are still accepted.
+const SHUTDOWN_MIN_ACCEPT: Span = Span::from_millis(600);
+/// Interval between progress checks of a drain or shutdown.
+const DRAIN_CHECK_INTERVAL: Span = Span::from_millis(50);
+/// How long requests are served as usual after the health check begins to fail for a drain: the load balancer in
+/// front polls it often, and sends new connections for slightly longer than until its next check.
 const DRAIN_GRACE: Span = Span::from_millis(500);
-/// Between two looks at which other processes serve this address.
-const OTHERS_LOOK: Span = Span::from_millis(300);
-/// Descriptors that such a look takes: the folder, and a file in it.
-const LOOK_DESCRIPTORS: usize = 2;
-/// Longest that an instance says it is not ready as it has not heard the list: from then on the list that it
-/// was started with has to do.
-const READY_WAIT: Span = Span::from_millis(3000);
+/// Interval between checks for other processes at this address.
+const SIBLING_CHECK_INTERVAL: Span = Span::from_millis(300);
+/// File descriptors that such a check needs: the folder, and a file in it.
+const SIBLING_CHECK_DESCRIPTORS: usize = 2;
+/// Longest time that a process reports itself as not ready because service discovery has sent no list. After that it
+/// serves with the list it was started with.
+const READY_TIMEOUT: Span = Span::from_millis(3000);
 
 impl Sidecar {
-    pub(super) fn told(&mut self) {
+    pub(super) fn handle_signals(&mut self) {
         for signal in self.signals.pending().collect::<Vec<_>>() {
             match signal {
-                SIGHUP => self.read_again(),
-                _ if self.leaving.is_none() => self.leave(),
+                SIGHUP => self.reload_config(),
+                _ if self.shutdown.is_none() => self.begin_shutdown(),
                 _ => {}
             }
         }
     }
 
-    /// Takes over what can change while requests are under way: the settings, and where the list is asked. The rest is for a
-    /// start.
-    pub(super) fn read_again(&mut self) {
-        self.turn.deadlines.shift(Due::Settings, &mut self.read_at, None);
-        // Danger: what was told once would never be taken over.
+    /// Reloads what can change while requests are in flight: the settings and the discovery address. The rest needs a
+    /// restart.
+    pub(super) fn reload_config(&mut self) {
+        self.turn.deadlines.shift(Due::Settings, &mut self.reload_retry_at, None);
+        // Danger: the signal comes only once, so a reload that finds no file descriptor has to be retried.
         if File::open("/").is_err_and(|e| lacks_descriptor(&e)) && !self.make_room() {
             let again = self.turn.now + DESCRIPTOR_AGAIN;
-            return self.turn.deadlines.shift(Due::Settings, &mut self.read_at, Some(again));
+            return self.turn.deadlines.shift(Due::Settings, &mut self.reload_retry_at, Some(again));
         }
-        self.tell_watch();
+        self.log_shadow_counts();
         let agreed =
             self.fleet.as_ref().and_then(|fleet| fleet.agreed.as_ref()).map(|agreed| &agreed.settings);
-        match Launch::read_from(self.file.clone(), Winner::File, Some(&self.kept), &mut self.places, agreed) {
+        match Launch::read_from(
+            self.config_path.clone(),
+            Winner::File,
+            Some(&self.kept),
+            &mut self.places,
+            agreed,
+        ) {
             Ok(launch) => {
                 self.figures.reloads += 1;
-                log::info!("read again: list at {}", launch.discovery);
-                let waits = self.fixed.differs(&launch.fixed);
-                if !waits.is_empty() {
-                    log::warn!("read again: {}: taken at the next start only", waits.join(", "));
+                log::info!("configuration reloaded: service discovery at {}", launch.discovery);
+                let restart_only = self.fixed.differs(&launch.fixed);
+                if !restart_only.is_empty() {
+                    log::warn!(
+                        "configuration reloaded: {}: takes effect at the next restart",
+                        restart_only.join(", ")
+                    );
                 }
                 self.kept = launch.kept.clone();
-                self.base = launch.base.clone();
-                self.take_over(launch);
+                self.base_config = launch.base.clone();
+                self.apply_config(launch);
             }
             Err(what) => {
                 self.figures.reload_errors += 1;
-                log::warn!("read again, and kept as it was: {what}");
+                log::warn!("configuration reload failed, keeping the current one: {what}");
             }
         }
     }
 
-    /// What may change while requests are under way is taken over.
-    fn take_over(&mut self, launch: Launch) {
-        self.list.set_callers(callers(&launch.terms));
+    /// Applies the part of a configuration that may change while requests are in flight.
+    fn apply_config(&mut self, launch: Launch) {
+        self.list.set_callers(discovery_callers(&launch.terms));
         let may = may_call_list(&mut self.fleet, &self.clock);
         let mut lists = Vec::new();
         let hear = |complete, list| lists.push((complete, list));
         let failed = self.list.move_to(launch.discovery, may, &mut self.turn, hear);
-        lists.into_iter().for_each(|(complete, list)| self.listed(complete, &list));
-        let failed = self.call_list_again() || failed;
-        self.list_failed(failed);
+        lists.into_iter().for_each(|(complete, list)| self.apply_list(complete, &list));
+        let failed = self.retry_list_call() || failed;
+        self.handle_list_failure(failed);
         self.servers.update_terms(launch.connection_idle, launch.connect_timeout, &mut self.turn);
         self.update_terms(launch.terms, launch.watched);
     }
 
-    /// Other terms hold for requests that arrive from now on; open ones keep the methods that they came with.
+    /// Applies other terms to requests that arrive from now on; open ones keep the methods they arrived with.
     pub(super) fn update_terms(&mut self, terms: Terms, watched: Option<Terms>) {
-        let held = self.requests.iter().map(|(_, request)| request.method).chain(self.servers.passing());
-        let held: HashSet<usize> = held.collect();
-        let (terms, places) = terms.after(self.balancer.terms(), |at| held.contains(&at));
+        let used = self.requests.iter().map(|(_, request)| request.method).chain(self.servers.passing());
+        let used: HashSet<usize> = used.collect();
+        let (terms, places) = terms.after(self.balancer.terms(), |at| used.contains(&at));
         let names = places.iter().map(|(at, _)| terms.methods[*at].name.as_str()).collect::<Vec<_>>();
         if !names.is_empty() {
             log::info!("new or changed methods: {}", names.join(", "));
@@ -103,63 +113,65 @@
         self.balancer.update_terms(terms, watched, &places);
     }
 
-    pub(super) fn tell_watch(&self) {
+    pub(super) fn log_shadow_counts(&self) {
         self.balancer.counts().into_iter().for_each(|counts| log::info!("watch: {counts}"));
     }
 
-    pub(super) fn leave(&mut self) {
-        log::info!("told to leave");
+    pub(super) fn begin_shutdown(&mut self) {
+        log::info!("shutting down");
         let longest =
-            self.balancer.terms().methods.iter().map(|m| m.deadline).max().unwrap_or(LEAVE_DEADLINE);
+            self.balancer.terms().methods.iter().map(|m| m.deadline).max().unwrap_or(SHUTDOWN_MAX_DEADLINE);
         let since = self.turn.now;
-        let until = since + (longest.min(LEAVE_DEADLINE) + LEAVE_MORE);
-        // Danger: two that are told together would each count on the other, if they looked before they said so.
-        self.leaving = Some(Leaving { since, until, succeeded: false });
-        self.look_at_others();
-        let succeeded = self.others.ready > 0;
-        self.leaving = Some(Leaving { since, until, succeeded });
-        if succeeded {
-            // Danger: a no to the health check would take this address from clients, while another serves it.
-            log::info!("another process serves on");
-            self.look_again.extend(self.clients.hand_over(&mut self.turn));
+        let until = since + (longest.min(SHUTDOWN_MAX_DEADLINE) + SHUTDOWN_MARGIN);
+        // Danger: two processes told to shut down at the same time would each count on the other, so each announces
+        // its shutdown before it looks for a successor.
+        self.shutdown = Some(Shutdown { since, until, has_successor: false });
+        self.update_siblings();
+        let has_successor = self.siblings.ready > 0;
+        self.shutdown = Some(Shutdown { since, until, has_successor });
+        if has_successor {
+            // Danger: a failing health check would take this address out of rotation while another process serves it.
+            log::info!("another process at this address takes over");
+            self.clients_to_recheck.extend(self.clients.hand_over(&mut self.turn));
         } else {
             self.clients.turn_away();
         }
-        self.look_away(since);
+        self.schedule_drain_check(since);
     }
 
-    pub(super) fn look_away(&mut self, now: Moment) {
-        self.turn.deadlines.shift(Due::Away, &mut self.away_at, Some(now + AWAY_LOOK));
+    pub(super) fn schedule_drain_check(&mut self, now: Moment) {
+        self.turn.deadlines.shift(Due::Away, &mut self.drain_check_at, Some(now + DRAIN_CHECK_INTERVAL));
     }
 
-    /// Looks how far leaving or draining has come.
-    pub(super) fn away_further(&mut self) {
-        self.away_at = None;
-        match (self.leaving, self.draining) {
-            (Some(leaving), _) => self.leave_further(leaving),
+    /// Advances a drain or shutdown.
+    pub(super) fn advance_drain(&mut self) {
+        self.drain_check_at = None;
+        match (self.shutdown, self.draining) {
+            (Some(shutdown), _) => self.advance_shutdown(shutdown),
             (None, Some(since)) => {
                 if self.turn.now.since(since) >= DRAIN_GRACE {
-                    self.look_again.extend(self.clients.part(&mut self.turn));
+                    self.clients_to_recheck.extend(self.clients.part(&mut self.turn));
                 }
-                self.look_away(self.turn.now);
+                self.schedule_drain_check(self.turn.now);
             }
             (None, None) => {}
         }
     }
 
-    /// What an operator asks for, and what is answered.
+    /// Reads an operator's command on the admin endpoint and answers it.
     pub(super) fn operator_ready(&mut self, key: Key) {
         let call = self.operators.as_mut().and_then(|operators| operators.ready(key, &mut self.turn));
         let Some(call) = call else { return };
         let answer = match call {
             Call::Ready => {
-                // Danger: SIGTERM may reach the other process right after the yes, so it has to be told before.
-                self.look_at_others();
+                // Danger: SIGTERM may reach the other process right after this one reports ready, so that must know
+                // beforehand.
+                self.update_siblings();
                 self.is_ready().to_string()
             }
             Call::Figures => format!("{}EOF", self.figures()),
-            Call::Drain if self.fleet.is_some() => return self.drain_with(key, None),
-            Call::DrainAnyway(why) if self.fleet.is_some() => return self.drain_with(key, Some(why)),
+            Call::Drain if self.fleet.is_some() => return self.request_drain(key, None),
+            Call::DrainAnyway(why) if self.fleet.is_some() => return self.request_drain(key, Some(why)),
             Call::DrainAnyway(_) => format!("400 {}", operator::UNKNOWN),
             Call::Drain => self.drain().to_string(),
             Call::Resume => self.resume().to_string(),
@@ -173,107 +185,112 @@
         }
     }
 
-    /// Drains if the fleet lets it, and answers once that is known. With a reason it drains whatever the fleet says, and
-    /// the fleet keeps that in mind.
-    fn drain_with(&mut self, key: Key, anyway: Option<String>) {
-        if self.leaving.is_some() || self.draining.is_some() {
+    /// Asks the fleet for permission to drain and answers the operator once that is known. With a reason it drains
+    /// whatever the fleet answers, and the fleet records the reason.
+    fn request_drain(&mut self, key: Key, forced_reason: Option<String>) {
+        if self.shutdown.is_some() || self.draining.is_some() {
             let answer = self.drain().to_string();
             return self.answer_operator(key, answer);
         }
-        let insists = anyway.is_some();
+        let force = forced_reason.is_some();
         let Sidecar { fleet, turn, .. } = self;
-        if fleet.as_mut().is_some_and(|fleet| fleet.ask_out(anyway, turn)) {
-            // Danger: it holds for this ask alone; kept longer it would speak for a later drain that does not insist.
-            self.insists |= insists;
-            return self.drainers.push(key);
+        if fleet.as_mut().is_some_and(|fleet| fleet.ask_out(forced_reason, turn)) {
+            // Danger: this holds for the current request alone; kept longer it would force a later drain that did not
+            // ask for it.
+            self.drain_forced |= force;
+            return self.drain_waiters.push(key);
         }
         let answer =
-            if insists { self.drain().to_string() } else { "400 not now: no daemon heard".to_string() };
+            if force { self.drain().to_string() } else { "400 not now: no daemon heard".to_string() };
         self.answer_operator(key, answer);
     }
 
-    /// The fleet's word on a drain has come, or did not.
-    fn may_drain(&mut self, refused: Option<&str>) {
-        let insists = std::mem::take(&mut self.insists);
+    /// Handles the fleet's answer to a drain request, or the lack of one.
+    fn handle_drain_answer(&mut self, refused: Option<&str>) {
+        let force = std::mem::take(&mut self.drain_forced);
         let answer = match refused {
-            Some(why) if !insists => format!("400 not now: {why}"),
+            Some(why) if !force => format!("400 not now: {why}"),
             _ => self.drain().to_string(),
         };
-        for key in std::mem::take(&mut self.drainers) {
+        for key in std::mem::take(&mut self.drain_waiters) {
             self.answer_operator(key, answer.clone());
         }
     }
 
     pub(super) fn is_ready(&self) -> &'static str {
-        match (self.leaving, self.draining) {
+        match (self.shutdown, self.draining) {
             (Some(_), _) => "400 not ready: leaving",
             (None, Some(_)) => "400 not ready: drained",
-            _ if self.list_heard || self.turn.now.since(self.started) >= READY_WAIT => "200 ready",
+            _ if self.list_received || self.turn.now.since(self.started_at) >= READY_TIMEOUT => "200 ready",
             _ => "400 not ready: list not heard",
         }
     }
 
-    /// Looks which other processes serve this address: they are to have their part of what there is room for.
-    pub(super) fn look_at_others(&mut self) {
+    /// Checks which other processes serve this address, and divides the allowed connections among them.
+    pub(super) fn update_siblings(&mut self) {
         let ready = self.is_ready().starts_with("200");
         let Some(presence) = &mut self.presence else { return };
-        if self.leaving.is_some() {
+        if self.shutdown.is_some() {
             presence.stands(Standing::Leaving);
         } else if ready {
             presence.stands(Standing::Ready);
         }
         let mut seen = presence.others();
-        for _ in 0..LOOK_DESCRIPTORS {
+        for _ in 0..SIBLING_CHECK_DESCRIPTORS {
             if seen.is_ok() || !self.make_room() {
                 break;
             }
             seen = self.presence.as_ref().map_or(Ok(Others::default()), Presence::others);
         }
-        // What cannot be looked at is as it was.
-        let others = seen.unwrap_or_else(|_| self.others.clone());
-        if others.alive() != self.others.alive() {
+        // If the check fails, the previous result is kept.
+        let others = seen.unwrap_or_else(|_| self.siblings.clone());
+        if others.alive() != self.siblings.alive() {
             log::info!("other processes at this address: {}", others.alive());
         }
         let part = self.fixed.connections / (1 + others.alive());
-        self.turn.room += part as isize - std::mem::replace(&mut self.part, part) as isize;
+        self.turn.room += part as isize - std::mem::replace(&mut self.connection_share, part) as isize;
         self.clients.resize(part);
-        self.others = others;
-        self.hand_over();
-        self.turn.deadlines.shift(Due::Others, &mut self.others_at, Some(self.turn.now + OTHERS_LOOK));
+        self.siblings = others;
+        self.share_recent_attempts();
+        self.turn.deadlines.shift(
+            Due::Others,
+            &mut self.sibling_check_at,
+            Some(self.turn.now + SIBLING_CHECK_INTERVAL),
+        );
     }
 
     pub(super) fn drain(&mut self) -> &'static str {
-        if self.leaving.is_some() {
+        if self.shutdown.is_some() {
             return "200 leaving, which does the same";
         }
         if self.draining.is_none() {
-            log::info!("told to drain");
+            log::info!("draining");
             self.draining = Some(self.turn.now);
             self.clients.turn_away();
-            self.look_away(self.turn.now);
+            self.schedule_drain_check(self.turn.now);
         }
         "200 drains"
     }
 
     pub(super) fn resume(&mut self) -> &'static str {
-        if self.leaving.is_some() {
+        if self.shutdown.is_some() {
             return "400 leaving, which cannot be taken back";
         }
-        self.sent_out = false;
+        self.drained_by_release = false;
         if self.draining.take().is_some() {
-            log::info!("told to resume");
+            log::info!("drain cancelled");
             self.clients.take_again();
         }
         "200 takes clients"
     }
 
-    /// Requests whose clients wait, and long answers that are on their way.
-    fn open(&self) -> usize {
+    /// Counts the requests whose clients wait, and the responses that are being streamed.
+    fn open_requests(&self) -> usize {
         self.requests.iter().filter(|(_, r)| r.client.is_some()).count() + self.servers.passing().count()
     }
 
     pub(super) fn figures(&self) -> String {
-        let open = self.open();
+        let open = self.open_requests();
         let (listed, avoided) = self.balancer.avoided(self.turn.now);
         let written = self.servers.written;
         let text = self.figures.text(&Now {
@@ -289,124 +306,131 @@
         }
     }
 
-    /// Looks how far leaving has come.
-    pub(super) fn leave_further(&mut self, Leaving { since, until, succeeded }: Leaving) {
+    /// Advances a shutdown.
+    pub(super) fn advance_shutdown(&mut self, Shutdown { since, until, has_successor }: Shutdown) {
         let now = self.turn.now;
-        let gone = now.since(since);
-        let alone = !succeeded && gone >= LEAVE_LEAST && self.clients.quiet(&self.turn);
-        if succeeded {
+        let elapsed = now.since(since);
+        let quiet = !has_successor && elapsed >= SHUTDOWN_MIN_ACCEPT && self.clients.quiet(&self.turn);
+        if has_successor {
             self.clients.stop_listening(&mut self.turn);
         }
-        if alone || gone >= until.since(since) * LEAVE_TAKING {
-            self.look_again.extend(self.clients.part(&mut self.turn));
+        if quiet || elapsed >= until.since(since) * SHUTDOWN_ACCEPT_SHARE {
+            self.clients_to_recheck.extend(self.clients.part(&mut self.turn));
             self.clients.stop_listening(&mut self.turn);
         }
         if now >= until {
-            self.look_again.extend(self.clients.part_at_once(&mut self.turn));
-            // What has come in this turn is decided first: a rejection invites a repeat elsewhere, a failure does not.
-            self.decide();
-            // Danger: what has no answer when this process is killed is lost.
+            self.clients_to_recheck.extend(self.clients.part_at_once(&mut self.turn));
+            // Requests that arrived in this turn are decided first: a rejection invites the client to retry
+            // elsewhere, a failure does not.
+            self.run_decisions();
+            // Danger: requests without an answer when this process is killed are lost.
             let open: Vec<_> = self.requests.iter().map(|(key, _)| key.index()).collect();
             for request in open {
-                self.answer(request, 502, None, AnsweredHere::Leaving);
+                self.answer_locally(request, 502, None, AnsweredHere::Leaving);
                 self.client_disconnected(request);
             }
         }
         if !self.clients.none_left() {
-            self.look_away(now);
+            self.schedule_drain_check(now);
         }
     }
 
-    /// Tells other processes at this address how attempts ended here, and hears of theirs.
-    pub(super) fn hand_over(&mut self) {
+    /// Shares the outcomes of recent attempts with other processes at this address, and applies theirs.
+    pub(super) fn share_recent_attempts(&mut self) {
         let now = self.turn.now;
-        let Some(presence) = self.presence.as_ref().filter(|_| self.others.alive() > 0) else { return };
-        presence.leave_word(&self.latest.text(now));
-        let words = presence.words(&self.others);
-        let heard: Vec<_> = words.iter().flat_map(|word| self.latest.hear(word, now)).collect();
-        let ends = heard
+        let Some(presence) = self.presence.as_ref().filter(|_| self.siblings.alive() > 0) else { return };
+        presence.leave_word(&self.recent_attempts.text(now));
+        let messages = presence.words(&self.siblings);
+        let received: Vec<_> =
+            messages.iter().flat_map(|message| self.recent_attempts.hear(message, now)).collect();
+        let outcomes = received
             .into_iter()
             .map(|handover::Ended { endpoint, method, outcome, part, .. }| (endpoint, method, outcome, part));
-        let told: Vec<_> = self.as_told(ends).collect();
-        self.balancer.told(now, &told);
+        let reports: Vec<_> = self.to_reports(outcomes).collect();
+        self.balancer.told(now, &reports);
     }
 
-    /// Ends that others tell, by the marks of endpoint and method, as the decisions take them.
-    fn as_told(
+    /// Converts outcomes observed elsewhere, given by the name hashes of endpoint and method, to the balancer's
+    /// reports.
+    fn to_reports(
         &self,
-        ends: impl Iterator<Item = (u32, u32, Outcome, f64)>,
+        outcomes: impl Iterator<Item = (u32, u32, Outcome, f64)>,
     ) -> impl Iterator<Item = AttemptReport> {
         let terms = self.balancer.terms();
-        let marked =
-            |at: &usize, mark| terms.offered[*at] && ids::name_hash(&terms.methods[*at].name) == mark;
-        ends.filter_map(move |(endpoint, method, outcome, part)| {
-            let method = (0..terms.methods.len()).find(|at| marked(at, method))?;
+        let offered_as =
+            |at: &usize, hash| terms.offered[*at] && ids::name_hash(&terms.methods[*at].name) == hash;
+        outcomes.filter_map(move |(endpoint, method, outcome, part)| {
+            let method = (0..terms.methods.len()).find(|at| offered_as(at, method))?;
             Some(AttemptReport { name_hash: endpoint, method, outcome, part, load: None })
         })
     }
 
     // The fleet, where this process is a member of one.
 
-    /// How this process stands, as the fleet is to know it.
-    pub(super) fn stand(&mut self) {
+    /// Reports this process's status to the fleet.
+    pub(super) fn update_member_status(&mut self) {
         if self.fleet.is_none() {
             return;
         }
-        let standing = match (self.leaving, self.draining) {
-            (Some(_), _) => Member::Leaving,
-            (None, Some(_)) => Member::Drained,
-            _ if self.is_ready().starts_with("200") => Member::Serving,
-            _ => Member::Joining,
+        let status = match (self.shutdown, self.draining) {
+            (Some(_), _) => MemberStatus::Leaving,
+            (None, Some(_)) => MemberStatus::Drained,
+            _ if self.is_ready().starts_with("200") => MemberStatus::Serving,
+            _ => MemberStatus::Joining,
         };
         let Sidecar { fleet, turn, .. } = self;
         let Some(fleet) = fleet else { return };
-        if standing == Member::Serving {
+        if status == MemberStatus::Serving {
             fleet.is_back();
         }
-        fleet.stands(standing, turn);
+        fleet.stands(status, turn);
     }
 
-    /// The last word before it ends.
-    pub(super) fn farewell(&mut self) {
+    /// Reports to the fleet that this process is about to exit.
+    pub(super) fn report_gone(&mut self) {
         let Sidecar { fleet, turn, .. } = self;
-        fleet.iter_mut().for_each(|fleet| fleet.stands(Member::Gone, turn));
+        fleet.iter_mut().for_each(|fleet| fleet.stands(MemberStatus::Gone, turn));
     }
 
     pub(super) fn fleet_ready(&mut self, key: Key) {
-        self.tell_holds();
+        self.update_fleet_report();
         let Sidecar { fleet, turn, .. } = self;
         let news = fleet.as_mut().map(|fleet| fleet.ready(key, turn)).unwrap_or_default();
-        self.take_news(news);
+        self.handle_fleet_events(news);
     }
 
     pub(super) fn fleet_due(&mut self) {
-        self.tell_holds();
+        self.update_fleet_report();
         let Sidecar { fleet, turn, .. } = self;
         let news = fleet.as_mut().map(|fleet| fleet.timed_out(turn)).unwrap_or_default();
-        self.take_news(news);
+        self.handle_fleet_events(news);
     }
 
-    /// What it holds is counted anew before it is told, and idle connections above its part are given back.
-    fn tell_holds(&mut self) {
-        let alone = self.presence.is_some() && self.others.alive() == 0;
-        let (now, open) = (self.clock.now(), self.open());
-        let Sidecar { fleet, servers, turn, endpoints, outs, entries, clients, draining, .. } = self;
+    /// Updates what the next report to the fleet says of connections and requests, and closes idle connections above
+    /// this process's share.
+    fn update_fleet_report(&mut self) {
+        let alone = self.presence.is_some() && self.siblings.alive() == 0;
+        let (now, open) = (self.clock.now(), self.open_requests());
+        let Sidecar { fleet, servers, turn, endpoints, out_of_service, entries, clients, draining, .. } =
+            self;
         let Some(fleet) = fleet.as_mut() else { return };
-        // What is out of service by an operator's word is left for good: the module would keep idle connections there until its
-        // next request.
-        outs.iter()
+        // Idle connections to endpoints that operators took out of service are closed here: the balancer would keep
+        // them until its next request.
+        out_of_service
+            .iter()
             .filter_map(|name| endpoints.find(name))
             .for_each(|endpoint| servers.close_idle(endpoint, turn));
         let holds =
             |name: &&String| endpoints.find(name).is_some_and(|endpoint| servers.held(endpoint).0 > 0);
-        fleet.holds_at(outs.iter().filter(holds).cloned().collect());
+        fleet.holds_at(out_of_service.iter().filter(holds).cloned().collect());
         let ready =
             |name: &&String| entries.get(*name).is_some_and(|entry| entry.state == EndpointStanding::Ready);
         let lacks = fleet.looks_for().filter(|name| !ready(name)).cloned().collect();
-        // Danger: what was on its way when the drain began comes still, and would not be seen to have been waited for.
-        let early = draining.is_some_and(|since| turn.now.since(since) < DRAIN_GRACE);
-        fleet.stands_with(open + clients.count() + usize::from(early), lacks);
-        // Danger: a cap that is not taken back would outlive its budget.
+        // Danger: connections that were on their way when the drain began still arrive. Until the grace period is
+        // over the process counts as busy, so that the fleet sees that they were waited for.
+        let in_grace = draining.is_some_and(|since| turn.now.since(since) < DRAIN_GRACE);
+        fleet.stands_with(open + clients.count() + usize::from(in_grace), lacks);
+        // Danger: set each time, as a cap that is not cleared would outlive its budget.
         servers.most_at_one = fleet.connections_most(now);
         if !fleet.is_limited() {
             return;
@@ -418,21 +442,23 @@
         fleet.holds(connections, out, alone);
     }
 
-    fn take_news(&mut self, news: Vec<News>) {
+    fn handle_fleet_events(&mut self, news: Vec<News>) {
         for news in news {
             match news {
-                News::Settings(version, text) => self.take_agreed(version, &text),
-                News::Ends(passed) => self.hear_ends(&passed),
-                News::Outs(outs) => self.take_outs(outs),
-                News::Out { refused } => self.may_drain(refused.as_deref()),
-                News::Sent(true) if self.draining.is_none() && self.leaving.is_none() => {
-                    log::info!("a release sends this process out");
-                    self.sent_out = true;
+                News::Settings(version, text) => self.apply_agreed_settings(version, &text),
+                News::Ends(passed) => self.apply_observations(&passed),
+                News::Outs(out_of_service) => self.update_out_of_service(out_of_service),
+                News::Out { refused } => self.handle_drain_answer(refused.as_deref()),
+                News::Sent(true) if self.draining.is_none() && self.shutdown.is_none() => {
+                    log::info!("a release drains this process");
+                    self.drained_by_release = true;
                     self.drain();
                 }
-                // One that an operator has drained stays so.
-                News::Sent(false) if std::mem::take(&mut self.sent_out) && self.leaving.is_none() => {
-                    log::info!("its release lets this process come back");
+                // A process that an operator has drained stays drained.
+                News::Sent(false)
+                    if std::mem::take(&mut self.drained_by_release) && self.shutdown.is_none() =>
+                {
+                    log::info!("the release ends the drain of this process");
                     self.resume();
                 }
                 News::Sent(_) => {}
@@ -440,62 +466,63 @@
         }
     }
 
-    /// Settings that the fleet has agreed on: checked whole, and acted on from here on or not at all.
-    fn take_agreed(&mut self, version: Version, text: &str) {
+    /// Validates settings that the fleet has agreed on as a whole, and applies them all or not at all.
+    fn apply_agreed_settings(&mut self, version: Version, text: &str) {
         let settings: Result<Value, String> =
             serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"));
         let read = settings.and_then(|settings| {
-            let launch = Launch::with(&self.base, self.file.clone(), &settings, &mut self.places)?;
+            let launch =
+                Launch::with(&self.base_config, self.config_path.clone(), &settings, &mut self.places)?;
             Ok((settings, launch))
         });
         match read {
             Ok((settings, launch)) => {
                 log::info!("acts on settings {version} from here on");
-                self.take_over(launch);
+                self.apply_config(launch);
                 self.fleet
                     .iter_mut()
                     .for_each(|fleet| fleet.acts_on(Agreed { version, settings: settings.clone() }));
             }
             Err(what) => {
-                log::warn!(
-                    "settings {version}, agreed on, are faulty here, and it goes on with those it has: {what}"
-                );
+                log::warn!("agreed settings {version} are invalid here, keeping the current ones: {what}");
                 self.fleet.iter_mut().for_each(Fleet::found_faulty);
             }
         }
     }
 
-    /// Other endpoints are out of service from here on: what has changed is told as the list would tell it.
-    fn take_outs(&mut self, outs: Vec<String>) {
-        let outs: HashSet<String> = outs.into_iter().collect();
-        let changed: Vec<String> = self.outs.symmetric_difference(&outs).cloned().collect();
+    /// Replaces the set of endpoints that are out of service. Changes are passed to the balancer like updates of the
+    /// list.
+    fn update_out_of_service(&mut self, out_of_service: Vec<String>) {
+        let out_of_service: HashSet<String> = out_of_service.into_iter().collect();
+        let changed: Vec<String> =
+            self.out_of_service.symmetric_difference(&out_of_service).cloned().collect();
         log::info!(
-            "out of service: {}",
-            if outs.is_empty() { "none".to_string() } else { sorted(&outs).join(", ") }
+            "endpoints out of service: {}",
+            if out_of_service.is_empty() { "none".to_string() } else { sorted(&out_of_service).join(", ") }
         );
-        self.outs = outs;
+        self.out_of_service = out_of_service;
         self.balancer.list_begin(false);
         for name in changed {
             if let (Some(endpoint), Some(entry)) = (self.endpoints.find(&name), self.entries.get(&name)) {
-                let entry = in_service(*entry, self.outs.contains(&name));
+                let entry = apply_fleet_state(*entry, self.out_of_service.contains(&name));
                 self.balancer.listed(self.turn.now, endpoint, entry);
             }
         }
         self.balancer.list_end(self.turn.now);
     }
 
-    /// How attempts of other members have ended. What that is worth is decided elsewhere.
-    fn hear_ends(&mut self, passed: &[RelayedObservation]) {
-        let ends = passed.iter().filter_map(|RelayedObservation { observation: seen, .. }| {
+    /// Applies the outcomes that other members observed. The balancer decides how much weight they have.
+    fn apply_observations(&mut self, observations: &[RelayedObservation]) {
+        let outcomes = observations.iter().filter_map(|RelayedObservation { observation, .. }| {
             Some((
-                seen.endpoint,
-                seen.method,
-                evidence::outcome_from_code(seen.outcome)?,
-                f64::from(seen.budget_fraction),
+                observation.endpoint,
+                observation.method,
+                evidence::outcome_from_code(observation.outcome)?,
+                f64::from(observation.budget_fraction),
             ))
         });
-        let told: Vec<_> = self.as_told(ends).collect();
-        self.balancer.heard(self.turn.now, &told);
+        let reports: Vec<_> = self.to_reports(outcomes).collect();
+        self.balancer.heard(self.turn.now, &reports);
     }
 }
 
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -1,36 +1,39 @@
-//! A request's life: from its client to an endpoint and back, and what is decided of it on the way.
+//! The path of a request from its client to an endpoint and back, and the execution of the balancer's decisions about
+//! it.
 
 use super::*;
 use crate::figures::AnsweredHere;
 use crate::trace;
 
 const PROBE_HEAD: &[u8] = b"GET /load HTTP/1.1\r\n\r\n";
-/// Longest that a probe may take: by then the request that waits for it has long set out.
-const PROBE_WAIT: Span = Span::from_millis(200);
-/// Pieces of a long message that are passed on before others have their turn: operators wait a second at the most.
-const PIECES_MOST: usize = 16;
+/// Probe timeout; by then the request that waits for the probe has long been sent.
+const PROBE_TIMEOUT: Span = Span::from_millis(200);
+/// Pieces of a streamed body forwarded in one turn before other connections are served: operators wait one second at
+/// most.
+const MAX_PIECES_PER_TURN: usize = 16;
 
 impl Sidecar {
     pub(super) fn client_ready(&mut self, key: Key) {
         let said = self.clients.ready(key, self.balancer.terms(), &mut self.turn);
-        self.said(key, said);
+        self.handle_client(key, said);
     }
 
-    /// The client's end has come, maybe behind more than is read. Danger: no further event would tell of it.
-    pub(super) fn client_leaves(&mut self, key: Key) {
+    /// The client has closed its connection, possibly behind data that is not read yet. Danger: no further event
+    /// reports this.
+    pub(super) fn client_closed(&mut self, key: Key) {
         self.clients.ends(key);
         self.client_ready(key);
     }
 
-    pub(super) fn said(&mut self, key: Key, said: Said) {
+    pub(super) fn handle_client(&mut self, key: Key, said: Said) {
         match said {
             Said::Nothing => {}
-            Said::Brought => self.look_again.push(key),
-            Said::More => self.pass_up(key),
-            Said::Takes { from } => self.pass_down(from),
+            Said::Brought => self.clients_to_recheck.push(key),
+            Said::More => self.forward_request(key),
+            Said::Takes { from } => self.forward_response(from),
             Said::Gone { from } => self.servers.close(from, &mut self.turn),
             Said::Silent { request } => {
-                self.answer(request, 408, None, AnsweredHere::SlowRequest);
+                self.answer_locally(request, 408, None, AnsweredHere::SlowRequest);
                 self.client_disconnected(request);
             }
             Said::Arrival { method, left, work, frame } => {
@@ -43,8 +46,9 @@
                     id: String::new(),
                 };
                 let Ok(at) = self.requests.insert_with(|_| Ok::<_, Infallible>(request));
-                // Danger: once it leaves there may be less time than the client would wait.
-                let left = self.leaving.map_or(left, |leaving| left.min(leaving.until.since(self.turn.now)));
+                // Danger: during a shutdown there may be less time left than the client would wait.
+                let left =
+                    self.shutdown.map_or(left, |shutdown| left.min(shutdown.until.since(self.turn.now)));
                 self.clients.waits(key, at.index(), frame);
                 self.trace_arrival(at.index(), key, left);
                 self.balancer.arrival(
@@ -56,51 +60,54 @@
             Said::Hangup { request } => {
                 if let Some(r) = self.request(request) {
                     r.client = None;
-                    log::debug!("request {}: its client has left", r.id);
+                    log::debug!("request {}: its client disconnected", r.id);
                     self.client_disconnected(request);
                 }
             }
         }
     }
 
-    /// Nobody waits for this request any more. Danger: an attempt whose connect comes up late, or of which the endpoint has
-    /// yet to take a part, would go out all the same; it is not cancelled there, as it was never sent.
+    /// The client no longer waits for this request. Danger: an attempt that is still connecting or partly unwritten
+    /// would be sent all the same, and cancelling does not cover it as it was never sent. So such attempts are
+    /// withdrawn here.
     pub(super) fn client_disconnected(&mut self, request: usize) {
         self.balancer.client_disconnected(request);
-        let links = self.request(request).map(|r| r.attempts.iter().flatten().copied().collect::<Vec<_>>());
-        for link in links.unwrap_or_default() {
+        let attempts_out =
+            self.request(request).map(|r| r.attempts.iter().flatten().copied().collect::<Vec<_>>());
+        for link in attempts_out.unwrap_or_default() {
             if self.servers.unwritten(link).is_some() {
                 let ended = self.servers.withdraw(link, &mut self.turn);
-                self.ended(link, ended);
+                self.attempt_ended(link, ended);
             }
         }
     }
 
     pub(super) fn server_ready(&mut self, key: Key) {
         if self.servers.passes(key).is_some() {
-            return self.pass_down(key);
+            return self.forward_response(key);
         }
-        // What waits for its connect is written as soon as that is up.
+        // A request that waits for the connect is written as soon as that completes, so check first that its client
+        // is still there.
         match self.servers.unwritten(key) {
-            Some(request) if self.servers.is_connecting(key) => self.look_for_client(request),
-            Some(_) => self.look(self.looked),
+            Some(request) if self.servers.is_connecting(key) => self.verify_client(request),
+            Some(_) => self.refresh_disconnects(self.last_poll),
             None => {}
         }
         let ended = self.servers.ready(key, &mut self.turn);
-        self.ended(key, ended);
+        self.attempt_ended(key, ended);
         let request = self.servers.awaits(key);
         if let Some(client) =
             request.and_then(|request| self.request(request)).and_then(|request| request.client)
         {
-            self.pass_up(client);
+            self.forward_request(client);
         }
     }
 
-    /// Passes on what there is of a long request's body, as far as its endpoint takes it.
-    pub(super) fn pass_up(&mut self, client: Key) {
+    /// Forwards the available part of a streamed request body, as far as the endpoint accepts it.
+    pub(super) fn forward_request(&mut self, client: Key) {
         let Some(request) = self.clients.brings(client) else { return };
         let now = self.turn.now;
-        for _ in 0..PIECES_MOST {
+        for _ in 0..MAX_PIECES_PER_TURN {
             let link = self.request(request).and_then(|r| r.attempts.last().copied().flatten());
             let Some(link) = link.filter(|link| self.servers.takes_more(*link)) else {
                 return self.clients.rest(client, &mut self.turn);
@@ -112,28 +119,28 @@
                     let ended = self.servers.feed(link, Some(data), &mut self.turn);
                     self.clients.taken(client, &range, &mut self.turn);
                     if ended.is_some() {
-                        return self.ended(link, ended);
+                        return self.attempt_ended(link, ended);
                     }
                 }
                 Piece::End => {
                     self.balancer.partly_forwarded(now, request);
                     let ended = self.servers.feed(link, None, &mut self.turn);
-                    return self.ended(link, ended);
+                    return self.attempt_ended(link, ended);
                 }
                 Piece::Later => return,
                 Piece::Bad(status) => {
-                    self.answer(request, status, None, AnsweredHere::BadRequest);
+                    self.answer_locally(request, status, None, AnsweredHere::BadRequest);
                     return self.client_disconnected(request);
                 }
                 Piece::Broken => return self.client_ready(client),
             }
         }
-        self.pass_again.push(Peer::Client(client));
+        self.streams_to_resume.push(Peer::Client(client));
     }
 
-    /// Passes on what there is of a long answer, as far as its client takes it.
-    pub(super) fn pass_down(&mut self, link: Key) {
-        for _ in 0..PIECES_MOST {
+    /// Forwards the available part of a streamed response, as far as the client accepts it.
+    pub(super) fn forward_response(&mut self, link: Key) {
+        for _ in 0..MAX_PIECES_PER_TURN {
             let Some((client, method, end)) = self.servers.passes(link) else { return };
             if !self.clients.takes_more(client) {
                 return self.servers.rest(link, &mut self.turn);
@@ -149,32 +156,32 @@
                 Piece::End => {
                     self.clients.end_pass(client, true, &mut self.turn);
                     self.servers.passed(link, &mut self.turn);
-                    self.take_next(client);
-                    return self.count(method, end);
+                    self.check_next_request(client);
+                    return self.count_request(method, end);
                 }
                 Piece::Later => return,
-                Piece::Bad(_) | Piece::Broken => return self.break_off(link),
+                Piece::Bad(_) | Piece::Broken => return self.abort_response(link),
             }
         }
-        self.pass_again.push(Peer::Server(link));
+        self.streams_to_resume.push(Peer::Server(link));
     }
 
-    /// A long answer that was begun cannot be finished.
-    pub(super) fn break_off(&mut self, link: Key) {
+    /// Aborts a streamed response that cannot be completed.
+    pub(super) fn abort_response(&mut self, link: Key) {
         let Some((client, method, _)) = self.servers.passes(link) else { return };
-        log::info!("an answer broke off on its way");
+        log::info!("a streamed response was aborted before its end");
         self.clients.end_pass(client, false, &mut self.turn);
         self.servers.close(link, &mut self.turn);
-        self.count(method, End::Failed);
+        self.count_request(method, End::Failed);
     }
 
-    pub(super) fn count(&mut self, method: usize, end: End) {
+    pub(super) fn count_request(&mut self, method: usize, end: End) {
         self.figures.ended(&self.balancer.terms().methods[method].name, end);
         self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, false));
     }
 
-    /// A request that came then is served, or failed with its last word.
-    fn count_since(&mut self, method: usize, end: End, since: Moment) {
+    /// Counts a request that arrived at `since` and was answered by an endpoint, whether served or failed.
+    fn count_request_since(&mut self, method: usize, end: End, since: Moment) {
         let method = &self.balancer.terms().methods[method];
         self.figures.ended(&method.name, end);
         let slow = self.turn.now.since(since) > method.latency_budget;
@@ -186,48 +193,51 @@
         self.requests.get_mut(key)
     }
 
-    /// An attempt on this connection has ended: its answer goes to the client if no other could be better.
-    pub(super) fn ended(&mut self, key: Key, ended: Option<Ended>) {
+    /// An attempt on this connection has ended. Its response goes to the client if it is final: a success or a client
+    /// error.
+    pub(super) fn attempt_ended(&mut self, key: Key, ended: Option<Ended>) {
         let Some(ended) = ended else { return };
         let Ended { carried: Carried { request, attempt, .. }, ending, answer, long, .. } = ended;
         if request == PROBE {
-            return self.probed(attempt, key, answer, long.is_some());
+            return self.probe_ended(attempt, key, answer, long.is_some());
         }
         let outcome = ending.outcome();
         self.trace_end(request, attempt, ended.endpoint, ending, ended.sent);
-        self.book(request, ended.endpoint, ended.sent, outcome);
-        let (mut closed, mut passes) = (true, false);
+        self.record_attempt(request, ended.endpoint, ended.sent, outcome);
+        let (mut closed, mut streaming) = (true, false);
         if let Some(r) = self.request(request) {
             r.attempts[attempt] = None;
-            let last = matches!(outcome, Outcome::Success | Outcome::ClientError);
+            let is_final = matches!(outcome, Outcome::Success | Outcome::ClientError);
             let (method, since) = (r.method, r.since);
-            let client = if last { r.client.take() } else { None };
+            let client = if is_final { r.client.take() } else { None };
             closed = r.client.is_none();
             if let (Some(client), Some(frame)) = (client, answer) {
                 let end = if outcome == Outcome::Success { End::Served } else { End::Failed };
                 match &long {
-                    Some(body) => passes = self.begin(key, frame, body.clone(), (client, method, end)),
+                    Some(body) => {
+                        streaming = self.begin_streaming(key, frame, body.clone(), (client, method, end))
+                    }
                     None => {
-                        self.relay(key, frame, client);
-                        self.count_since(method, end, since);
+                        self.send_response(key, frame, client);
+                        self.count_request_since(method, end, since);
                     }
                 }
             }
         }
         match answer {
             Some(frame) if long.is_none() => self.servers.release(key, frame, &mut self.turn),
-            // A long answer either passes to its client or is of no use.
-            Some(_) if !passes => self.servers.close(key, &mut self.turn),
+            // A streamed response that cannot be forwarded to its client is discarded.
+            Some(_) if !streaming => self.servers.close(key, &mut self.turn),
             _ => {}
         }
         self.balancer.outcome(self.turn.now, request, attempt, outcome, closed);
-        if passes {
-            self.pass_down(key);
+        if streaming {
+            self.forward_response(key);
         }
     }
 
-    /// Keeps how an attempt ended, for another process at this address and for the fleet.
-    pub(super) fn book(&mut self, request: usize, endpoint: usize, sent: Moment, outcome: Outcome) {
+    /// Records an attempt's outcome for other processes at this address and for the fleet.
+    pub(super) fn record_attempt(&mut self, request: usize, endpoint: usize, sent: Moment, outcome: Outcome) {
         if self.presence.is_none() && self.fleet.is_none() {
             return;
         }
@@ -243,7 +253,7 @@
             part: self.turn.now.since(sent).secs() / method.latency_budget.secs().max(1e-6),
         };
         if self.presence.is_some() {
-            self.latest.book(ended);
+            self.recent_attempts.book(ended);
         }
         if let (Some(fleet), Some(code)) = (&mut self.fleet, appledyke_fleet::evidence::outcome_code(outcome))
         {
@@ -251,98 +261,111 @@
         }
     }
 
-    /// An answer that is there whole goes to the client.
-    pub(super) fn relay(&mut self, key: Key, frame: Frame, client: Key) {
+    /// Sends a fully buffered response to the client.
+    pub(super) fn send_response(&mut self, key: Key, frame: Frame, client: Key) {
         if let Some((head, body)) = self.servers.message(key, frame) {
             let length = Length::Known(body.len() as u64);
             let write = |out: &mut Vec<u8>, keep| http::relayed_head(out, head, length, keep);
             self.clients.answer(client, write, body, &mut self.turn);
-            self.take_next(client);
+            self.check_next_request(client);
         }
     }
 
-    /// A long answer is to pass to the client; whether it can.
-    pub(super) fn begin(&mut self, key: Key, frame: Frame, body: Body, whose: (Key, usize, End)) -> bool {
+    /// Begins to stream a response to the client. Returns whether that is possible.
+    pub(super) fn begin_streaming(
+        &mut self,
+        key: Key,
+        frame: Frame,
+        body: Body,
+        target: (Key, usize, End),
+    ) -> bool {
         let Some((head, _)) = self.servers.message(key, frame) else { return false };
         let write = |out: &mut Vec<u8>, length, keep| http::relayed_head(out, head, length, keep);
-        let begun = self.clients.begin(whose.0, key, body.length(), write, &mut self.turn);
-        if begun {
-            self.servers.pass(key, frame, body, whose);
+        let started = self.clients.begin(target.0, key, body.length(), write, &mut self.turn);
+        if started {
+            self.servers.pass(key, frame, body, target);
         }
-        begun
+        started
     }
 
-    /// A client has its answer, and its next request may have come already. Danger: the end of one that has left may stand behind
-    /// more than is read; that the machine finds nobody there for the answer is told with the next poll, and waited for.
-    fn take_next(&mut self, client: Key) {
+    /// A client was answered, and its next request may already be in the buffer. Danger: if the buffer is full, a
+    /// close may stand behind unread data. The failed write of the response is reported only by the next poll, so
+    /// such a client waits for that.
+    fn check_next_request(&mut self, client: Key) {
         if self.clients.is_full(client) {
-            self.later.push(Peer::Client(client));
+            self.deferred_events.push(Peer::Client(client));
         } else {
-            self.look_again.push(client);
+            self.clients_to_recheck.push(client);
         }
     }
 
-    /// An attempt is about to begin for this request, whose client may have left unseen.
-    fn look_for_client(&mut self, request: usize) {
-        // What has come in this turn was read in it.
+    /// Called before an attempt begins: checks that the request's client has not disconnected unnoticed.
+    fn verify_client(&mut self, request: usize) {
+        // A request that arrived in this turn was read in it, so its client was there then.
         let Some(since) = self.request(request).map(|r| r.since) else { return };
-        self.look(if since == self.turn.now { since } else { self.looked });
+        self.refresh_disconnects(if since == self.turn.now { since } else { self.last_poll });
         let Some(r) = self.request(request) else { return };
         let Some(client) = r.client else { return };
-        let links = r.attempts.clone();
-        let never_sent = links.iter().all(|link| link.is_some_and(|link| self.servers.is_connecting(link)));
-        match self.clients.sight(client, LOOK_MOST, self.clock.now()) {
+        let attempts_out = r.attempts.clone();
+        let never_sent =
+            attempts_out.iter().all(|link| link.is_some_and(|link| self.servers.is_connecting(link)));
+        match self.clients.sight(client, MAX_DISCONNECT_AGE, self.clock.now()) {
             Sight::Here => {}
-            Sight::Left => self.client_leaves(client),
+            Sight::Left => self.client_closed(client),
             Sight::Unknown => {
-                self.answer(request, if never_sent { 503 } else { 502 }, None, AnsweredHere::ClientUnseen);
+                self.answer_locally(
+                    request,
+                    if never_sent { 503 } else { 502 },
+                    None,
+                    AnsweredHere::ClientUnseen,
+                );
                 self.client_disconnected(request);
             }
         }
     }
 
-    pub(super) fn carry_out(&mut self, decision: Decision) {
+    pub(super) fn execute(&mut self, decision: Decision) {
         if let Decision::Send { request, .. } = decision {
-            self.look_for_client(request);
+            self.verify_client(request);
         }
         let (now, turn) = (self.turn.now, &mut self.turn);
         match decision {
             Decision::Send { request, endpoint, give_up } => {
                 let Some(r) = self.request(request) else { return };
                 let (client, carried) = (r.client, Carried { request, attempt: r.attempts.len(), give_up });
-                // Who has just left is sent nothing for, and takes nothing from a budget.
-                let within = client.is_some() && self.within_budgets(endpoint, carried.attempt > 0);
+                // Nothing is sent, and no budget spent, for a client that has just disconnected.
+                let allowed = client.is_some() && self.budgets_allow(endpoint, carried.attempt > 0);
                 let mut sent =
-                    if within { self.attempt(client, endpoint, carried) } else { Err(Ending::NoRoom) };
-                if within && sent == Err(Ending::NoRoom) {
+                    if allowed { self.send_attempt(client, endpoint, carried) } else { Err(Ending::NoRoom) };
+                if allowed && sent == Err(Ending::NoRoom) {
                     let mut brought = Vec::new();
                     if self.clients.make_room(&mut self.turn, &mut brought) {
-                        sent = self.attempt(client, endpoint, carried);
+                        sent = self.send_attempt(client, endpoint, carried);
                     }
-                    self.look_again.extend(brought);
+                    self.clients_to_recheck.extend(brought);
                 }
                 self.trace_attempt(request, carried.attempt, endpoint, sent);
                 let Some(r) = self.request(request) else { return };
                 r.attempts.push(sent.ok());
-                let brings = r.client.filter(|_| sent.is_ok());
+                let uploading = r.client.filter(|_| sent.is_ok());
                 if let Err(ending) = sent {
                     self.balancer.outcome(now, request, carried.attempt, ending.outcome(), false);
                 }
-                if let Some(client) = brings {
-                    self.pass_up(client);
+                if let Some(client) = uploading {
+                    self.forward_request(client);
                 }
             }
             Decision::Reject { request, retry_after, reason } => {
-                self.answer(request, 503, retry_after, AnsweredHere::GiveUpReason(reason));
+                self.answer_locally(request, 503, retry_after, AnsweredHere::GiveUpReason(reason));
             }
             Decision::Fail { request, reason } => {
-                self.answer(request, 502, None, AnsweredHere::GiveUpReason(reason))
+                self.answer_locally(request, 502, None, AnsweredHere::GiveUpReason(reason))
             }
             Decision::Cancel { request, attempt } => {
                 let link = self.request(request).and_then(|r| r.attempts.get(attempt).copied().flatten());
                 if let Some(key) = link {
                     let ended = self.servers.withdraw(key, &mut self.turn);
-                    self.ended(key, ended);
+                    self.attempt_ended(key, ended);
                 }
             }
             Decision::CloseIdle { endpoint } => self.servers.close_idle(endpoint, turn),
@@ -353,19 +376,19 @@
             }
             Decision::ForgetEndpoint { endpoint } => {
                 self.entries.remove(self.endpoints.name(endpoint));
-                self.states.forget(endpoint);
+                self.endpoint_states.forget(endpoint);
                 self.servers.forget(endpoint, turn);
                 self.endpoints.release(endpoint);
             }
             Decision::Wake { at } => turn.deadlines.add(at, Due::Wake),
             Decision::Subscribe => self.subscribe(),
-            Decision::Probe { endpoint } => self.probe(endpoint),
-            // The terms say that messages may not be sent: `launch.rs`.
+            Decision::Probe { endpoint } => self.send_probe(endpoint),
+            // Never decided: `launch.rs` turns messages to peers off in the terms.
             Decision::TellPeer { .. } => {}
         }
     }
 
-    /// Logs that a request has come.
+    /// Logs the arrival of a request.
     fn trace_arrival(&mut self, request: usize, client: Key, left: Span) {
         if !log::log_enabled!(log::Level::Debug) {
             return;
@@ -376,7 +399,8 @@
         self.request(request).into_iter().for_each(|r| r.id.clone_from(&id));
     }
 
-    /// Counts an attempt that is a retry, and logs any, with the version of the list that it was decided on.
+    /// Counts an attempt if it is a retry, and logs every attempt with the version of the list that it was decided
+    /// on.
     fn trace_attempt(&mut self, request: usize, attempt: usize, endpoint: usize, sent: Result<Key, Ending>) {
         let Some(last) = self.request(request).map(|r| r.last_outcome) else { return };
         if let Some(last) = last {
@@ -390,13 +414,13 @@
             log::debug!("request {id}: attempt {attempt} to {name}, list version {version}{after}{result}");
         }
         if let Err(ending) = sent {
-            self.end_attempt(request, ending);
+            self.record_outcome(request, ending);
         }
     }
 
-    /// Counts how an attempt has ended, and logs it.
+    /// Counts and logs the end of an attempt.
     fn trace_end(&mut self, request: usize, attempt: usize, endpoint: usize, ending: Ending, sent: Moment) {
-        self.end_attempt(request, ending);
+        self.record_outcome(request, ending);
         if log::log_enabled!(log::Level::Debug) {
             let id = self.request(request).map_or("", |r| &r.id).to_string();
             let took = self.turn.now.since(sent).secs() * 1e3;
@@ -405,24 +429,24 @@
         }
     }
 
-    fn end_attempt(&mut self, request: usize, ending: Ending) {
+    fn record_outcome(&mut self, request: usize, ending: Ending) {
         let outcome = ending.outcome();
         self.figures.attempt_ended(outcome);
         self.request(request).into_iter().for_each(|r| r.last_outcome = Some(outcome));
     }
 
-    /// Whether the fleet's budgets allow one more attempt to this endpoint now.
-    fn within_budgets(&mut self, endpoint: usize, again: bool) -> bool {
+    /// Whether the fleet's budgets allow another attempt to this endpoint now.
+    fn budgets_allow(&mut self, endpoint: usize, is_retry: bool) -> bool {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.is_limited()) else { return true };
         let (now, (connections, out)) = (self.clock.now(), self.servers.held(endpoint));
         self.servers.most_at_one = fleet.connections_most(now);
         let started = self.servers.started(endpoint);
         let cold = started.is_some_and(|at| self.balancer.terms().warm_part(now.since(at)) < 1.0);
         let idle = self.servers.has_idle(endpoint);
-        fleet.may_send(now, &Wish { again, cold, connections, out, idle })
+        fleet.may_send(now, &Wish { again: is_retry, cold, connections, out, idle })
     }
 
-    pub(super) fn attempt(
+    pub(super) fn send_attempt(
         &mut self,
         client: Option<Key>,
         endpoint: usize,
@@ -433,16 +457,16 @@
         self.servers.send(endpoint, carried, message, &mut self.turn)
     }
 
-    pub(super) fn probe(&mut self, endpoint: usize) {
-        let carried = Carried { request: PROBE, attempt: endpoint, give_up: self.turn.now + PROBE_WAIT };
+    pub(super) fn send_probe(&mut self, endpoint: usize) {
+        let carried = Carried { request: PROBE, attempt: endpoint, give_up: self.turn.now + PROBE_TIMEOUT };
         let message = Message { head: PROBE_HEAD, body: b"", coming: None };
         if self.servers.send(endpoint, carried, message, &mut self.turn).is_err() {
             self.balancer.probed(self.turn.now, endpoint, None);
         }
     }
 
-    /// What a probe's answer says of the requests in hand.
-    pub(super) fn probed(&mut self, endpoint: usize, key: Key, answer: Option<Frame>, long: bool) {
+    /// Passes the load reported by a probe's response to the balancer.
+    pub(super) fn probe_ended(&mut self, endpoint: usize, key: Key, answer: Option<Frame>, long: bool) {
         let body = answer.and_then(|frame| self.servers.message(key, frame)).map(|(_, body)| body);
         let report = body.and_then(|body| std::str::from_utf8(body).ok());
         let load = report.and_then(|report| self.balancer.terms().load(report));
@@ -454,8 +478,8 @@
         }
     }
 
-    /// An answer of our own, if the client still waits for one.
-    pub(super) fn answer(
+    /// Answers a request with a response of the sidecar's own, if the client still waits for one.
+    pub(super) fn answer_locally(
         &mut self,
         request: usize,
         status: u16,
@@ -469,9 +493,9 @@
         self.figures.answered_here(why);
         let id = self.request(request).map_or("", |r| &r.id);
         log::debug!("request {id}: answered {status} here, {}", why.name());
-        self.count(method, if status == 503 { End::Rejected } else { End::Failed });
+        self.count_request(method, if status == 503 { End::Rejected } else { End::Failed });
         let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, retry_after, keep);
         self.clients.answer(client, head, b"", &mut self.turn);
-        self.take_next(client);
+        self.check_next_request(client);
     }
 }
