--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration from its file and the variables, at the start and again when told to; checks it and
-//! fills in defaults. Every message names the faulty key.
+//! Reads the configuration from its file and the environment, at start and on reload, validates it and fills in
+//! defaults. Every error message names the faulty key.
 
 use std::env;
 use std::fs;
@@ -14,115 +14,120 @@
 use crate::fleet::{self, Agreed};
 use crate::net::{http, list, operator};
 
-/// Descriptors kept for all that is not a connection of a client or an endpoint: standard streams, the poll,
-/// signals, the listener and the list.
-const SOCKETS_KEPT: usize = 16;
-/// Least connections with which a sidecar is of use.
-const CONNECTIONS_LEAST: usize = 8;
-/// Part of the memory that messages in buffers may take, if every connection held one each way.
-const BUFFERS_SHARE: f64 = 0.75;
-/// What a sidecar may use where the configuration sets no limits.
-const SOCKETS: u64 = 1024;
-const MEMORY_MB: u64 = 192;
+/// File descriptors reserved for everything except client and endpoint connections: standard streams, the poll,
+/// signals, the listener and service discovery.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// Fewest connections with which a sidecar can serve.
+const MIN_CONNECTIONS: usize = 8;
+/// Share of the memory limit that buffered messages may take, if every connection held one in each direction.
+const BUFFER_MEMORY_SHARE: f64 = 0.75;
+/// Default limits.
+const DEFAULT_SOCKETS: u64 = 1024;
+const DEFAULT_MEMORY_MB: u64 = 192;
 
-/// The setting that tells how soon nothing more may be sent to an endpoint that drains.
-const STOPS: &str = "rules.stopSendingWithinNs";
+/// The setting for how soon nothing more may be sent to a draining endpoint.
+const STOP_SENDING_WITHIN: &str = "rules.stopSendingWithinNs";
 
-/// Keys that a file may have for a while.
-const OPTIONAL: [&str; 3] = ["known", "watch", "fleet"];
+/// Keys that a reloaded file may add or drop.
+const OPTIONAL_KEYS: [&str; 3] = ["known", "watch", "fleet"];
 
-/// Which has the last word where a variable and the file differ.
+/// Which source takes precedence where an environment variable and the file differ.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Winner {
+pub enum Precedence {
     Variable,
-    /// Danger: a running program's variables cannot be changed, and would hide what its file says anew.
+    /// Danger: the environment of a running process cannot be changed and would hide changes to its file. So the file
+    /// takes precedence on reload.
     File,
 }
 
-/// What a running sidecar does not take over from a file that is read again.
+/// Settings that take effect only at start, not on reload.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fixed {
+pub struct StartupConfig {
     pub name: String,
     pub listen: SocketAddr,
-    /// Where operators call; without it there is no second address.
+    /// Address of the admin endpoint; there is none without it.
     pub operator: Option<SocketAddr>,
-    /// Most connections to clients and endpoints together.
+    /// Most client and endpoint connections together.
     pub connections: usize,
     /// The fleet that this process is a member of.
     pub fleet: Option<fleet::Terms>,
-    watches: bool,
+    has_shadow: bool,
 }
 
-impl Fixed {
+impl StartupConfig {
     /// The keys at which the two differ.
-    pub fn differs(&self, other: &Fixed) -> Vec<&'static str> {
+    pub fn differs(&self, other: &StartupConfig) -> Vec<&'static str> {
         let keys = [
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
             ("operator", self.operator != other.operator),
             ("limits", self.connections != other.connections),
-            ("watch", self.watches != other.watches),
+            ("watch", self.has_shadow != other.has_shadow),
             ("fleet", self.fleet != other.fleet),
         ];
         keys.into_iter().filter_map(|(key, differs)| differs.then_some(key)).collect()
     }
 }
 
-/// What a file that is read again must have as the one taken before.
+/// What a reloaded file must share with the one it replaces.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
-    /// The keys at its top and in `settings`.
+pub struct ReloadIdentity {
+    /// The top-level keys, and those in `settings`.
     keys: Vec<String>,
-    /// The name that it has itself, whatever a variable says.
+    /// The name in the file itself, whatever the environment says.
     name: Value,
 }
 
-impl Kept {
-    fn of(file: &Value) -> Kept {
-        Kept { keys: keys(file), name: file["name"].clone() }
+impl ReloadIdentity {
+    fn of(file: &Value) -> ReloadIdentity {
+        ReloadIdentity { keys: required_keys(file), name: file["name"].clone() }
     }
 
-    /// Danger: a file that was cut short, or lost a key, would be filled in with defaults; and one of another sidecar
-    /// would have this one serve by another customer's settings.
-    fn holds(&self, now: &Kept) -> Result<(), String> {
-        if let Some(lost) = self.keys.iter().find(|key| !now.keys.contains(key)) {
-            return Err(format!("{lost}: missing, and it was there before"));
+    /// Danger: a file that was truncated or lost a key would be filled in with defaults, and a file of another
+    /// sidecar would make this one serve with another customer's settings.
+    fn check_successor(&self, next: &ReloadIdentity) -> Result<(), String> {
+        if let Some(missing) = self.keys.iter().find(|key| !next.keys.contains(key)) {
+            return Err(format!("{missing}: missing, but it was there before"));
         }
-        if now.name != self.name {
-            return Err(format!("name: {}, and it was {} before; it is another's file", now.name, self.name));
+        if next.name != self.name {
+            return Err(format!(
+                "name: {}, but it was {} before; this is the file of another sidecar",
+                next.name, self.name
+            ));
         }
         Ok(())
     }
 }
 
-/// All that a sidecar is told at its start.
+/// The complete validated configuration.
 pub struct Launch {
     /// The file that this was read from.
     pub path: PathBuf,
-    pub fixed: Fixed,
-    /// Where processes at the same address see one another, if there is such a place and operators are to see two.
+    pub startup: StartupConfig,
+    /// The folder in which processes at the same address detect one another, if there is one and an admin endpoint is
+    /// configured.
     pub folder: Option<PathBuf>,
     pub discovery: SocketAddr,
     pub seed: u64,
-    /// The list of endpoints as this sidecar last had it, in the list's own form.
+    /// The last known endpoint list, in the format of service discovery.
     pub known: Value,
     pub terms: Terms,
-    /// The terms of other settings, of which it is only counted where they would decide otherwise.
-    pub watched: Option<Terms>,
-    /// What a later file must have too.
-    pub kept: Kept,
-    /// The settings that narrow where and until when a request may go, as they stand in the file.
-    pub bound: Vec<String>,
-    /// What the settings allow and this program cannot do, by key.
-    pub unmet: Vec<String>,
+    /// The terms of the shadow settings: the sidecar only counts where they would decide otherwise.
+    pub shadow_terms: Option<Terms>,
+    /// What a reloaded file must have too.
+    pub reload_identity: ReloadIdentity,
+    /// The settings that restrict where and until when a request may be sent, as written in the file.
+    pub restrictions: Vec<String>,
+    /// Warnings, by key, about settings that this program cannot fully apply.
+    pub warnings: Vec<String>,
     pub connection_idle: Span,
     pub connect_timeout: Span,
-    /// What the fleet had agreed on when this process acted on it last, and the file below it.
+    /// The agreed fleet settings that this process last applied, and the local file that they were merged into.
     pub agreed: Option<Agreed>,
     pub base: Value,
 }
 
-/// Settings as paths and values: objects and lists are taken apart.
+/// Flattens settings into pairs of path and value: objects and lists are split into their parts.
 fn flatten(path: &str, value: &Value, pairs: &mut Vec<(String, String)>) {
     let under = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
     match value {
@@ -137,14 +142,14 @@
     }
 }
 
-/// The settings that narrow where and until when a request may go, where the file has them: each as it stands there. One
-/// of a kind that cannot be read would be passed over when it is taken apart, and bind nothing.
-fn bound(key: &str, file: &Value) -> Result<Vec<String>, String> {
-    let row = |value: &Value| match value {
+/// The settings in the file that restrict where and until when a request may be sent, each as written there. One of
+/// the wrong type is an error: flattening would drop it, and it would restrict nothing.
+fn restrictions(key: &str, file: &Value) -> Result<Vec<String>, String> {
+    let is_name_list = |value: &Value| match value {
         Value::Array(names) => names.iter().all(Value::is_string),
         other => other.is_string(),
     };
-    let single = |value: &Value| !value.is_object() && !value.is_array();
+    let is_scalar = |value: &Value| !value.is_object() && !value.is_array();
     let method = |at: usize, method: &Value| {
         let names = ["confinedTo", "skusOpen"].into_iter();
         names.map(|name| (format!("methods.{at}.{name}"), method[name].clone(), true)).collect::<Vec<_>>()
@@ -154,26 +159,26 @@
     let methods = file["methods"].as_array().into_iter().flatten().enumerate();
     let slots = ("ceilings.replySlots".to_string(), file["ceilings"]["replySlots"].clone(), false);
     let all = methods.flat_map(|(at, m)| method(at, m)).chain(rules).chain([slots]);
-    let stated = all.filter(|(_, value, _)| !value.is_null());
-    let told = stated.map(|(path, value, names)| {
-        let readable = if names { row(&value) } else { single(&value) };
-        let wanted = if names { "a list of names" } else { "a single value" };
+    let present = all.filter(|(_, value, _)| !value.is_null());
+    let checked = present.map(|(path, value, names)| {
+        let readable = if names { is_name_list(&value) } else { is_scalar(&value) };
+        let expected = if names { "a list of names" } else { "a single value" };
         readable
             .then(|| format!("{key}.{path}: {value}"))
-            .ok_or(format!("{key}.{path}: expected {wanted}, not {value}"))
+            .ok_or(format!("{key}.{path}: expected {expected}, not {value}"))
     });
-    told.collect()
+    checked.collect()
 }
 
-/// What the variable or the file says, and by which name it was found; `None` where neither says anything.
+/// The value from the environment or the file, and the name under which it was found; `None` if neither has it.
 fn text(
     variable: &'static str,
     file: &Value,
     key: &'static str,
-    winner: Winner,
+    precedence: Precedence,
 ) -> Result<Option<(String, &'static str)>, String> {
     match (env::var(variable), &file[key]) {
-        (_, Value::String(value)) if winner == Winner::File => Ok(Some((value.clone(), key))),
+        (_, Value::String(value)) if precedence == Precedence::File => Ok(Some((value.clone(), key))),
         (Ok(value), _) => Ok(Some((value, variable))),
         (Err(_), Value::String(value)) => Ok(Some((value.clone(), key))),
         (Err(_), Value::Null) => Ok(None),
@@ -181,13 +186,13 @@
     }
 }
 
-/// The keys of a file that no later one may lack.
-fn keys(file: &Value) -> Vec<String> {
+/// The keys of a file that a reloaded one must have too.
+fn required_keys(file: &Value) -> Vec<String> {
     let of = |value: &Value, under: &str| match value {
         Value::Object(fields) => fields.keys().map(|key| format!("{under}{key}")).collect::<Vec<_>>(),
         _ => Vec::new(),
     };
-    let top = of(file, "").into_iter().filter(|key| !OPTIONAL.contains(&key.as_str()));
+    let top = of(file, "").into_iter().filter(|key| !OPTIONAL_KEYS.contains(&key.as_str()));
     top.chain(of(&file["settings"], "settings.")).collect()
 }
 
@@ -208,20 +213,21 @@
     }
 }
 
-/// Messages between sidecars are not in the protocol: who allows them is told, and decides as without them.
+/// Decodes and validates terms. Messages between sidecars are not part of the protocol: settings that allow them
+/// cause a warning and are ignored.
 fn terms(
     key: &str,
     pairs: &[(String, String)],
     places: &mut Places,
-    unmet: &mut Vec<String>,
+    warnings: &mut Vec<String>,
 ) -> Result<Terms, String> {
     let terms = Terms::decode(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())), places);
     let mut terms = terms.map_err(|what| format!("{key}: {what}"))?;
     let mut names: Vec<_> = terms.methods.iter().map(|method| method.name.as_str()).collect();
     names.sort_unstable();
-    let twice = names.windows(2).any(|pair| pair[0] == pair[1]);
-    if names.is_empty() || names.contains(&"") || twice {
-        return Err(format!("{key}.methods: expected at least one, each with a name of its own"));
+    let repeated = names.windows(2).any(|pair| pair[0] == pair[1]);
+    if names.is_empty() || names.contains(&"") || repeated {
+        return Err(format!("{key}.methods: expected at least one, with unique names"));
     }
     if let Some(at) = terms.methods.iter().position(|method| method.deadline == Span::ZERO) {
         return Err(format!("{key}.methods.{at}.deadlineNs: expected a positive whole number"));
@@ -233,34 +239,37 @@
         return Err(format!("{key}.ceilings.replySlots: expected a positive whole number"));
     }
     if terms.reply_slots.is_some() {
-        unmet.push(format!(
-            "{key}.ceilings.replySlots: it counts in what is decided; what answers take here, limits.memory_mb bounds"
+        warnings.push(format!(
+            "{key}.ceilings.replySlots: used for decisions only; limits.memory_mb bounds the memory that responses take"
         ));
     }
     if std::mem::take(&mut terms.may_tell) {
-        unmet.push(format!("{key}.ceilings.mayTell: messages cannot be sent on sockets; none are"));
+        warnings.push(format!(
+            "{key}.ceilings.mayTell: ignored: sidecars cannot send messages to each other over sockets"
+        ));
     }
     if key == "watch" && terms.load_at.is_some() {
-        unmet
-            .push(format!("{key}.ceilings.probes: a watch sends no probes; it decides as if none came back"));
+        warnings.push(format!(
+            "{key}.ceilings.probes: the shadow evaluation sends no probes and assumes none were answered"
+        ));
     }
     Ok(terms)
 }
 
-/// Settings that are each sidecar's own, and cannot be agreed on for all.
-const OWN: [&str; 1] = ["zone"];
+/// Settings that are specific to each sidecar and cannot be agreed on for all.
+const LOCAL_SETTINGS: [&str; 1] = ["zone"];
 
-/// A file with what the fleet has agreed on: each of those settings stands in place of the file's.
+/// Merges the settings that the fleet has agreed on into a file's: each replaces the file's own.
 ///
 /// # Errors
-/// The setting that cannot be agreed on, or what is no object.
-pub fn overlaid(file: &Value, agreed: &Value) -> Result<Value, String> {
+/// Names the setting that cannot be agreed on, or the value that is not an object.
+pub fn merge_agreed(file: &Value, agreed: &Value) -> Result<Value, String> {
     let changes = agreed.as_object().ok_or("settings: expected an object")?;
-    if let Some(own) = OWN.iter().find(|own| changes.contains_key(**own)) {
-        return Err(format!("settings.{own}: it is each sidecar's own, and cannot be agreed on"));
+    if let Some(local) = LOCAL_SETTINGS.iter().find(|local| changes.contains_key(**local)) {
+        return Err(format!("settings.{local}: it is specific to each sidecar and cannot be agreed on"));
     }
     let mut whole = file.clone();
-    let settings = whole["settings"].as_object_mut().ok_or("settings: missing, or no object")?;
+    let settings = whole["settings"].as_object_mut().ok_or("settings: missing, or not an object")?;
     settings.extend(changes.iter().map(|(key, value)| (key.clone(), value.clone())));
     Ok(whole)
 }
@@ -268,106 +277,115 @@
 /// Checks settings that the fleet is to agree on, as a sidecar with this file would.
 ///
 /// # Errors
-/// The faulty key.
+/// Names the faulty key.
 pub fn check_agreed(file: &Value, agreed: &str) -> Result<(), String> {
     let agreed: Value = serde_json::from_str(agreed).map_err(|e| format!("not JSON: {e}"))?;
-    let whole = overlaid(file, &agreed)?;
-    Launch::check(whole, PathBuf::new(), Winner::File, &mut Places::default()).map(drop)
+    let whole = merge_agreed(file, &agreed)?;
+    Launch::check(whole, PathBuf::new(), Precedence::File, &mut Places::default()).map(drop)
 }
 
 impl Launch {
-    /// Reads the file that is named here or in the variables.
+    /// Reads the file named by `path` or by the environment.
     pub fn read(path: Option<PathBuf>, places: &mut Places) -> Result<Launch, String> {
         let path = path.or_else(|| env::var("BALANCER_CONFIG").ok().map(PathBuf::from));
-        let path = path.ok_or("BALANCER_CONFIG: no configuration is named, by this variable or --config")?;
-        let mut launch = Launch::read_from(path.clone(), Winner::Variable, None, places, None)?;
-        let kept = launch.fixed.fleet.as_ref().map_or(Ok(None), fleet::Terms::kept);
-        let taken = kept.and_then(|kept| {
-            let Some(agreed) = kept else { return Ok(None) };
-            let read = Launch::read_from(path, Winner::Variable, None, places, Some(&agreed.settings));
+        let path = path.ok_or("BALANCER_CONFIG: no configuration file given by this variable or --config")?;
+        let mut launch = Launch::read_from(path.clone(), Precedence::Variable, None, places, None)?;
+        let saved = launch.startup.fleet.as_ref().map_or(Ok(None), fleet::Terms::kept);
+        let merged = saved.and_then(|saved| {
+            let Some(agreed) = saved else { return Ok(None) };
+            let read = Launch::read_from(path, Precedence::Variable, None, places, Some(&agreed.settings));
             read.map(|launch| Some(Launch { agreed: Some(agreed), ..launch }))
         });
-        match taken {
-            Ok(Some(taken)) => launch = taken,
+        match merged {
+            Ok(Some(merged)) => launch = merged,
             Ok(None) => {}
-            Err(what) => launch.unmet.push(format!("{what}; it starts with the file's own settings")),
+            Err(what) => launch.warnings.push(format!("{what}; it starts with the file's own settings")),
         }
         Ok(launch)
     }
 
-    /// This file's settings with those that the fleet has agreed on, whole and checked.
+    /// Merges the fleet's agreed settings into this file's and validates the result.
     ///
     /// # Errors
-    /// The key that is at fault.
+    /// Names the faulty key.
     pub fn with(base: &Value, path: PathBuf, agreed: &Value, places: &mut Places) -> Result<Launch, String> {
-        Launch::check(overlaid(base, agreed)?, path, Winner::File, places)
+        Launch::check(merge_agreed(base, agreed)?, path, Precedence::File, places)
     }
 
-    /// Reads a file that may have been read before, and then had this.
+    /// Reads a file. On reload, `previous` says what it must share with the one that it replaces.
     pub fn read_from(
         path: PathBuf,
-        winner: Winner,
-        kept: Option<&Kept>,
+        precedence: Precedence,
+        previous: Option<&ReloadIdentity>,
         places: &mut Places,
         agreed: Option<&Value>,
     ) -> Result<Launch, String> {
-        let place = |path: &Path, what: String| format!("{}: {what}", path.display());
-        let file = fs::read(&path).map_err(|e| place(&path, e.to_string()))?;
+        let in_file = |path: &Path, what: String| format!("{}: {what}", path.display());
+        let file = fs::read(&path).map_err(|e| in_file(&path, e.to_string()))?;
         let file: Value =
-            serde_json::from_slice(&file).map_err(|e| place(&path, format!("not JSON: {e}")))?;
-        let has = Kept::of(&file);
-        kept.map_or(Ok(()), |kept| kept.holds(&has)).map_err(|what| place(&path, what))?;
-        // Without a fleet nothing is laid over the file, and no copy of it is kept.
+            serde_json::from_slice(&file).map_err(|e| in_file(&path, format!("not JSON: {e}")))?;
+        let identity = ReloadIdentity::of(&file);
+        previous
+            .map_or(Ok(()), |previous| previous.check_successor(&identity))
+            .map_err(|what| in_file(&path, what))?;
+        // Without a fleet nothing is merged into the file, so no copy of it is kept.
         let base = if file["fleet"].is_null() { Value::Null } else { file.clone() };
         let whole = match agreed {
-            Some(agreed) => overlaid(&file, agreed).map_err(|what| place(&path, what))?,
+            Some(agreed) => merge_agreed(&file, agreed).map_err(|what| in_file(&path, what))?,
             None => file,
         };
-        let launch = Launch::check(whole, path.clone(), winner, places).map_err(|what| place(&path, what))?;
-        Ok(Launch { kept: has, base, ..launch })
+        let launch =
+            Launch::check(whole, path.clone(), precedence, places).map_err(|what| in_file(&path, what))?;
+        Ok(Launch { reload_identity: identity, base, ..launch })
     }
 
-    fn check(mut file: Value, path: PathBuf, winner: Winner, places: &mut Places) -> Result<Launch, String> {
-        let may_be = |variable, key: &'static str, winner| {
-            let found = text(variable, &file, key, winner)?;
-            let parsed = found.map(|(text, named)| {
+    fn check(
+        mut file: Value,
+        path: PathBuf,
+        precedence: Precedence,
+        places: &mut Places,
+    ) -> Result<Launch, String> {
+        let address = |variable, key: &'static str, precedence| {
+            let found = text(variable, &file, key, precedence)?;
+            let parsed = found.map(|(text, source)| {
                 text.parse::<SocketAddr>()
-                    .map_err(|_| format!("{named}: expected address:port, not '{text}'"))
+                    .map_err(|_| format!("{source}: expected address:port, not '{text}'"))
             });
             parsed.transpose()
         };
         let missing = |key| format!("{key}: missing");
-        // What only a start takes goes by the variables also in a file that is read again.
-        let operator = may_be("BALANCER_OPERATOR", "operator", Winner::Variable)?;
-        let listen = may_be("BALANCER_LISTEN", "listen", Winner::Variable)?;
+        // Settings that take effect only at start prefer the environment even on reload.
+        let operator = address("BALANCER_OPERATOR", "operator", Precedence::Variable)?;
+        let listen = address("BALANCER_LISTEN", "listen", Precedence::Variable)?;
         let listen = listen.ok_or_else(|| missing("listen"))?;
-        let discovery = may_be("BALANCER_DISCOVERY", "discovery", winner)?;
+        let discovery = address("BALANCER_DISCOVERY", "discovery", precedence)?;
         let discovery = discovery.ok_or_else(|| missing("discovery"))?;
-        let name = text("BALANCER_NAME", &file, "name", Winner::Variable)?;
+        let name = text("BALANCER_NAME", &file, "name", Precedence::Variable)?;
         let name = name.map_or_else(|| "sidecar".to_string(), |(name, _)| name);
         if !file["settings"].is_object() {
-            return Err("settings: missing, or no object".to_string());
+            return Err("settings: missing, or not an object".to_string());
         }
-        let bound = [bound("settings", &file["settings"])?, bound("watch", &file["watch"])?].concat();
+        let restrictions =
+            [restrictions("settings", &file["settings"])?, restrictions("watch", &file["watch"])?].concat();
         let mut pairs = Vec::new();
         flatten("", &file["settings"], &mut pairs);
-        let mut unmet = Vec::new();
-        let terms = terms("settings", &pairs, places, &mut unmet)?;
-        let watched = match &file["watch"] {
+        let mut warnings = Vec::new();
+        let terms = terms("settings", &pairs, places, &mut warnings)?;
+        let shadow_terms = match &file["watch"] {
             Value::Null => None,
             Value::Object(_) => {
                 let mut changes = Vec::new();
                 flatten("", &file["watch"], &mut changes);
                 let unchanged = |(path, _): &&(String, String)| !changes.iter().any(|(at, _)| at == path);
                 let kept = pairs.iter().filter(unchanged).cloned().collect::<Vec<_>>();
-                Some(self::terms("watch", &[kept, changes].concat(), places, &mut unmet)?)
+                Some(self::terms("watch", &[kept, changes].concat(), places, &mut warnings)?)
             }
             other => return Err(format!("watch: expected an object of settings, not {other}")),
         };
-        if let Some(watched) = &watched {
+        if let Some(shadow_terms) = &shadow_terms {
             let names = |terms: &Terms| terms.methods.iter().map(|m| m.name.clone()).collect::<Vec<_>>();
-            if names(watched) != names(&terms) {
-                return Err("watch.methods: other methods than in settings".to_string());
+            if names(shadow_terms) != names(&terms) {
+                return Err("watch.methods: differ from those in settings".to_string());
             }
         }
         let span = |path: &str| {
@@ -377,33 +395,38 @@
                 format!("settings.{path}: expected nanoseconds as a whole number, not '{nanos}'")
             })
         };
-        // Danger: what waits for its connect goes out when that comes up, and an endpoint may have been told to drain
-        // meanwhile; so it comes up within the time to stop sending, or not at all.
-        let connects = span("ceilings.connectTimeoutNs")?;
-        let stops = pairs.iter().any(|(at, _)| at == STOPS).then(|| span(STOPS)).transpose()?;
-        let stops = stops.filter(|stops| *stops > Span::ZERO);
-        let sockets = limit(&file, "sockets", SOCKETS)? as usize;
-        let memory = limit(&file, "memory_mb", MEMORY_MB)? as f64 * 1e6 * BUFFERS_SHARE;
-        let in_memory = (memory / (2.0 * http::MESSAGE_MOST as f64)) as usize;
+        // Danger: a request that waits for its connect is sent once that completes, and the endpoint may have begun
+        // to drain meanwhile. So the connect timeout is at most the time in which sending must stop.
+        let connect_timeout = span("ceilings.connectTimeoutNs")?;
+        let stop_sending_within = pairs
+            .iter()
+            .any(|(at, _)| at == STOP_SENDING_WITHIN)
+            .then(|| span(STOP_SENDING_WITHIN))
+            .transpose()?;
+        let stop_sending_within = stop_sending_within.filter(|span| *span > Span::ZERO);
+        let sockets = limit(&file, "sockets", DEFAULT_SOCKETS)? as usize;
+        let memory = limit(&file, "memory_mb", DEFAULT_MEMORY_MB)? as f64 * 1e6 * BUFFER_MEMORY_SHARE;
+        let memory_allows = (memory / (2.0 * http::MESSAGE_MOST as f64)) as usize;
         let member = fleet::Terms::read(&file)?;
-        let kept = SOCKETS_KEPT
+        let reserved = RESERVED_DESCRIPTORS
             + operator.map_or(0, |_| operator::SOCKETS)
             + member.as_ref().map_or(0, |_| fleet::SOCKETS);
-        let connections = sockets.saturating_sub(kept).min(in_memory);
-        if connections < CONNECTIONS_LEAST {
+        let connections = sockets.saturating_sub(reserved).min(memory_allows);
+        if connections < MIN_CONNECTIONS {
             return Err(format!(
-                "limits.sockets, limits.memory_mb: {sockets} sockets, of which memory allows {in_memory} \
-                 connections, leave {connections}; at least {CONNECTIONS_LEAST} are needed"
+                "limits.sockets, limits.memory_mb: {sockets} sockets, of which memory allows {memory_allows} \
+                 connections, leave {connections}; at least {MIN_CONNECTIONS} are needed"
             ));
         }
-        // Danger: counted past what the process itself may open, idle clients would fill that, and nothing be left for the
-        // list, the endpoints and the operators. What it lacks below the least is made free as it is needed.
-        let own = rlimit::Resource::NOFILE.get_soft().ok().and_then(|most| usize::try_from(most).ok());
-        let own = own.unwrap_or(usize::MAX);
-        let within = own.saturating_sub(kept).max(CONNECTIONS_LEAST);
+        // Danger: with a limit above the process's own RLIMIT_NOFILE, idle clients could use up all descriptors and
+        // leave none for service discovery, endpoints and operators. Below the minimum of connections, descriptors
+        // are freed as they are needed.
+        let soft_limit = rlimit::Resource::NOFILE.get_soft().ok().and_then(|most| usize::try_from(most).ok());
+        let soft_limit = soft_limit.unwrap_or(usize::MAX);
+        let within = soft_limit.saturating_sub(reserved).max(MIN_CONNECTIONS);
         if within < connections {
-            unmet.push(format!(
-                "limits.sockets: {sockets}, and this process may open {own} (RLIMIT_NOFILE): connections for {within}"
+            warnings.push(format!(
+                "limits.sockets: {sockets}, and this process may open {soft_limit} (RLIMIT_NOFILE): connections limited to {within}"
             ));
         }
         let connections = connections.min(within);
@@ -413,28 +436,35 @@
                 .and_then(|_| list::entries(known, |_, _, _, _, _| {}))
                 .map_err(|what| format!("known.{what}"))?;
         }
-        let fixed = Fixed { name, listen, operator, connections, fleet: member, watches: watched.is_some() };
+        let startup = StartupConfig {
+            name,
+            listen,
+            operator,
+            connections,
+            fleet: member,
+            has_shadow: shadow_terms.is_some(),
+        };
         Ok(Launch {
             path,
-            fixed,
+            startup,
             folder: env::var_os("TMPDIR").map(PathBuf::from).filter(|_| operator.is_some()),
             discovery,
             seed: seed(&file)?,
             connection_idle: span("ceilings.connIdleNs")?,
-            connect_timeout: stops.map_or(connects, |stops| connects.min(stops)),
-            kept: Kept::of(&file),
+            connect_timeout: stop_sending_within.map_or(connect_timeout, |stop| connect_timeout.min(stop)),
+            reload_identity: ReloadIdentity::of(&file),
             known: file["known"].take(),
             terms,
-            watched,
-            bound,
-            unmet,
+            shadow_terms,
+            restrictions,
+            warnings,
             agreed: None,
             base: Value::Null,
         })
     }
 }
 
-/// Terms for tests: one retryable method, and what is to differ.
+/// Terms for tests: one retryable method, with the given changes.
 #[cfg(test)]
 pub fn plain_terms(method: &str, changes: &[(&str, &str)]) -> Terms {
     let plain = "nInstances=1 tickNs=1000000 discovery=automatic ceilings.cancel=true ceilings.retryAfter=false \
@@ -455,8 +485,8 @@
     fn what_a_start_has_fixed_is_named_where_a_file_read_again_differs() {
         let file: Value = serde_json::from_str(include_str!("../../../examples/sidecar.json")).unwrap();
         let read = |file: &Value| {
-            Launch::check(file.clone(), PathBuf::new(), Winner::File, &mut Places::default())
-                .map(|launch| launch.fixed)
+            Launch::check(file.clone(), PathBuf::new(), Precedence::File, &mut Places::default())
+                .map(|launch| launch.startup)
         };
         let before = read(&file).unwrap();
         assert_eq!(before.differs(&before), [""; 0]);
@@ -467,13 +497,13 @@
         assert_eq!(before.differs(&read(&other).unwrap()), ["operator", "limits", "watch"]);
         other["operator"] = "nowhere".into();
         assert_eq!(read(&other).unwrap_err(), "operator: expected address:port, not 'nowhere'");
-        // What narrows where a request may go is shown, and never passed over for its form.
+        // Settings that restrict where a request may be sent are shown, and one of the wrong type is never ignored.
         let bound = |path: &str, value: Value| {
             let mut other = file.clone();
             *other.pointer_mut(path).expect("a place in the example").as_object_mut().unwrap() =
                 value.as_object().unwrap().clone();
-            Launch::check(other, PathBuf::new(), Winner::File, &mut Places::default())
-                .map(|launch| launch.bound)
+            Launch::check(other, PathBuf::new(), Precedence::File, &mut Places::default())
+                .map(|launch| launch.restrictions)
         };
         let mut method = file["settings"]["methods"][0].clone();
         method["confinedTo"] = serde_json::json!(["attic"]);
@@ -488,8 +518,8 @@
         rules["drainBindsAlone"] = serde_json::json!([true]);
         let said = bound("/settings/rules", rules).unwrap_err();
         assert_eq!(said, "settings.rules.drainBindsAlone: expected a single value, not [true]");
-        // A key that was there must stay, but for what may go.
-        assert!(keys(&file).contains(&"settings.rules".to_string()));
-        assert!(!keys(&file).contains(&"known".to_string()));
+        // A key that was there must stay, except the optional ones.
+        assert!(required_keys(&file).contains(&"settings.rules".to_string()));
+        assert!(!required_keys(&file).contains(&"known".to_string()));
     }
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,5 +1,5 @@
-//! The sidecar's parts, for its program, and for other programs of this project that check settings as it does or hold
-//! connections as it does. Nothing is decided here.
+//! The sidecar's modules, for its own binary and for other programs of this project that validate settings or manage
+//! connections the same way. No load-balancing decisions are made here.
 
 pub mod figures;
 pub mod fleet;
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,5 +1,5 @@
-//! `appledyke-sidecar`: one program for every tier. It takes requests from clients, and carries out what the
-//! decision module of the package `appledyke` decides about them. Nothing is decided here.
+//! `appledyke-sidecar`, the same program for every tier. It accepts requests from clients and carries out the
+//! decisions of the package `appledyke` about them. It makes no load-balancing decisions of its own.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 
 /// A sidecar that balances requests over endpoints.
 #[derive(FromArgs)]
-struct Line {
+struct Arguments {
     #[argh(subcommand)]
     command: Command,
 }
@@ -26,20 +26,20 @@
     Version(Version),
 }
 
-/// Serve until told to leave by SIGTERM.
+/// Serve until SIGTERM.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration; without it, the file that BALANCER_CONFIG names
+    /// the configuration file; defaults to the one named by BALANCER_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
 }
 
-/// Check a configuration and say what is wrong with it.
+/// Check a configuration and print its faults.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration; without it, the file that BALANCER_CONFIG names
+    /// the configuration file; defaults to the one named by BALANCER_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
 }
@@ -57,10 +57,10 @@
             Sidecar::start(Launch::read(config, &mut places)?, places)?.run()
         }
         Command::Check(Check { config }) => Launch::read(config, &mut Places::default()).map(|launch| {
-            launch.unmet.iter().chain(&launch.bound).for_each(|line| println!("{line}"));
+            launch.warnings.iter().chain(&launch.restrictions).for_each(|line| println!("{line}"));
             println!(
                 "{}: listens on {}, room for {} connections",
-                launch.fixed.name, launch.fixed.listen, launch.fixed.connections
+                launch.startup.name, launch.startup.listen, launch.startup.connections
             );
         }),
         Command::Version(Version {}) => {
@@ -71,7 +71,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(argh::from_env::<Line>().command) {
+    match run(argh::from_env::<Arguments>().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
             eprintln!("appledyke-sidecar: {what}");
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -23,7 +23,7 @@
 use crate::figures::{End, Figures, Now};
 use crate::fleet::{Agreed, Fleet, News, Wish};
 use crate::handover::{self, Latest};
-use crate::launch::{Fixed, Kept, Launch, Winner};
+use crate::launch::{Launch, Precedence, ReloadIdentity, StartupConfig};
 use crate::net::body::{Body, Piece};
 use crate::net::clients::{Clients, Said, Sight};
 use crate::net::connection::Ending;
@@ -91,8 +91,8 @@
     /// The configuration file.
     config_path: PathBuf,
     /// What a reloaded file must share with the current one, and the settings that only a restart changes.
-    kept: Kept,
-    fixed: Fixed,
+    reload_identity: ReloadIdentity,
+    startup: StartupConfig,
     poll: Poll,
     /// Events received during a turn, to be handled in the next one; and when the last poll began: everything that
     /// had arrived by then is known.
@@ -186,9 +186,13 @@
         };
         let now = clock.now();
         let registry = poll.registry().try_clone().map_err(|e| format!("poll: {e}"))?;
-        let mut turn =
-            Turn { now, registry, deadlines: Deadlines::default(), room: launch.fixed.connections as isize };
-        let Fixed { name, listen, operator, connections, .. } = launch.fixed.clone();
+        let mut turn = Turn {
+            now,
+            registry,
+            deadlines: Deadlines::default(),
+            room: launch.startup.connections as isize,
+        };
+        let StartupConfig { name, listen, operator, connections, .. } = launch.startup.clone();
         let clients = Clients::listen(listen, operator.is_some(), &mut turn)
             .map_err(|e| format!("listen: {listen}: {e}"))?;
         let operators =
@@ -199,14 +203,14 @@
         let pushed = callers.pushed;
         let mut sidecar = Sidecar {
             config_path: launch.path,
-            kept: launch.kept,
-            fixed: launch.fixed,
+            reload_identity: launch.reload_identity,
+            startup: launch.startup,
             deferred_events: Vec::new(),
             last_poll: now,
             signals,
             clock,
             turn,
-            balancer: Decider::new(now, launch.terms, launch.watched, launch.seed),
+            balancer: Decider::new(now, launch.terms, launch.shadow_terms, launch.seed),
             requests: Slots::default(),
             endpoints: Names::default(),
             places,
@@ -250,7 +254,7 @@
             }
             sidecar.update_siblings();
         }
-        if let Some(terms) = sidecar.fixed.fleet.clone() {
+        if let Some(terms) = sidecar.startup.fleet.clone() {
             let fleet = Fleet::new(terms, &name, launch.seed, launch.agreed, &mut sidecar.turn);
             sidecar.fleet = Some(fleet);
         }
@@ -262,7 +266,7 @@
             sidecar.subscribe();
         }
         sidecar.run_decisions();
-        launch.unmet.iter().for_each(|unmet| log::warn!("{unmet}"));
+        launch.warnings.iter().for_each(|warning| log::warn!("{warning}"));
         if let Some(at) = sidecar.operators.as_ref().and_then(|operators| operators.address().ok()) {
             log::info!("{name} is asked at {at}");
         }
@@ -281,7 +285,7 @@
     /// Serves until a shutdown signal, then until every accepted request is answered.
     pub fn run(mut self) -> Result<(), String> {
         // Large enough for one poll to return everything: each connection has at most one event in it.
-        let mut events = Events::with_capacity(self.fixed.connections + FIXED_SOURCE_EVENTS);
+        let mut events = Events::with_capacity(self.startup.connections + FIXED_SOURCE_EVENTS);
         loop {
             // Danger: the process may be suspended between the poll and its return, which makes the events stale. So
             // the time is taken before the poll.
@@ -377,7 +381,7 @@
         if now.since(seen.max(self.last_poll)) < MAX_DISCONNECT_AGE {
             return;
         }
-        let mut events = Events::with_capacity(self.fixed.connections + FIXED_SOURCE_EVENTS);
+        let mut events = Events::with_capacity(self.startup.connections + FIXED_SOURCE_EVENTS);
         // A failure here is reported by the next turn's poll.
         if self.poll.poll(&mut events, Some(Duration::ZERO)).is_ok() {
             self.last_poll = now;
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -59,22 +59,22 @@
             self.fleet.as_ref().and_then(|fleet| fleet.agreed.as_ref()).map(|agreed| &agreed.settings);
         match Launch::read_from(
             self.config_path.clone(),
-            Winner::File,
-            Some(&self.kept),
+            Precedence::File,
+            Some(&self.reload_identity),
             &mut self.places,
             agreed,
         ) {
             Ok(launch) => {
                 self.figures.reloads += 1;
                 log::info!("configuration reloaded: service discovery at {}", launch.discovery);
-                let restart_only = self.fixed.differs(&launch.fixed);
+                let restart_only = self.startup.differs(&launch.startup);
                 if !restart_only.is_empty() {
                     log::warn!(
                         "configuration reloaded: {}: takes effect at the next restart",
                         restart_only.join(", ")
                     );
                 }
-                self.kept = launch.kept.clone();
+                self.reload_identity = launch.reload_identity.clone();
                 self.base_config = launch.base.clone();
                 self.apply_config(launch);
             }
@@ -96,11 +96,11 @@
         let failed = self.retry_list_call() || failed;
         self.handle_list_failure(failed);
         self.servers.update_terms(launch.connection_idle, launch.connect_timeout, &mut self.turn);
-        self.update_terms(launch.terms, launch.watched);
+        self.update_terms(launch.terms, launch.shadow_terms);
     }
 
     /// Applies other terms to requests that arrive from now on; open ones keep the methods they arrived with.
-    pub(super) fn update_terms(&mut self, terms: Terms, watched: Option<Terms>) {
+    pub(super) fn update_terms(&mut self, terms: Terms, shadow_terms: Option<Terms>) {
         let used = self.requests.iter().map(|(_, request)| request.method).chain(self.servers.passing());
         let used: HashSet<usize> = used.collect();
         let (terms, places) = terms.after(self.balancer.terms(), |at| used.contains(&at));
@@ -110,7 +110,7 @@
         }
         let offered = terms.methods.iter().zip(&terms.offered).filter(|(_, offered)| **offered);
         offered.for_each(|(method, _)| self.figures.offer(&method.name));
-        self.balancer.update_terms(terms, watched, &places);
+        self.balancer.update_terms(terms, shadow_terms, &places);
     }
 
     pub(super) fn log_shadow_counts(&self) {
@@ -247,7 +247,7 @@
         if others.alive() != self.siblings.alive() {
             log::info!("other processes at this address: {}", others.alive());
         }
-        let part = self.fixed.connections / (1 + others.alive());
+        let part = self.startup.connections / (1 + others.alive());
         self.turn.room += part as isize - std::mem::replace(&mut self.connection_share, part) as isize;
         self.clients.resize(part);
         self.siblings = others;
