--- a/crates/sidecar/src/handover.rs
+++ b/crates/sidecar/src/handover.rs
@@ -1,5 +1,5 @@
-//! How the latest attempts of a process have ended, for another process at the same address: during an upgrade the
-//! new one would meet again what the old one knows to avoid.
+//! Shares the outcomes of a process's recent attempts with other processes at the same address. Without this, a new
+//! process in a hot restart would learn again from failures what the old one already avoids.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -8,80 +8,86 @@
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::evidence::{outcome_code, outcome_from_code};
 
-/// The first line of the file: its kind and version.
-const HEAD: &str = "appledyke handover 1";
-/// Attempts that are kept, and for how long: what is older has mostly faded with those who heard it.
-const MOST: usize = 256;
-const KEPT: Span = Span::from_millis(8000);
-/// How an attempt ended: endpoint and method by the marks of their names.
+/// First line of the file: its format and version.
+const HEADER: &str = "appledyke handover 1";
+/// How many attempts are kept, and for how long: older ones hardly count any more in the process that observed them.
+const MAX_RECORDS: usize = 256;
+const MAX_AGE: Span = Span::from_millis(8000);
+/// An attempt's outcome, with endpoint and method identified by their name hashes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptRecord {
     pub at: Moment,
     pub endpoint: u32,
     pub method: u32,
     pub outcome: Outcome,
-    /// The time it took, as a part of its method's latency budget.
-    pub part: f64,
+    /// Its duration as a fraction of its method's latency budget.
+    pub budget_fraction: f64,
 }
 
-/// The latest.
+/// The recent attempts of this process, and how far those of other processes were read.
 #[derive(Default)]
-pub struct Latest {
-    ends: VecDeque<Ended>,
-    /// Up to when another's were heard.
-    heard: Option<Moment>,
+pub struct RecentAttempts {
+    attempts: VecDeque<AttemptRecord>,
+    /// Latest time among the attempts read from other processes.
+    read_until: Option<Moment>,
 }
 
-impl Latest {
-    pub fn book(&mut self, ended: Ended) {
-        if outcome_code(ended.outcome).is_some() {
-            self.ends.push_back(ended);
-            if self.ends.len() > MOST {
-                self.ends.pop_front();
+impl RecentAttempts {
+    pub fn record(&mut self, attempt: AttemptRecord) {
+        if outcome_code(attempt.outcome).is_some() {
+            self.attempts.push_back(attempt);
+            if self.attempts.len() > MAX_RECORDS {
+                self.attempts.pop_front();
             }
         }
     }
 
-    /// As another process is to read it.
-    pub fn text(&mut self, now: Moment) -> String {
-        while self.ends.front().is_some_and(|ended| now.since(ended.at) > KEPT) {
-            self.ends.pop_front();
+    /// Encodes the attempts for other processes.
+    pub fn encode(&mut self, now: Moment) -> String {
+        while self.attempts.front().is_some_and(|attempt| now.since(attempt.at) > MAX_AGE) {
+            self.attempts.pop_front();
         }
-        let mut text = format!("{HEAD}\n");
-        for Ended { at, endpoint, method, outcome, part } in &self.ends {
+        let mut text = format!("{HEADER}\n");
+        for AttemptRecord { at, endpoint, method, outcome, budget_fraction } in &self.attempts {
             let code = outcome_code(*outcome).unwrap_or_default();
-            let line = writeln!(text, "{} {endpoint:08x} {method:08x} {code} {part}", at.nanos());
+            let line = writeln!(text, "{} {endpoint:08x} {method:08x} {code} {budget_fraction}", at.nanos());
             line.expect("a string takes all");
         }
         text
     }
 
-    /// What another process has written and this one has not heard yet. Danger: the other may be of another version,
-    /// or the file be cut short, so what does not read well counts for nothing.
-    pub fn hear(&mut self, text: &str, now: Moment) -> Vec<Ended> {
+    /// Decodes what another process has written, without the attempts read before. Danger: the other process may have
+    /// another version, or the file may be truncated, so lines that cannot be decoded are ignored.
+    pub fn decode_new(&mut self, text: &str, now: Moment) -> Vec<AttemptRecord> {
         let mut lines = text.split_inclusive('\n');
-        if lines.next().map(str::trim_end) != Some(HEAD) {
+        if lines.next().map(str::trim_end) != Some(HEADER) {
             return Vec::new();
         }
-        let whole = lines.filter_map(|line| read(line.strip_suffix('\n')?));
-        let heard = self.heard;
-        let new = |ended: &Ended| {
-            heard.is_none_or(|heard| ended.at > heard) && ended.at <= now && now.since(ended.at) <= KEPT
+        let records = lines.filter_map(|line| decode_line(line.strip_suffix('\n')?));
+        let read_until = self.read_until;
+        let new = |attempt: &AttemptRecord| {
+            read_until.is_none_or(|until| attempt.at > until)
+                && attempt.at <= now
+                && now.since(attempt.at) <= MAX_AGE
         };
-        let news: Vec<_> = whole.filter(new).collect();
-        self.heard = news.iter().map(|ended| ended.at).max().max(heard);
-        news
+        let unread: Vec<_> = records.filter(new).collect();
+        self.read_until = unread.iter().map(|attempt| attempt.at).max().max(read_until);
+        unread
     }
 }
 
-fn read(line: &str) -> Option<Ended> {
+fn decode_line(line: &str) -> Option<AttemptRecord> {
     let mut words = line.split(' ');
     let at = Moment::from_nanos(words.next()?.parse().ok()?);
     let endpoint = u32::from_str_radix(words.next()?, 16).ok()?;
     let method = u32::from_str_radix(words.next()?, 16).ok()?;
     let outcome = outcome_from_code(words.next()?.parse().ok()?)?;
-    let part = words.next()?.parse().ok().filter(|part: &f64| part.is_finite() && *part >= 0.0)?;
-    words.next().is_none().then_some(Ended { at, endpoint, method, outcome, part })
+    let budget_fraction = words
+        .next()?
+        .parse()
+        .ok()
+        .filter(|budget_fraction: &f64| budget_fraction.is_finite() && *budget_fraction >= 0.0)?;
+    words.next().is_none().then_some(AttemptRecord { at, endpoint, method, outcome, budget_fraction })
 }
 
 #[cfg(test)]
@@ -92,45 +98,52 @@
         Moment::from_nanos(ms * 1_000_000)
     }
 
-    fn ended(ms: u64, outcome: Outcome) -> Ended {
-        Ended { at: at(ms), endpoint: 0xab, method: 7, outcome, part: 0.25 }
+    fn attempt(ms: u64, outcome: Outcome) -> AttemptRecord {
+        AttemptRecord { at: at(ms), endpoint: 0xab, method: 7, outcome, budget_fraction: 0.25 }
     }
 
     #[test]
     fn each_end_is_heard_once_while_it_is_fresh() {
-        let (mut old, mut new) = (Latest::default(), Latest::default());
-        old.book(ended(1000, Outcome::Reset));
-        old.book(ended(8000, Outcome::Success));
-        // It says nothing of the endpoint.
-        old.book(ended(8500, Outcome::Cancelled));
+        let (mut old, mut new) = (RecentAttempts::default(), RecentAttempts::default());
+        old.record(attempt(1000, Outcome::Reset));
+        old.record(attempt(8000, Outcome::Success));
+        // A cancelled attempt says nothing about the endpoint.
+        old.record(attempt(8500, Outcome::Cancelled));
         assert_eq!(
-            new.hear(&old.text(at(8900)), at(9000)),
-            [ended(1000, Outcome::Reset), ended(8000, Outcome::Success)]
+            new.decode_new(&old.encode(at(8900)), at(9000)),
+            [attempt(1000, Outcome::Reset), attempt(8000, Outcome::Success)]
         );
-        old.book(ended(9500, Outcome::Timeout));
-        assert_eq!(new.hear(&old.text(at(9600)), at(9700)), [ended(9500, Outcome::Timeout)]);
-        assert_eq!(new.hear(&old.text(at(9600)), at(9800)), []);
-        // A process that was not there to hear it has nothing of long ago.
+        old.record(attempt(9500, Outcome::Timeout));
+        assert_eq!(new.decode_new(&old.encode(at(9600)), at(9700)), [attempt(9500, Outcome::Timeout)]);
+        assert_eq!(new.decode_new(&old.encode(at(9600)), at(9800)), []);
+        // A process that reads for the first time does not get expired attempts.
         assert_eq!(
-            Latest::default().hear(&old.text(at(17_000)), at(17_000)),
-            [ended(9500, Outcome::Timeout)]
+            RecentAttempts::default().decode_new(&old.encode(at(17_000)), at(17_000)),
+            [attempt(9500, Outcome::Timeout)]
         );
-        (0..1000).for_each(|ms| old.book(ended(20_000 + ms, Outcome::Error)));
-        assert_eq!(old.text(at(21_000)).lines().count(), 1 + MOST);
+        (0..1000).for_each(|ms| old.record(attempt(20_000 + ms, Outcome::Error)));
+        assert_eq!(old.encode(at(21_000)).lines().count(), 1 + MAX_RECORDS);
     }
 
     #[test]
     fn a_file_that_is_damaged_or_of_another_version_is_passed_over() {
-        let mut old = Latest::default();
-        (0..4).for_each(|ms| old.book(ended(1000 + ms, Outcome::Error)));
-        let text = old.text(at(1100));
+        let mut old = RecentAttempts::default();
+        (0..4).for_each(|ms| old.record(attempt(1000 + ms, Outcome::Error)));
+        let text = old.encode(at(1100));
         for cut in 0..text.len() {
-            let heard = Latest::default().hear(&text[..cut], at(1100));
-            assert!(heard.iter().all(|heard| heard.outcome == Outcome::Error && heard.part == 0.25), "{cut}");
+            let heard = RecentAttempts::default().decode_new(&text[..cut], at(1100));
+            assert!(
+                heard.iter().all(|heard| heard.outcome == Outcome::Error && heard.budget_fraction == 0.25),
+                "{cut}"
+            );
             assert_eq!(heard.len(), text[..cut].matches('\n').count().saturating_sub(1), "{cut}");
         }
         for other in ["", "appledyke handover 2\n", "1000 ab 7 0 0.5\n"] {
-            assert_eq!(Latest::default().hear(&text.replacen(&format!("{HEAD}\n"), other, 1), at(1100)), []);
+            assert_eq!(
+                RecentAttempts::default()
+                    .decode_new(&text.replacen(&format!("{HEADER}\n"), other, 1), at(1100)),
+                []
+            );
         }
         for line in [
             "1000000000 ab 7 9 0.5",
@@ -140,9 +153,13 @@
             "1000000000 ab 7 0 1 1",
             "x",
         ] {
-            assert_eq!(Latest::default().hear(&format!("{HEAD}\n{line}\n"), at(1100)), [], "{line}");
+            assert_eq!(
+                RecentAttempts::default().decode_new(&format!("{HEADER}\n{line}\n"), at(1100)),
+                [],
+                "{line}"
+            );
         }
-        // Not from a clock that runs ahead.
-        assert_eq!(Latest::default().hear(&text, at(900)), []);
+        // Attempts from a clock that is ahead are ignored.
+        assert_eq!(RecentAttempts::default().decode_new(&text, at(900)), []);
     }
 }
--- a/crates/sidecar/src/presence.rs
+++ b/crates/sidecar/src/presence.rs
@@ -1,5 +1,5 @@
-//! Which processes of this program serve the same address: during an upgrade there are two. Each holds a lock on a
-//! file of its own for as long as it lives, so that what a killed one leaves behind deceives nobody.
+//! Detects the processes of this program that serve the same address: during a hot restart there are two. Each holds
+//! a lock on its own file while it runs, so a file left behind by a killed process is recognized as stale.
 
 use std::fs::{self, File, TryLockError};
 use std::net::SocketAddr;
@@ -7,127 +7,138 @@
 
 use crate::net::connection::lacks_descriptor;
 
-/// The end of the name of a file in which a process tells the others at its address something.
-const WORD: &str = "word";
+/// Suffix of the file in which a process leaves a message for the others at its address.
+const MESSAGE_SUFFIX: &str = "word";
 
-/// How a process stands at its address; the end of its file's name.
+/// State of a process at its address; also the suffix of its file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ProcessState {
     Starting,
     Ready,
-    /// Danger: another that leaves too must not count on this one.
+    /// Danger: another process that shuts down too must not count on this one.
     Leaving,
 }
 
-impl Standing {
+impl ProcessState {
     fn name(self) -> &'static str {
         match self {
-            Standing::Starting => "starting",
-            Standing::Ready => "ready",
-            Standing::Leaving => "leaving",
+            ProcessState::Starting => "starting",
+            ProcessState::Ready => "ready",
+            ProcessState::Leaving => "leaving",
         }
     }
 
-    fn of(name: &str) -> Option<Standing> {
-        [Standing::Starting, Standing::Ready, Standing::Leaving]
+    fn of(name: &str) -> Option<ProcessState> {
+        [ProcessState::Starting, ProcessState::Ready, ProcessState::Leaving]
             .into_iter()
-            .find(|standing| standing.name() == name)
+            .find(|state| state.name() == name)
     }
 }
 
-/// This process's own file, as long as there is a folder to hold it.
+/// This process's own file in the shared folder.
 pub struct Presence {
     folder: PathBuf,
-    /// What files of this address begin with.
+    /// Prefix of the files of this address.
     prefix: String,
-    /// The file's name without its standing, and its lock.
-    own: String,
-    standing: Standing,
+    /// The file's name without the state.
+    file_name: String,
+    state: ProcessState,
     _lock: File,
 }
 
-/// The others that are alive.
+/// The other processes that are running.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Others {
+pub struct Siblings {
     names: Vec<String>,
     pub ready: usize,
 }
 
-impl Others {
-    pub fn alive(&self) -> usize {
+impl Siblings {
+    pub fn count(&self) -> usize {
         self.names.len()
     }
 }
 
 impl Presence {
-    /// Tells others that this process starts at this address. Without a folder to write to nobody can know.
+    /// Announces this process at this address. Fails if the folder cannot be written to.
     pub fn announce(folder: &Path, at: SocketAddr, process: u32) -> std::io::Result<Presence> {
         let prefix = format!("appledyke-{}-", at.to_string().replace([':', '[', ']'], "_"));
-        let own = format!("{prefix}{process}");
-        // Danger: a file that others can see before it is locked would pass for that of a dead process.
-        let draft = folder.join(format!("draft-{own}"));
+        let file_name = format!("{prefix}{process}");
+        // Danger: a file that others see before it is locked would be taken for that of a dead process. So it is
+        // locked under another name first.
+        let draft = folder.join(format!("draft-{file_name}"));
         let lock = File::create(&draft)?;
-        let placed = match lock.try_lock() {
-            Ok(()) => fs::rename(&draft, folder.join(format!("{own}.{}", Standing::Starting.name()))),
+        let written = match lock.try_lock() {
+            Ok(()) => {
+                fs::rename(&draft, folder.join(format!("{file_name}.{}", ProcessState::Starting.name())))
+            }
             Err(e) => Err(e.into()),
         };
-        if let Err(e) = placed {
+        if let Err(e) = written {
             let _ = fs::remove_file(&draft);
             return Err(e);
         }
-        Ok(Presence { folder: folder.to_path_buf(), prefix, own, standing: Standing::Starting, _lock: lock })
+        Ok(Presence {
+            folder: folder.to_path_buf(),
+            prefix,
+            file_name,
+            state: ProcessState::Starting,
+            _lock: lock,
+        })
     }
 
-    fn path(&self, standing: Standing) -> PathBuf {
-        self.folder.join(format!("{}.{}", self.own, standing.name()))
+    fn state_path(&self, state: ProcessState) -> PathBuf {
+        self.folder.join(format!("{}.{}", self.file_name, state.name()))
     }
 
-    /// Tells others how this process stands from now on: only to one that is ready may they leave the address.
-    pub fn stands(&mut self, standing: Standing) {
-        if self.standing != standing {
-            match fs::rename(self.path(self.standing), self.path(standing)) {
-                Ok(()) => self.standing = standing,
+    /// Publishes this process's state. The others may hand the address over only to a process that is ready.
+    pub fn set_state(&mut self, state: ProcessState) {
+        if self.state != state {
+            match fs::rename(self.state_path(self.state), self.state_path(state)) {
+                Ok(()) => self.state = state,
                 Err(e) => log::warn!("presence: {e}"),
             }
         }
     }
 
-    /// Leaves a word for the others. Danger: one that is being written would be read in part.
-    pub fn leave_word(&self, word: &str) {
-        let draft = self.folder.join(format!("draft-{}.{WORD}", self.own));
-        let placed = fs::write(&draft, word).and_then(|()| fs::rename(&draft, self.word()));
-        if let Err(e) = placed {
+    /// Leaves a message for the others. Danger: a file that is being written would be read in part, so it is renamed
+    /// into place.
+    pub fn write_message(&self, message: &str) {
+        let draft = self.folder.join(format!("draft-{}.{MESSAGE_SUFFIX}", self.file_name));
+        let written = fs::write(&draft, message).and_then(|()| fs::rename(&draft, self.message_path()));
+        if let Err(e) = written {
             log::warn!("presence: {e}");
         }
     }
 
-    fn word(&self) -> PathBuf {
-        self.folder.join(format!("{}.{WORD}", self.own))
+    fn message_path(&self) -> PathBuf {
+        self.folder.join(format!("{}.{MESSAGE_SUFFIX}", self.file_name))
     }
 
-    /// The words that others who are alive have left.
-    pub fn words(&self, others: &Others) -> Vec<String> {
-        let words = others.names.iter().map(|name| self.folder.join(format!("{name}.{WORD}")));
-        words.filter_map(|path| fs::read_to_string(path).ok()).collect()
+    /// The messages left by the other running processes.
+    pub fn read_messages(&self, siblings: &Siblings) -> Vec<String> {
+        let paths = siblings.names.iter().map(|name| self.folder.join(format!("{name}.{MESSAGE_SUFFIX}")));
+        paths.filter_map(|path| fs::read_to_string(path).ok()).collect()
     }
 
-    /// Looks who else is there, and clears away what dead processes have left.
+    /// Finds the other running processes, and removes the files of dead ones.
     ///
     /// # Errors
-    /// There is no descriptor to look with, and so nothing is known.
-    pub fn others(&self) -> std::io::Result<Others> {
-        let mut others = Others::default();
+    /// There is no file descriptor to check with, so nothing is known.
+    pub fn siblings(&self) -> std::io::Result<Siblings> {
+        let mut siblings = Siblings::default();
         let entries = match fs::read_dir(&self.folder) {
             Ok(entries) => entries,
-            // Danger: who takes itself for alone says no to the health check of an address that another serves.
+            // Danger: a process that wrongly believes to be alone would fail the health check of an address that
+            // another serves.
             Err(e) if lacks_descriptor(&e) => return Err(e),
-            Err(_) => return Ok(others),
+            Err(_) => return Ok(siblings),
         };
         for entry in entries.flatten() {
             let name = entry.file_name().to_string_lossy().into_owned();
-            let Some((process, standing)) = name.rsplit_once('.') else { continue };
-            let Some(standing) = Standing::of(standing) else { continue };
-            if !process.starts_with(&self.prefix) || process == self.own {
+            let Some((process, state)) = name.rsplit_once('.') else { continue };
+            let Some(state) = ProcessState::of(state) else { continue };
+            if !process.starts_with(&self.prefix) || process == self.file_name {
                 continue;
             }
             let file = match File::open(entry.path()) {
@@ -137,24 +148,24 @@
             };
             match file.try_lock() {
                 Err(TryLockError::WouldBlock) => {
-                    others.names.push(process.to_string());
-                    others.ready += usize::from(standing == Standing::Ready);
+                    siblings.names.push(process.to_string());
+                    siblings.ready += usize::from(state == ProcessState::Ready);
                 }
                 Ok(()) => {
-                    let _ = fs::remove_file(self.folder.join(format!("{process}.{WORD}")));
+                    let _ = fs::remove_file(self.folder.join(format!("{process}.{MESSAGE_SUFFIX}")));
                     let _ = fs::remove_file(entry.path());
                 }
                 Err(TryLockError::Error(e)) => log::warn!("presence: {name}: {e}"),
             }
         }
-        Ok(others)
+        Ok(siblings)
     }
 }
 
 impl Drop for Presence {
     fn drop(&mut self) {
-        let _ = fs::remove_file(self.word());
-        let _ = fs::remove_file(self.path(self.standing));
+        let _ = fs::remove_file(self.message_path());
+        let _ = fs::remove_file(self.state_path(self.state));
     }
 }
 
@@ -168,28 +179,31 @@
         fs::create_dir_all(&folder).unwrap();
         let at = "127.0.0.1:5000".parse().unwrap();
         let first = Presence::announce(&folder, at, 1).unwrap();
-        assert_eq!(first.others().unwrap(), Others::default());
+        assert_eq!(first.siblings().unwrap(), Siblings::default());
         let mut second = Presence::announce(&folder, at, 2).unwrap();
         let _elsewhere = Presence::announce(&folder, "127.0.0.1:5001".parse().unwrap(), 3).unwrap();
         let seen =
-            |presence: &Presence| (presence.others().unwrap().alive(), presence.others().unwrap().ready);
+            |presence: &Presence| (presence.siblings().unwrap().count(), presence.siblings().unwrap().ready);
         assert_eq!(seen(&first), (1, 0));
-        second.stands(Standing::Ready);
+        second.set_state(ProcessState::Ready);
         assert_eq!((seen(&first), seen(&second)), ((1, 1), (1, 0)));
-        second.leave_word("hot");
+        second.write_message("hot");
         assert_eq!(
-            (first.words(&first.others().unwrap()), second.words(&second.others().unwrap())),
+            (
+                first.read_messages(&first.siblings().unwrap()),
+                second.read_messages(&second.siblings().unwrap())
+            ),
             (vec!["hot".into()], vec![])
         );
-        second.stands(Standing::Leaving);
+        second.set_state(ProcessState::Leaving);
         assert_eq!(seen(&first), (1, 0));
-        // Killed, it has no time to clear up: its lock is gone, its file is not.
-        let (left, word) = (second.path(Standing::Ready), second.word());
+        // A killed process cannot clean up: its lock is released, its files stay.
+        let (left, message) = (second.state_path(ProcessState::Ready), second.message_path());
         drop(second);
         File::create(&left).unwrap();
-        File::create(&word).unwrap();
-        assert_eq!(first.others().unwrap(), Others::default());
-        assert!(!left.exists() && !word.exists());
+        File::create(&message).unwrap();
+        assert_eq!(first.siblings().unwrap(), Siblings::default());
+        assert!(!left.exists() && !message.exists());
         drop(first);
         assert!(Presence::announce(&folder.join("absent"), at, 1).is_err());
         fs::remove_dir_all(&folder).unwrap();
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -22,7 +22,7 @@
 
 use crate::figures::{End, Figures, Now};
 use crate::fleet::{Agreed, Fleet, News, Wish};
-use crate::handover::{self, Latest};
+use crate::handover::{self, RecentAttempts};
 use crate::launch::{Launch, Precedence, ReloadIdentity, StartupConfig};
 use crate::net::body::{Body, Piece};
 use crate::net::clients::{Clients, Said, Sight};
@@ -35,7 +35,7 @@
 use crate::net::servers::{Carried, Ended, Message, PROBE, Servers};
 use crate::net::slots::{Key, Peer, Slots};
 use crate::net::{Turn, http};
-use crate::presence::{Others, Presence, Standing};
+use crate::presence::{Presence, ProcessState, Siblings};
 use crate::trace::EndpointStates;
 use crate::watch::Decider;
 
@@ -135,9 +135,9 @@
     drained_by_release: bool,
     /// This process's presence file, and the other processes last seen at the same address.
     presence: Option<Presence>,
-    siblings: Others,
+    siblings: Siblings,
     /// Outcomes of recent attempts, shared with those processes.
-    recent_attempts: Latest,
+    recent_attempts: RecentAttempts,
     /// This process's share of the connections allowed at this address.
     connection_share: usize,
     shutdown: Option<Shutdown>,
@@ -233,8 +233,8 @@
             draining: None,
             drained_by_release: false,
             presence: None,
-            siblings: Others::default(),
-            recent_attempts: Latest::default(),
+            siblings: Siblings::default(),
+            recent_attempts: RecentAttempts::default(),
             connection_share: connections,
             shutdown: None,
             sibling_check_at: None,
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -231,26 +231,26 @@
         let ready = self.is_ready().starts_with("200");
         let Some(presence) = &mut self.presence else { return };
         if self.shutdown.is_some() {
-            presence.stands(Standing::Leaving);
+            presence.set_state(ProcessState::Leaving);
         } else if ready {
-            presence.stands(Standing::Ready);
+            presence.set_state(ProcessState::Ready);
         }
-        let mut seen = presence.others();
+        let mut found = presence.siblings();
         for _ in 0..SIBLING_CHECK_DESCRIPTORS {
-            if seen.is_ok() || !self.make_room() {
+            if found.is_ok() || !self.make_room() {
                 break;
             }
-            seen = self.presence.as_ref().map_or(Ok(Others::default()), Presence::others);
+            found = self.presence.as_ref().map_or(Ok(Siblings::default()), Presence::siblings);
         }
         // If the check fails, the previous result is kept.
-        let others = seen.unwrap_or_else(|_| self.siblings.clone());
-        if others.alive() != self.siblings.alive() {
-            log::info!("other processes at this address: {}", others.alive());
+        let siblings = found.unwrap_or_else(|_| self.siblings.clone());
+        if siblings.count() != self.siblings.count() {
+            log::info!("other processes at this address: {}", siblings.count());
         }
-        let part = self.startup.connections / (1 + others.alive());
-        self.turn.room += part as isize - std::mem::replace(&mut self.connection_share, part) as isize;
-        self.clients.resize(part);
-        self.siblings = others;
+        let share = self.startup.connections / (1 + siblings.count());
+        self.turn.room += share as isize - std::mem::replace(&mut self.connection_share, share) as isize;
+        self.clients.resize(share);
+        self.siblings = siblings;
         self.share_recent_attempts();
         self.turn.deadlines.shift(
             Due::Others,
@@ -338,14 +338,16 @@
     /// Shares the outcomes of recent attempts with other processes at this address, and applies theirs.
     pub(super) fn share_recent_attempts(&mut self) {
         let now = self.turn.now;
-        let Some(presence) = self.presence.as_ref().filter(|_| self.siblings.alive() > 0) else { return };
-        presence.leave_word(&self.recent_attempts.text(now));
-        let messages = presence.words(&self.siblings);
+        let Some(presence) = self.presence.as_ref().filter(|_| self.siblings.count() > 0) else { return };
+        presence.write_message(&self.recent_attempts.encode(now));
+        let messages = presence.read_messages(&self.siblings);
         let received: Vec<_> =
-            messages.iter().flat_map(|message| self.recent_attempts.hear(message, now)).collect();
-        let outcomes = received
-            .into_iter()
-            .map(|handover::Ended { endpoint, method, outcome, part, .. }| (endpoint, method, outcome, part));
+            messages.iter().flat_map(|message| self.recent_attempts.decode_new(message, now)).collect();
+        let outcomes = received.into_iter().map(
+            |handover::AttemptRecord { endpoint, method, outcome, budget_fraction, .. }| {
+                (endpoint, method, outcome, budget_fraction)
+            },
+        );
         let reports: Vec<_> = self.to_reports(outcomes).collect();
         self.balancer.told(now, &reports);
     }
@@ -359,9 +361,9 @@
         let terms = self.balancer.terms();
         let offered_as =
             |at: &usize, hash| terms.offered[*at] && ids::name_hash(&terms.methods[*at].name) == hash;
-        outcomes.filter_map(move |(endpoint, method, outcome, part)| {
+        outcomes.filter_map(move |(endpoint, method, outcome, budget_fraction)| {
             let method = (0..terms.methods.len()).find(|at| offered_as(at, method))?;
-            Some(AttemptReport { name_hash: endpoint, method, outcome, part, load: None })
+            Some(AttemptReport { name_hash: endpoint, method, outcome, part: budget_fraction, load: None })
         })
     }
 
@@ -409,7 +411,7 @@
     /// Updates what the next report to the fleet says of connections and requests, and closes idle connections above
     /// this process's share.
     fn update_fleet_report(&mut self) {
-        let alone = self.presence.is_some() && self.siblings.alive() == 0;
+        let alone = self.presence.is_some() && self.siblings.count() == 0;
         let (now, open) = (self.clock.now(), self.open_requests());
         let Sidecar { fleet, servers, turn, endpoints, out_of_service, entries, clients, draining, .. } =
             self;
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -245,19 +245,19 @@
             return;
         };
         let method = &self.balancer.terms().methods[request.method];
-        let ended = handover::Ended {
+        let record = handover::AttemptRecord {
             at: self.turn.now,
             endpoint: ids::name_hash(self.endpoints.name(endpoint)),
             method: ids::name_hash(&method.name),
             outcome,
-            part: self.turn.now.since(sent).secs() / method.latency_budget.secs().max(1e-6),
+            budget_fraction: self.turn.now.since(sent).secs() / method.latency_budget.secs().max(1e-6),
         };
         if self.presence.is_some() {
-            self.recent_attempts.book(ended);
+            self.recent_attempts.record(record);
         }
         if let (Some(fleet), Some(code)) = (&mut self.fleet, appledyke_fleet::evidence::outcome_code(outcome))
         {
-            fleet.book(ended.at, ended.endpoint, ended.method, code, ended.part);
+            fleet.book(record.at, record.endpoint, record.method, code, record.budget_fraction);
         }
     }
 
