--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod logger;
 pub mod net;
 pub mod presence;
+pub mod shadow;
 pub mod sidecar;
 pub mod trace;
-pub mod watch;
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -36,8 +36,8 @@
 use crate::net::slots::{Key, Peer, Slots};
 use crate::net::{Turn, http};
 use crate::presence::{Presence, ProcessState, Siblings};
+use crate::shadow::ShadowedBalancer;
 use crate::trace::EndpointStates;
-use crate::watch::Decider;
 
 /// Event capacity for the fixed sources (listeners, signals, discovery), in addition to one event per possible
 /// connection. Danger: events that do not fit wait for the next poll, and decisions are made without them.
@@ -101,7 +101,7 @@
     signals: Signals,
     clock: Clock,
     turn: Turn,
-    balancer: Decider,
+    balancer: ShadowedBalancer,
     requests: Slots<Request>,
     endpoints: Names,
     places: Places,
@@ -210,7 +210,7 @@
             signals,
             clock,
             turn,
-            balancer: Decider::new(now, launch.terms, launch.shadow_terms, launch.seed),
+            balancer: ShadowedBalancer::new(now, launch.terms, launch.shadow_terms, launch.seed),
             requests: Slots::default(),
             endpoints: Names::default(),
             places,
@@ -510,7 +510,7 @@
                 entry = apply_fleet_state(entry, out_of_service.contains(name));
             }
             endpoint_states.observe(endpoint, standing);
-            balancer.listed(turn.now, endpoint, entry);
+            balancer.list_entry(turn.now, endpoint, entry);
             if let Some(address) = address {
                 servers.place(endpoint, address, started, turn);
             }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -349,7 +349,7 @@
             },
         );
         let reports: Vec<_> = self.to_reports(outcomes).collect();
-        self.balancer.told(now, &reports);
+        self.balancer.apply_sibling_outcomes(now, &reports);
     }
 
     /// Converts outcomes observed elsewhere, given by the name hashes of endpoint and method, to the balancer's
@@ -507,7 +507,7 @@
         for name in changed {
             if let (Some(endpoint), Some(entry)) = (self.endpoints.find(&name), self.entries.get(&name)) {
                 let entry = apply_fleet_state(*entry, self.out_of_service.contains(&name));
-                self.balancer.listed(self.turn.now, endpoint, entry);
+                self.balancer.list_entry(self.turn.now, endpoint, entry);
             }
         }
         self.balancer.list_end(self.turn.now);
@@ -524,7 +524,7 @@
             ))
         });
         let reports: Vec<_> = self.to_reports(outcomes).collect();
-        self.balancer.heard(self.turn.now, &reports);
+        self.balancer.apply_fleet_outcomes(self.turn.now, &reports);
     }
 }
 
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -461,7 +461,7 @@
         let carried = Carried { request: PROBE, attempt: endpoint, give_up: self.turn.now + PROBE_TIMEOUT };
         let message = Message { head: PROBE_HEAD, body: b"", coming: None };
         if self.servers.send(endpoint, carried, message, &mut self.turn).is_err() {
-            self.balancer.probed(self.turn.now, endpoint, None);
+            self.balancer.probe_result(self.turn.now, endpoint, None);
         }
     }
 
@@ -470,7 +470,7 @@
         let body = answer.and_then(|frame| self.servers.message(key, frame)).map(|(_, body)| body);
         let report = body.and_then(|body| std::str::from_utf8(body).ok());
         let load = report.and_then(|report| self.balancer.terms().load(report));
-        self.balancer.probed(self.turn.now, endpoint, load);
+        self.balancer.probe_result(self.turn.now, endpoint, load);
         match answer {
             Some(_) if long => self.servers.close(key, &mut self.turn),
             Some(frame) => self.servers.release(key, frame, &mut self.turn),
