--- a/crates/sidecar/src/logger.rs
+++ b/crates/sidecar/src/logger.rs
@@ -1,4 +1,4 @@
-//! The log, on standard error: sparse, and bounded whatever happens. At the level debug it has lines for each request.
+//! Logging to standard error, rate-limited in all cases. At level debug there are lines for each request.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -6,37 +6,38 @@
 
 use log::{LevelFilter, Log, Metadata, Record};
 
-/// Lines that may be written at once, and in a second from then on: enough to follow an outage by.
-const LINES_AT_ONCE: f64 = 40.0;
-const LINES_A_SECOND: f64 = 4.0;
-/// At the level debug there may be so many times more.
-const DEBUG_TIMES: f64 = 1000.0;
+/// Burst size in lines, and lines per second after that: enough to follow an outage.
+const BURST_LINES: f64 = 40.0;
+const LINES_PER_SECOND: f64 = 4.0;
+/// Factor by which the limits are higher at level debug.
+const DEBUG_FACTOR: f64 = 1000.0;
 
-struct Allowance {
-    /// How many times the usual number of lines may be written.
-    times: f64,
+struct RateLimiter {
+    /// Factor on the usual limits.
+    factor: f64,
     lines: f64,
-    at: Instant,
-    left_out: u64,
+    updated: Instant,
+    dropped: u64,
 }
 
-struct Logger(Mutex<Allowance>);
+struct Logger(Mutex<RateLimiter>);
 
-impl Allowance {
-    fn new(times: f64, at: Instant) -> Allowance {
-        Allowance { times, lines: LINES_AT_ONCE * times, at, left_out: 0 }
+impl RateLimiter {
+    fn new(factor: f64, now: Instant) -> RateLimiter {
+        RateLimiter { factor, lines: BURST_LINES * factor, updated: now, dropped: 0 }
     }
 
-    /// Whether a line may be written now, and how many were left out before it.
+    /// Returns whether a line may be written now and, if so, how many were dropped before it.
     fn take(&mut self, now: Instant) -> Option<u64> {
-        let gained = now.duration_since(std::mem::replace(&mut self.at, now)).as_secs_f64() * LINES_A_SECOND;
-        self.lines = (self.lines + gained * self.times).min(LINES_AT_ONCE * self.times);
+        let refill =
+            now.duration_since(std::mem::replace(&mut self.updated, now)).as_secs_f64() * LINES_PER_SECOND;
+        self.lines = (self.lines + refill * self.factor).min(BURST_LINES * self.factor);
         if self.lines < 1.0 {
-            self.left_out += 1;
+            self.dropped += 1;
             return None;
         }
         self.lines -= 1.0;
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.dropped))
     }
 }
 
@@ -46,16 +47,15 @@
     }
 
     fn log(&self, record: &Record) {
-        let Ok(mut allowance) = self.0.lock() else { return };
-        let Some(left_out) =
-            self.enabled(record.metadata()).then(|| allowance.take(Instant::now())).flatten()
+        let Ok(mut limiter) = self.0.lock() else { return };
+        let Some(dropped) = self.enabled(record.metadata()).then(|| limiter.take(Instant::now())).flatten()
         else {
             return;
         };
         // A log that cannot be written must not stop the sidecar.
         let mut err = std::io::stderr().lock();
-        if left_out > 0 {
-            let _ = writeln!(err, "WARN {left_out} lines left out");
+        if dropped > 0 {
+            let _ = writeln!(err, "WARN {dropped} lines dropped by the rate limit");
         }
         let _ = writeln!(err, "{} {}", record.level(), record.args());
     }
@@ -63,7 +63,7 @@
     fn flush(&self) {}
 }
 
-/// The level that the variable `BALANCER_LOG` names: `warn`, `info` or `debug`; without it, info.
+/// Parses the value of `BALANCER_LOG`: `warn`, `info` or `debug`; defaults to info.
 pub fn level(name: Option<&str>) -> Result<LevelFilter, String> {
     match name {
         None | Some("" | "info") => Ok(LevelFilter::Info),
@@ -73,11 +73,11 @@
     }
 }
 
-/// Writes lines of this level and above from now on.
+/// Installs the logger with this level.
 pub fn start(level: LevelFilter) {
-    let times = if level == LevelFilter::Debug { DEBUG_TIMES } else { 1.0 };
-    let allowance = Allowance::new(times, Instant::now());
-    if log::set_boxed_logger(Box::new(Logger(Mutex::new(allowance)))).is_ok() {
+    let factor = if level == LevelFilter::Debug { DEBUG_FACTOR } else { 1.0 };
+    let limiter = RateLimiter::new(factor, Instant::now());
+    if log::set_boxed_logger(Box::new(Logger(Mutex::new(limiter)))).is_ok() {
         log::set_max_level(level);
     }
 }
@@ -91,11 +91,11 @@
     #[test]
     fn a_flood_of_lines_is_left_out_and_counted() {
         let start = Instant::now();
-        let mut allowance = Allowance::new(1.0, start);
-        let written = (0..1000).filter(|_| allowance.take(start).is_some()).count();
-        assert_eq!(written, LINES_AT_ONCE as usize);
-        assert_eq!(allowance.take(start + Duration::from_secs(1)), Some(1000 - written as u64));
-        let more = (0..1000).filter(|_| allowance.take(start + Duration::from_secs(1)).is_some()).count();
-        assert_eq!(more, LINES_A_SECOND as usize - 1);
+        let mut limiter = RateLimiter::new(1.0, start);
+        let written = (0..1000).filter(|_| limiter.take(start).is_some()).count();
+        assert_eq!(written, BURST_LINES as usize);
+        assert_eq!(limiter.take(start + Duration::from_secs(1)), Some(1000 - written as u64));
+        let more = (0..1000).filter(|_| limiter.take(start + Duration::from_secs(1)).is_some()).count();
+        assert_eq!(more, LINES_PER_SECOND as usize - 1);
     }
 }
--- a/crates/sidecar/src/trace.rs
+++ b/crates/sidecar/src/trace.rs
@@ -1,13 +1,13 @@
-//! What is logged of single requests, at the level debug, and of endpoints whose state the list changes, at info.
+//! Log lines for individual requests, at level debug, and for endpoint state changes in the list, at level info.
 
 use appledyke::EndpointState;
 
 use crate::net::http;
 
-/// Endpoints that one line names.
-const NAMED_MOST: usize = 5;
+/// Most endpoints named in one line.
+const MAX_NAMED: usize = 5;
 
-/// The id that the client gave its request; empty where single requests are not logged.
+/// The client's request id; empty unless individual requests are logged.
 pub fn request_id(head: &[u8]) -> String {
     if !log::log_enabled!(log::Level::Debug) {
         return String::new();
@@ -20,67 +20,66 @@
     id
 }
 
-/// The states of endpoints as the list told them last, by index.
+/// The last listed state of each endpoint, by index.
 #[derive(Default)]
 pub struct EndpointStates {
-    states: Vec<Option<State>>,
-    /// Named by the list that is being heard.
+    states: Vec<Option<Listed>>,
+    /// Changes by the list that is being read.
     changed: Vec<(usize, EndpointState)>,
-    /// Endpoints in the list that is being heard.
+    /// Endpoints in the list that is being read.
     listed: usize,
 }
 
 #[derive(Clone, Copy)]
-struct State {
-    standing: EndpointState,
-    named: bool,
+struct Listed {
+    state: EndpointState,
+    in_list: bool,
 }
 
 impl EndpointStates {
-    /// A list follows; its endpoints are told one by one.
+    /// Begins a list; `observe` is called for each of its endpoints.
     pub fn open(&mut self) {
         (self.changed, self.listed) = (Vec::new(), 0);
-        self.states.iter_mut().flatten().for_each(|state| state.named = false);
+        self.states.iter_mut().flatten().for_each(|state| state.in_list = false);
     }
 
-    /// The list has this endpoint in this state.
-    pub fn observe(&mut self, endpoint: usize, standing: EndpointState) {
+    /// Records that the list has this endpoint in this state.
+    pub fn observe(&mut self, endpoint: usize, state: EndpointState) {
         self.listed += 1;
         if self.states.len() <= endpoint {
             self.states.resize(endpoint + 1, None);
         }
-        let before = self.states[endpoint].replace(State { standing, named: true });
-        if before.is_none_or(|before| before.standing != standing) {
-            self.changed.push((endpoint, standing));
+        let before = self.states[endpoint].replace(Listed { state, in_list: true });
+        if before.is_none_or(|before| before.state != state) {
+            self.changed.push((endpoint, state));
         }
     }
 
-    /// The list is over. What a complete one does not name is gone. Returns what it has changed, in words, if anything.
+    /// Ends a list. Endpoints missing from a complete one are gone. Returns a description of the changes, if any.
     pub fn close<'a>(&mut self, complete: bool, name: impl Fn(usize) -> &'a str) -> Option<String> {
         for (endpoint, state) in self.states.iter_mut().enumerate().filter(|_| complete) {
-            let left_out =
-                state.as_mut().filter(|state| !state.named && state.standing != EndpointState::Gone);
-            if let Some(state) = left_out {
-                state.standing = EndpointState::Gone;
+            let missing = state.as_mut().filter(|state| !state.in_list && state.state != EndpointState::Gone);
+            if let Some(state) = missing {
+                state.state = EndpointState::Gone;
                 self.changed.push((endpoint, EndpointState::Gone));
             }
         }
-        let of = |standing| {
-            let such: Vec<&str> =
-                self.changed.iter().filter(|(_, to)| *to == standing).map(|(at, _)| name(*at)).collect();
-            let more = such.len().saturating_sub(NAMED_MOST);
-            let named = such.iter().take(NAMED_MOST).copied().collect::<Vec<_>>().join(" ");
-            match (such.len(), more) {
+        let of = |state| {
+            let names: Vec<&str> =
+                self.changed.iter().filter(|(_, to)| *to == state).map(|(at, _)| name(*at)).collect();
+            let more = names.len().saturating_sub(MAX_NAMED);
+            let named = names.iter().take(MAX_NAMED).copied().collect::<Vec<_>>().join(" ");
+            match (names.len(), more) {
                 (0, _) => String::new(),
-                (_, 0) => format!(", {}: {named}", word(standing)),
-                (_, more) => format!(", {}: {named} and {more} more", word(standing)),
+                (_, 0) => format!(", {}: {named}", list_name(state)),
+                (_, more) => format!(", {}: {named} and {more} more", list_name(state)),
             }
         };
         let changes = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone].map(of).concat();
         (!changes.is_empty()).then(|| format!("{} endpoints{changes}", self.listed))
     }
 
-    /// The endpoint's index may be used again.
+    /// Forgets an endpoint whose index may be reused.
     pub fn forget(&mut self, endpoint: usize) {
         if let Some(state) = self.states.get_mut(endpoint) {
             *state = None;
@@ -88,9 +87,9 @@
     }
 }
 
-/// The list's own word for a state.
-fn word(standing: EndpointState) -> &'static str {
-    match standing {
+/// The list format's name for a state.
+fn list_name(state: EndpointState) -> &'static str {
+    match state {
         EndpointState::Ready => "up",
         EndpointState::Draining => "draining",
         EndpointState::Gone => "removed",
