--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -18,7 +18,7 @@
 use appledyke_fleet::talk::{Frame, FrameReader, Initiator, VersionNegotiation, check_hello};
 use serde_json::{Value, json};
 
-use crate::figures::End;
+use crate::metrics::RequestEnd;
 use crate::net::Turn;
 use crate::net::connection::Connection;
 use crate::net::deadlines::Due;
@@ -413,15 +413,15 @@
     }
 
     /// A request has ended, and served took longer than its latency budget or not.
-    pub fn ended(&mut self, end: End, slow: bool) {
+    pub fn ended(&mut self, end: RequestEnd, slow: bool) {
         let figures = &mut self.member.request_counts;
         match end {
-            End::Served => {
+            RequestEnd::Served => {
                 figures.served += 1;
                 figures.slow += u64::from(slow);
             }
-            End::Rejected => figures.rejected += 1,
-            End::Failed => figures.failed += 1,
+            RequestEnd::Rejected => figures.rejected += 1,
+            RequestEnd::Failed => figures.failed += 1,
         }
     }
 
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,35 +1,35 @@
-//! What has happened since the start, counted once each, in the operators' names and in Prometheus' text format.
+//! Counters since the start and current gauges, in the Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use appledyke::{GiveUpReason, Outcome};
 
-/// How a request ended, for its method.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     Served,
     Rejected,
     Failed,
 }
 
-/// Why a request was answered by the sidecar itself.
+/// Why the sidecar answered a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnsweredHere {
-    /// By decision.
+    /// By a decision of the balancer.
     GiveUpReason(GiveUpReason),
-    /// Its body came too slowly.
+    /// The request body arrived too slowly.
     SlowRequest,
-    /// Its body can't be read.
+    /// The request body is malformed.
     BadRequest,
-    /// Its client can't be told from one that has left.
+    /// It cannot be determined whether the client is still connected.
     ClientUnseen,
-    /// The process leaves, and the time for answers is over.
+    /// The process is shutting down, and the time for responses is over.
     Leaving,
 }
 
 impl AnsweredHere {
-    /// All of them, in the order of their indices.
+    /// All reasons, in the order of the metrics.
     fn all() -> impl Iterator<Item = AnsweredHere> {
         let decided = GiveUpReason::ALL.into_iter().map(AnsweredHere::GiveUpReason);
         let others = [
@@ -41,7 +41,7 @@
         decided.chain(others)
     }
 
-    /// A short name for logs and metrics.
+    /// The reason's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AnsweredHere::GiveUpReason(reason) => reason.name(),
@@ -53,95 +53,96 @@
     }
 }
 
-/// The calls to discovery.
+/// Metrics of the calls to service discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Discovery {
-    /// Calls made, from the start on, and new addresses that configurations have named.
+pub struct DiscoveryMetrics {
+    /// Calls made since the start, and address changes by reloaded configurations.
     pub calls: u64,
     pub moves: u64,
-    /// Calls and watches that the service turned away, that broke off within a list, and that ended in any other way.
+    /// Calls and watches that the service rejected, that ended in the middle of a list, and that failed in any other
+    /// way.
     pub turned_away: u64,
-    pub torn: u64,
+    pub truncated: u64,
     pub lost: u64,
-    /// The version of the list, and how long ago a list or a heartbeat came, in milliseconds.
+    /// The version of the list, and the milliseconds since the last list or heartbeat.
     pub version: u64,
     pub silent_ms: u64,
 }
 
-/// What is counted by moments, not by events; asked for when the figures are.
+/// Values sampled when the metrics are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Now {
-    /// Requests taken and not ended.
+pub struct Sampled {
+    /// Requests accepted and not ended.
     pub open: usize,
-    /// Attempts whose last byte was written, from the start on.
+    /// Attempts written completely since the start.
     pub written: u64,
-    /// Endpoints in the list, and those of them that are avoided.
+    /// Endpoints in the list, and how many of them are avoided.
     pub listed: usize,
     pub avoided: usize,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMetrics,
 }
 
 #[derive(Default)]
-pub struct Figures {
-    /// By the method's name, which may be dropped and come back: served, rejected, failed.
-    ends: BTreeMap<String, [u64; 3]>,
-    /// By outcome: attempts, and of these the ones that a retry followed.
+pub struct Metrics {
+    /// Requests served, rejected and failed, by method name: a reload may drop a method and a later one add it again.
+    requests: BTreeMap<String, [u64; 3]>,
+    /// Attempts by outcome, and those of them that a retry followed.
     attempts: [u64; Outcome::ALL.len()],
     retries: [u64; Outcome::ALL.len()],
-    /// By name: requests that were answered here.
+    /// Requests answered by the sidecar itself, by reason.
     answered_here: BTreeMap<&'static str, u64>,
     pub reloads: u64,
     pub reload_errors: u64,
 }
 
-/// A name as a label's value.
+/// Escapes a name for use as a label value.
 fn escaped(name: &str) -> String {
     name.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
-impl Figures {
-    /// A method that clients may ask for: it stands at nought until they do.
-    pub fn offer(&mut self, method: &str) {
-        if !self.ends.contains_key(method) {
-            self.ends.insert(method.to_string(), [0; 3]);
+impl Metrics {
+    /// Registers a method, whose counters start at zero.
+    pub fn register(&mut self, method: &str) {
+        if !self.requests.contains_key(method) {
+            self.requests.insert(method.to_string(), [0; 3]);
         }
     }
 
-    pub fn ended(&mut self, method: &str, end: End) {
-        self.offer(method);
-        self.ends.get_mut(method).expect("just offered")[end as usize] += 1;
+    pub fn count_request(&mut self, method: &str, end: RequestEnd) {
+        self.register(method);
+        self.requests.get_mut(method).expect("just registered")[end as usize] += 1;
     }
 
-    /// An attempt has ended.
-    pub fn attempt_ended(&mut self, outcome: Outcome) {
+    /// Counts an attempt by outcome.
+    pub fn count_attempt(&mut self, outcome: Outcome) {
         self.attempts[outcome as usize] += 1;
     }
 
-    /// A retry begins, after one that ended so.
-    pub fn retried(&mut self, after: Outcome) {
+    /// Counts a retry by the outcome of the attempt before it.
+    pub fn count_retry(&mut self, after: Outcome) {
         self.retries[after as usize] += 1;
     }
 
-    /// A request was answered by the sidecar itself.
-    pub fn answered_here(&mut self, why: AnsweredHere) {
+    /// Counts a request that the sidecar answered itself.
+    pub fn count_answered_here(&mut self, why: AnsweredHere) {
         *self.answered_here.entry(why.name()).or_default() += 1;
     }
 
-    /// All figures, a line each.
-    pub fn text(&self, now: &Now) -> String {
+    /// Renders all metrics as text.
+    pub fn render(&self, sampled: &Sampled) -> String {
         let mut text = String::new();
         let mut line = |what: std::fmt::Arguments| writeln!(text, "{what}").expect("a string takes all");
         for (at, name) in ["completed", "rejected", "failed"].into_iter().enumerate() {
             line(format_args!("# TYPE sidecar_{name} counter"));
-            for (method, ends) in &self.ends {
+            for (method, ends) in &self.requests {
                 line(format_args!("sidecar_{name}{{lane=\"{}\"}} {}", escaped(method), ends[at]));
             }
         }
         for (name, kind, value) in [
-            ("upstream_requests", "counter", now.written),
-            ("pending", "gauge", now.open as u64),
-            ("members", "gauge", now.listed as u64),
-            ("members_unavailable", "gauge", now.avoided as u64),
+            ("upstream_requests", "counter", sampled.written),
+            ("pending", "gauge", sampled.open as u64),
+            ("members", "gauge", sampled.listed as u64),
+            ("members_unavailable", "gauge", sampled.avoided as u64),
             ("config_reloads", "counter", self.reloads),
             ("config_reload_errors", "counter", self.reload_errors),
         ] {
@@ -160,9 +161,10 @@
             let count = self.answered_here.get(why).copied().unwrap_or_default();
             line(format_args!("sidecar_answered_here{{reason=\"{why}\"}} {count}"));
         }
-        let Discovery { calls, moves, turned_away, torn, lost, version, silent_ms } = now.discovery;
+        let DiscoveryMetrics { calls, moves, turned_away, truncated, lost, version, silent_ms } =
+            sampled.discovery;
         line(format_args!("# TYPE sidecar_discovery_calls_failed counter"));
-        for (reason, count) in [("turned_away", turned_away), ("torn", torn), ("lost", lost)] {
+        for (reason, count) in [("turned_away", turned_away), ("torn", truncated), ("lost", lost)] {
             line(format_args!("sidecar_discovery_calls_failed{{reason=\"{reason}\"}} {count}"));
         }
         for (name, kind, value) in [
@@ -184,11 +186,12 @@
 
     #[test]
     fn each_end_counts_once_and_a_method_without_requests_stands_at_nought() {
-        let mut figures = Figures::default();
-        figures.offer("view");
-        figures.ended("odd\"one\\", End::Rejected);
-        figures.ended("odd\"one\\", End::Rejected);
-        let text = figures.text(&Now { open: 3, written: 7, listed: 2, avoided: 1, ..Now::default() });
+        let mut metrics = Metrics::default();
+        metrics.register("view");
+        metrics.count_request("odd\"one\\", RequestEnd::Rejected);
+        metrics.count_request("odd\"one\\", RequestEnd::Rejected);
+        let text =
+            metrics.render(&Sampled { open: 3, written: 7, listed: 2, avoided: 1, ..Sampled::default() });
         for line in [
             "sidecar_completed{lane=\"view\"} 0",
             "sidecar_rejected{lane=\"odd\\\"one\\\\\"} 2",
--- a/crates/sidecar/src/net/list.rs
+++ b/crates/sidecar/src/net/list.rs
@@ -17,7 +17,7 @@
 use super::http;
 use super::slots::{Key, Peer, Slots};
 use super::{DESCRIPTOR_AGAIN, Turn};
-use crate::figures::Discovery;
+use crate::metrics::DiscoveryMetrics;
 
 /// Bytes that a list may have: a whole one of many thousand endpoints.
 const LIST_MOST: usize = 4 << 20;
@@ -73,7 +73,7 @@
     pub lacks_descriptor: bool,
     schedule: Schedule,
     /// What has become of calls, for the metrics.
-    counts: Discovery,
+    counts: DiscoveryMetrics,
     /// When a list or a heartbeat was heard last; at first, when it was begun to look for one.
     heard_at: Option<Moment>,
     /// The version that was last heard, at this address.
@@ -95,7 +95,7 @@
             deadline: None,
             lacks_descriptor: false,
             schedule: Schedule::new(callers, seed),
-            counts: Discovery::default(),
+            counts: DiscoveryMetrics::default(),
             heard_at: None,
             version,
             salvaged: Vec::new(),
@@ -108,9 +108,9 @@
     }
 
     /// The calls to discovery, for the metrics.
-    pub fn figures(&self, now: Moment) -> Discovery {
+    pub fn figures(&self, now: Moment) -> DiscoveryMetrics {
         let silent_ms = self.heard_at.map_or(0, |at| now.since(at).nanos() / 1_000_000);
-        Discovery { calls: self.made, version: self.version, silent_ms, ..self.counts }
+        DiscoveryMetrics { calls: self.made, version: self.version, silent_ms, ..self.counts }
     }
 
     /// Others call the same service from now on.
@@ -294,7 +294,7 @@
         self.close(turn);
         match end {
             CallEnd::TurnedAway => self.counts.turned_away += 1,
-            CallEnd::Torn => self.counts.torn += 1,
+            CallEnd::Torn => self.counts.truncated += 1,
             CallEnd::Lost => self.counts.lost += 1,
         }
         let next = self.schedule.failed(since, turn.now, end);
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -12,7 +12,7 @@
 use super::deadlines::Due;
 use super::http::{self, Frame, Length, Read};
 use super::slots::{Key, Peer, Slots};
-use crate::figures::End;
+use crate::metrics::RequestEnd;
 
 /// Part of the endpoints' limit on idle connections after which this side closes one: well before them.
 const IDLE_SHARE: f64 = 0.75;
@@ -63,7 +63,7 @@
     client: Key,
     method: usize,
     /// How the request ends once it has passed.
-    end: End,
+    end: RequestEnd,
     body: Body,
     keep: bool,
 }
@@ -474,14 +474,20 @@
     // Long answers.
 
     /// The rest of the answer in this frame passes to a client from now on.
-    pub fn pass(&mut self, key: Key, frame: Frame, body: Body, (client, method, end): (Key, usize, End)) {
+    pub fn pass(
+        &mut self,
+        key: Key,
+        frame: Frame,
+        body: Body,
+        (client, method, end): (Key, usize, RequestEnd),
+    ) {
         let Some(link) = self.links.get_mut(key) else { return };
         link.connection.consume(frame.end);
         link.passes = Some(Passing { client, method, end, body, keep: frame.keep });
     }
 
     /// The client that this connection's answer passes to, the method of its request, and how that ends.
-    pub fn passes(&self, key: Key) -> Option<(Key, usize, End)> {
+    pub fn passes(&self, key: Key) -> Option<(Key, usize, RequestEnd)> {
         let passing = self.links.get(key)?.passes.as_ref()?;
         Some((passing.client, passing.method, passing.end))
     }
@@ -676,7 +682,7 @@
                     break ended;
                 }
             };
-            servers.pass(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, End::Served));
+            servers.pass(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, RequestEnd::Served));
             servers.forget(0, &mut turn);
             servers.place(0, successor.unwrap_or(listener.local_addr().unwrap()), None, &mut turn);
             std::io::Write::write_all(&mut peer, &[b'x'; 69_000]).unwrap();
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -20,10 +20,10 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 
-use crate::figures::{End, Figures, Now};
 use crate::fleet::{Agreed, Fleet, News, Wish};
 use crate::handover::{self, RecentAttempts};
 use crate::launch::{Launch, Precedence, ReloadIdentity, StartupConfig};
+use crate::metrics::{Metrics, RequestEnd, Sampled};
 use crate::net::body::{Body, Piece};
 use crate::net::clients::{Clients, Said, Sight};
 use crate::net::connection::Ending;
@@ -113,7 +113,7 @@
     /// Client and endpoint connections whose streamed body exceeded one turn's share and continues in the next.
     streams_to_resume: Vec<Peer>,
     operators: Option<Operators>,
-    figures: Figures,
+    metrics: Metrics,
     /// The fleet membership, and the local configuration that the fleet's agreed settings are merged into.
     fleet: Option<Fleet>,
     base_config: Value,
@@ -220,7 +220,7 @@
             clients_to_recheck: Vec::new(),
             streams_to_resume: Vec::new(),
             operators,
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             fleet: None,
             base_config: launch.base,
             drain_waiters: Vec::new(),
@@ -242,7 +242,7 @@
             reload_retry_at: None,
             poll,
         };
-        sidecar.balancer.terms().methods.iter().for_each(|method| sidecar.figures.offer(&method.name));
+        sidecar.balancer.terms().methods.iter().for_each(|method| sidecar.metrics.register(&method.name));
         if let Some(folder) = &launch.folder {
             let at = sidecar.clients.address().unwrap_or(listen);
             match Presence::announce(folder, at, std::process::id()) {
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -8,7 +8,7 @@
 use appledyke_fleet::members::MemberStatus;
 
 use super::*;
-use crate::figures::AnsweredHere;
+use crate::metrics::AnsweredHere;
 use crate::net::DESCRIPTOR_AGAIN;
 use crate::net::connection::lacks_descriptor;
 
@@ -65,7 +65,7 @@
             agreed,
         ) {
             Ok(launch) => {
-                self.figures.reloads += 1;
+                self.metrics.reloads += 1;
                 log::info!("configuration reloaded: service discovery at {}", launch.discovery);
                 let restart_only = self.startup.differs(&launch.startup);
                 if !restart_only.is_empty() {
@@ -79,7 +79,7 @@
                 self.apply_config(launch);
             }
             Err(what) => {
-                self.figures.reload_errors += 1;
+                self.metrics.reload_errors += 1;
                 log::warn!("configuration reload failed, keeping the current one: {what}");
             }
         }
@@ -109,7 +109,7 @@
             log::info!("new or changed methods: {}", names.join(", "));
         }
         let offered = terms.methods.iter().zip(&terms.offered).filter(|(_, offered)| **offered);
-        offered.for_each(|(method, _)| self.figures.offer(&method.name));
+        offered.for_each(|(method, _)| self.metrics.register(&method.name));
         self.balancer.update_terms(terms, shadow_terms, &places);
     }
 
@@ -169,7 +169,7 @@
                 self.update_siblings();
                 self.is_ready().to_string()
             }
-            Call::Figures => format!("{}EOF", self.figures()),
+            Call::Figures => format!("{}EOF", self.metrics_text()),
             Call::Drain if self.fleet.is_some() => return self.request_drain(key, None),
             Call::DrainAnyway(why) if self.fleet.is_some() => return self.request_drain(key, Some(why)),
             Call::DrainAnyway(_) => format!("400 {}", operator::UNKNOWN),
@@ -289,11 +289,11 @@
         self.requests.iter().filter(|(_, r)| r.client.is_some()).count() + self.servers.passing().count()
     }
 
-    pub(super) fn figures(&self) -> String {
+    pub(super) fn metrics_text(&self) -> String {
         let open = self.open_requests();
         let (listed, avoided) = self.balancer.avoided(self.turn.now);
         let written = self.servers.written;
-        let text = self.figures.text(&Now {
+        let text = self.metrics.render(&Sampled {
             open,
             written,
             listed,
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use super::*;
-use crate::figures::AnsweredHere;
+use crate::metrics::AnsweredHere;
 use crate::trace;
 
 const PROBE_HEAD: &[u8] = b"GET /load HTTP/1.1\r\n\r\n";
@@ -172,18 +172,18 @@
         log::info!("a streamed response was aborted before its end");
         self.clients.end_pass(client, false, &mut self.turn);
         self.servers.close(link, &mut self.turn);
-        self.count_request(method, End::Failed);
+        self.count_request(method, RequestEnd::Failed);
     }
 
-    pub(super) fn count_request(&mut self, method: usize, end: End) {
-        self.figures.ended(&self.balancer.terms().methods[method].name, end);
+    pub(super) fn count_request(&mut self, method: usize, end: RequestEnd) {
+        self.metrics.count_request(&self.balancer.terms().methods[method].name, end);
         self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, false));
     }
 
     /// Counts a request that arrived at `since` and was answered by an endpoint, whether served or failed.
-    fn count_request_since(&mut self, method: usize, end: End, since: Moment) {
+    fn count_request_since(&mut self, method: usize, end: RequestEnd, since: Moment) {
         let method = &self.balancer.terms().methods[method];
-        self.figures.ended(&method.name, end);
+        self.metrics.count_request(&method.name, end);
         let slow = self.turn.now.since(since) > method.latency_budget;
         self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, slow));
     }
@@ -212,7 +212,7 @@
             let client = if is_final { r.client.take() } else { None };
             closed = r.client.is_none();
             if let (Some(client), Some(frame)) = (client, answer) {
-                let end = if outcome == Outcome::Success { End::Served } else { End::Failed };
+                let end = if outcome == Outcome::Success { RequestEnd::Served } else { RequestEnd::Failed };
                 match &long {
                     Some(body) => {
                         streaming = self.begin_streaming(key, frame, body.clone(), (client, method, end))
@@ -277,7 +277,7 @@
         key: Key,
         frame: Frame,
         body: Body,
-        target: (Key, usize, End),
+        target: (Key, usize, RequestEnd),
     ) -> bool {
         let Some((head, _)) = self.servers.message(key, frame) else { return false };
         let write = |out: &mut Vec<u8>, length, keep| http::relayed_head(out, head, length, keep);
@@ -404,7 +404,7 @@
     fn trace_attempt(&mut self, request: usize, attempt: usize, endpoint: usize, sent: Result<Key, Ending>) {
         let Some(last) = self.request(request).map(|r| r.last_outcome) else { return };
         if let Some(last) = last {
-            self.figures.retried(last);
+            self.metrics.count_retry(last);
         }
         if log::log_enabled!(log::Level::Debug) {
             let id = self.request(request).map_or("", |r| &r.id).to_string();
@@ -431,7 +431,7 @@
 
     fn record_outcome(&mut self, request: usize, ending: Ending) {
         let outcome = ending.outcome();
-        self.figures.attempt_ended(outcome);
+        self.metrics.count_attempt(outcome);
         self.request(request).into_iter().for_each(|r| r.last_outcome = Some(outcome));
     }
 
@@ -490,10 +490,10 @@
         else {
             return;
         };
-        self.figures.answered_here(why);
+        self.metrics.count_answered_here(why);
         let id = self.request(request).map_or("", |r| &r.id);
         log::debug!("request {id}: answered {status} here, {}", why.name());
-        self.count_request(method, if status == 503 { End::Rejected } else { End::Failed });
+        self.count_request(method, if status == 503 { RequestEnd::Rejected } else { RequestEnd::Failed });
         let head = |out: &mut Vec<u8>, keep| http::own_answer(out, status, retry_after, keep);
         self.clients.answer(client, head, b"", &mut self.turn);
         self.check_next_request(client);
