--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -1,5 +1,5 @@
-//! This process as a member of a fleet: the connection to one daemon, and what comes over it. What is decided of this stands
-//! in `appledyke_fleet::member`. Without the operators' key `fleet` none of it is there.
+//! This process as a member of a fleet: the connection to one daemon and the messages on it. The protocol's decisions
+//! are made in `appledyke_fleet::member`. Without the configuration key `fleet` none of this is active.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -25,38 +25,38 @@
 use crate::net::slots::{Key, Peer, Slots};
 
 /// Bytes read at a time.
-const READ_MOST: usize = 64 * 1024;
-/// Between two beats where the operators state nothing, and the least and most that they may.
-const BEAT_MS: u64 = 500;
-const BEAT_LEAST_MS: u64 = 20;
-const BEAT_MOST_MS: u64 = 60_000;
-/// Descriptors that this takes at the most: a connection, and one more while another is opened.
+const READ_BYTES: usize = 64 * 1024;
+/// The default heartbeat interval, and the shortest and longest allowed.
+const HEARTBEAT_MS: u64 = 500;
+const MIN_HEARTBEAT_MS: u64 = 20;
+const MAX_HEARTBEAT_MS: u64 = 60_000;
+/// Most file descriptors that this uses: a connection, and one more while another is opened.
 pub const SOCKETS: usize = 2;
 
-/// What the operators' key says.
+/// The configuration key `fleet`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct FleetConfig {
     name: String,
     daemons: Vec<(u16, SocketAddr)>,
-    beat: Span,
-    /// Where the last good settings are kept, for a start while no daemon is there.
-    keep: Option<PathBuf>,
-    /// What it may use of the fleet's budgets without daemons, and in which window, in milliseconds.
-    alone: BTreeMap<Resource, (u64, u64)>,
+    heartbeat: Span,
+    /// Where the last applied settings are saved, for a start while no daemon can be reached.
+    settings_path: Option<PathBuf>,
+    /// What it may use of the fleet's budgets while no daemon can be reached, and the window in milliseconds.
+    standalone_limits: BTreeMap<Resource, (u64, u64)>,
     /// The groups that it belongs to: zone, tier, pool.
     groups: Vec<String>,
-    /// What it belongs to, for settings that are put for a part of the fleet and for others' evidence.
-    belongs: Option<Locality>,
-    /// What operators call the version of this process; the program's own if they state none.
+    /// Its service, zone and region, for settings that apply to a part of the fleet and for sharing observations.
+    locality: Option<Locality>,
+    /// The version that operators give this process; defaults to the program's own.
     version: String,
 }
 
-impl Terms {
-    /// Reads the key; none where the file does not have it.
+impl FleetConfig {
+    /// Reads the key; `None` if the file does not have it.
     ///
     /// # Errors
-    /// The key that is at fault.
-    pub fn read(file: &Value) -> Result<Option<Terms>, String> {
+    /// Names the faulty key.
+    pub fn read(file: &Value) -> Result<Option<FleetConfig>, String> {
         let key = &file["fleet"];
         if key.is_null() {
             return Ok(None);
@@ -70,7 +70,7 @@
         }
         let name =
             key["name"].as_str().filter(|name| !name.is_empty()).ok_or("fleet.name: missing, or no text")?;
-        let rows = key["daemons"].as_array().ok_or("fleet.daemons: missing, or no list")?;
+        let rows = key["daemons"].as_array().ok_or("fleet.daemons: missing, or not a list")?;
         let mut daemons = Vec::new();
         for (at, row) in rows.iter().enumerate() {
             let place = row["place"].as_u64().and_then(|place| u16::try_from(place).ok());
@@ -80,26 +80,28 @@
             let address =
                 address.ok_or_else(|| format!("fleet.daemons.{at}.address: expected address:port"))?;
             if daemons.iter().any(|(other, _)| *other == place) {
-                return Err(format!("fleet.daemons.{at}.place: {place} stands there twice"));
+                return Err(format!("fleet.daemons.{at}.place: {place} is listed twice"));
             }
             daemons.push((place, address));
         }
         if daemons.is_empty() {
             return Err("fleet.daemons: expected at least one".to_string());
         }
-        let beat =
-            match &key["beatMs"] {
-                Value::Null => BEAT_MS,
-                value => value.as_u64().filter(|ms| (BEAT_LEAST_MS..=BEAT_MOST_MS).contains(ms)).ok_or_else(
-                    || format!("fleet.beatMs: expected {BEAT_LEAST_MS} to {BEAT_MOST_MS}, not {value}"),
-                )?,
-            };
-        let keep = match &key["keep"] {
+        let heartbeat = match &key["beatMs"] {
+            Value::Null => HEARTBEAT_MS,
+            value => value
+                .as_u64()
+                .filter(|ms| (MIN_HEARTBEAT_MS..=MAX_HEARTBEAT_MS).contains(ms))
+                .ok_or_else(|| {
+                    format!("fleet.beatMs: expected {MIN_HEARTBEAT_MS} to {MAX_HEARTBEAT_MS}, not {value}")
+                })?,
+        };
+        let settings_path = match &key["keep"] {
             Value::Null => None,
             Value::String(path) => Some(PathBuf::from(path)),
             other => return Err(format!("fleet.keep: expected a path, not {other}")),
         };
-        let alone = alone(&key["alone"])?;
+        let standalone_limits = read_standalone_limits(&key["alone"])?;
         let groups = match &key["groups"] {
             Value::Null => Vec::new(),
             Value::Array(names) if names.iter().all(Value::is_string) => {
@@ -107,30 +109,30 @@
             }
             other => return Err(format!("fleet.groups: expected a list of names, not {other}")),
         };
-        let belongs = belongs(&key["belongs"])?;
+        let locality = read_locality(&key["belongs"])?;
         let version = match &key["version"] {
             Value::Null => env!("CARGO_PKG_VERSION").to_string(),
             Value::String(version) if !version.is_empty() => version.clone(),
             other => return Err(format!("fleet.version: expected a text, not {other}")),
         };
-        Ok(Some(Terms {
+        Ok(Some(FleetConfig {
             name: name.to_string(),
             daemons,
-            beat: Span::from_millis(beat),
-            keep,
-            alone,
+            heartbeat: Span::from_millis(heartbeat),
+            settings_path,
+            standalone_limits,
             groups,
-            belongs,
+            locality,
             version,
         }))
     }
 
-    /// The settings that this member acted on last, if they were kept.
+    /// Loads the settings that this member applied last, if they were saved.
     ///
     /// # Errors
-    /// Why they can't be read, or that they were kept by a process that belonged elsewhere.
-    pub fn kept(&self) -> Result<Option<Agreed>, String> {
-        let Some(path) = &self.keep else { return Ok(None) };
+    /// They cannot be read, or were saved by a process with another locality.
+    pub fn load_saved(&self) -> Result<Option<AgreedSettings>, String> {
+        let Some(path) = &self.settings_path else { return Ok(None) };
         let named = |what: String| format!("fleet.keep: {}: {what}", path.display());
         let text = match fs::read_to_string(path) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -139,21 +141,23 @@
         let kept: Value = serde_json::from_str(&text).map_err(|e| named(format!("not JSON: {e}")))?;
         let version = kept["version"].as_str().and_then(|version| version.parse().ok());
         let version = version.ok_or_else(|| named("version: missing, or no version".to_string()))?;
-        // Danger: another service's settings, and their version would hide this one's own.
-        let other = belongs(&kept["belongs"]).map_err(named)?;
-        if other != self.belongs {
-            let told = |locality: &Option<Locality>| locality.as_ref().map_or("nothing".into(), told);
-            let (kept, own) = (told(&other), told(&self.belongs));
+        // Danger: settings of another locality would be applied, and their version could hide this one's own
+        // settings.
+        let other = read_locality(&kept["belongs"]).map_err(named)?;
+        if other != self.locality {
+            let describe_or_nothing =
+                |locality: &Option<Locality>| locality.as_ref().map_or("nothing".into(), describe);
+            let (kept, own) = (describe_or_nothing(&other), describe_or_nothing(&self.locality));
             return Err(named(format!(
                 "kept by a process that belonged to {kept}, and this one does to {own}"
             )));
         }
-        Ok(Some(Agreed { version, settings: kept["settings"].clone() }))
+        Ok(Some(AgreedSettings { version, settings: kept["settings"].clone() }))
     }
 }
 
-/// The names that a locality may have, as they stand in files.
-fn belongs(key: &Value) -> Result<Option<Locality>, String> {
+/// Reads a locality as it is written in files.
+fn read_locality(key: &Value) -> Result<Option<Locality>, String> {
     let rows = match key {
         Value::Null => return Ok(None),
         Value::Object(rows) if !rows.is_empty() => rows,
@@ -179,28 +183,28 @@
     Ok(Some(locality))
 }
 
-fn rows(locality: &Locality) -> impl Iterator<Item = (&'static str, &String)> {
+fn named_parts(locality: &Locality) -> impl Iterator<Item = (&'static str, &String)> {
     let rows = [("service", &locality.service), ("zone", &locality.zone), ("region", &locality.region)];
     rows.into_iter().filter_map(|(key, name)| Some((key, name.as_ref()?)))
 }
 
-fn told(locality: &Locality) -> String {
-    rows(locality).map(|(key, name)| format!("{key}={name}")).collect::<Vec<_>>().join(", ")
+fn describe(locality: &Locality) -> String {
+    named_parts(locality).map(|(key, name)| format!("{key}={name}")).collect::<Vec<_>>().join(", ")
 }
 
-fn alone(key: &Value) -> Result<BTreeMap<Resource, (u64, u64)>, String> {
-    let mut alone = BTreeMap::new();
+fn read_standalone_limits(key: &Value) -> Result<BTreeMap<Resource, (u64, u64)>, String> {
+    let mut limits = BTreeMap::new();
     let rows = match key {
-        Value::Null => return Ok(alone),
+        Value::Null => return Ok(limits),
         Value::Object(rows) => rows,
         other => return Err(format!("fleet.alone: expected an object, not {other}")),
     };
     for (name, row) in rows {
-        let of = Resource::ALL.into_iter().find(|of| of.name() == name);
-        let of = of.ok_or_else(|| {
+        let resource = Resource::ALL.into_iter().find(|resource| resource.name() == name);
+        let resource = resource.ok_or_else(|| {
             format!("fleet.alone.{name}: unknown; budgets are of {:?}", Resource::ALL.map(Resource::name))
         })?;
-        let part = row["part"]
+        let share = row["part"]
             .as_u64()
             .ok_or_else(|| format!("fleet.alone.{name}.part: expected a whole number"))?;
         let window = match &row["windowMs"] {
@@ -209,32 +213,37 @@
                 .as_u64()
                 .ok_or_else(|| format!("fleet.alone.{name}.windowMs: expected a whole number"))?,
         };
-        if of.is_concurrency_limit() != (window == 0) {
-            let wanted =
-                if of.is_concurrency_limit() { "none for a stock" } else { "a positive whole number" };
+        if resource.is_concurrency_limit() != (window == 0) {
+            let wanted = if resource.is_concurrency_limit() {
+                "none for a limit on what is held at once"
+            } else {
+                "a positive whole number"
+            };
             return Err(format!("fleet.alone.{name}.windowMs: expected {wanted}, not {window}"));
         }
-        alone.insert(of, (part, window));
+        limits.insert(resource, (share, window));
     }
-    Ok(alone)
+    Ok(limits)
 }
 
 /// Settings that the fleet has agreed on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Agreed {
+pub struct AgreedSettings {
     pub version: Version,
     pub settings: Value,
 }
 
-impl Agreed {
-    /// Brings these into place whole. Danger: half a file at the next start would leave this member without any.
+impl AgreedSettings {
+    /// Saves the settings atomically. Danger: half a file at the next start would leave this member without any
+    /// settings.
     ///
     /// # Errors
-    /// The system's.
-    pub fn keep(&self, path: &Path, belongs: Option<&Locality>) -> io::Result<()> {
+    /// The file cannot be written.
+    pub fn save(&self, path: &Path, belongs: Option<&Locality>) -> io::Result<()> {
         let mut kept = json!({"version": self.version.to_string(), "settings": self.settings});
         if let Some(locality) = belongs {
-            kept["belongs"] = rows(locality).map(|(key, name)| (key.to_string(), json!(name))).collect();
+            kept["belongs"] =
+                named_parts(locality).map(|(key, name)| (key.to_string(), json!(name))).collect();
         }
         let text = kept.to_string();
         let draft = path.with_extension("draft");
@@ -243,85 +252,91 @@
     }
 }
 
-/// What the loop is to carry out.
-pub enum News {
-    /// Settings that are to be checked whole, and acted on.
+/// What the event loop has to carry out.
+pub enum FleetEvent {
+    /// Agreed settings to validate and apply.
     Settings(Version, String),
-    /// How others' attempts ended.
-    Ends(Vec<RelayedObservation>),
-    /// These endpoints are out of service, and no others.
-    Outs(Vec<String>),
-    /// It may go out, or not now and why.
-    Out { refused: Option<String> },
-    /// A release sends it out, or lets it come back.
-    Sent(bool),
+    /// Outcomes of other members' attempts.
+    Observations(Vec<RelayedObservation>),
+    /// The complete set of endpoints that are out of service.
+    OutOfService(Vec<String>),
+    /// The answer to a drain request: permitted, or refused and why.
+    DrainAnswer { refused: Option<String> },
+    /// A release drains this process, or ends that drain.
+    ReleaseDrain(bool),
 }
 
-/// An attempt that is to be: again for the same request, to an endpoint that is cold, where this process has so many connections
-/// and so many attempts out, or has an idle one.
-pub struct Wish {
-    pub again: bool,
+/// An attempt to check against the budgets: whether it is a retry, whether its endpoint is cold, how many connections
+/// and attempts in flight this process has there, and whether one of the connections is idle.
+pub struct PlannedAttempt {
+    pub is_retry: bool,
     pub cold: bool,
     pub connections: usize,
-    pub out: usize,
-    pub idle: bool,
+    pub in_flight: usize,
+    pub has_idle: bool,
 }
 
-struct Link {
+struct DaemonConnection {
     connection: Connection,
     frames: FrameReader,
-    greeted: bool,
-    place: u16,
-    greets: u16,
+    hello_received: bool,
+    replica: u16,
+    offered_version: u16,
 }
 
 pub struct Fleet {
-    terms: Terms,
+    config: FleetConfig,
     member: Member,
-    links: Slots<Link>,
+    connections: Slots<DaemonConnection>,
     open: Option<Key>,
-    /// With which version each daemon is greeted next.
-    greetings: BTreeMap<u16, VersionNegotiation>,
+    /// The protocol version to offer to each daemon next.
+    negotiations: BTreeMap<u16, VersionNegotiation>,
     deadline: Option<Moment>,
-    pub agreed: Option<Agreed>,
-    /// Settings that were agreed on and found faulty here.
-    faulty: u64,
-    told: u64,
+    pub agreed: Option<AgreedSettings>,
+    /// Agreed settings that were found invalid here.
+    invalid_settings: u64,
+    reported_attempts: u64,
 }
 
 impl Fleet {
-    pub fn new(terms: Terms, name: &str, seed: u64, agreed: Option<Agreed>, turn: &mut Turn) -> Fleet {
+    pub fn new(
+        config: FleetConfig,
+        name: &str,
+        seed: u64,
+        agreed: Option<AgreedSettings>,
+        turn: &mut Turn,
+    ) -> Fleet {
         let now = turn.now;
         let setup = MemberConfig {
             name: name.to_string(),
-            daemons: terms.daemons.iter().map(|(place, _)| *place).collect(),
-            heartbeat: terms.beat,
-            // The machine's clock at the start: a later start is a later incarnation.
+            daemons: config.daemons.iter().map(|(place, _)| *place).collect(),
+            heartbeat: config.heartbeat,
+            // The wall-clock time at start, so that a later start is a later incarnation.
             incarnation: now.nanos(),
             process_nonce: u64::from(std::process::id()),
             version: agreed.as_ref().map_or_else(Version::default, |agreed| agreed.version),
-            limits: Limits::new(&terms.alone),
-            groups: terms.groups.clone(),
-            locality: terms.belongs.clone(),
-            program_version: terms.version.clone(),
+            limits: Limits::new(&config.standalone_limits),
+            groups: config.groups.clone(),
+            locality: config.locality.clone(),
+            program_version: config.version.clone(),
         };
         let member = Member::new(now, setup, seed);
         let mut fleet = Fleet {
-            terms,
+            config,
             member,
-            links: Slots::default(),
+            connections: Slots::default(),
             open: None,
-            greetings: BTreeMap::new(),
+            negotiations: BTreeMap::new(),
             deadline: None,
             agreed,
-            faulty: 0,
-            told: 0,
+            invalid_settings: 0,
+            reported_attempts: 0,
         };
-        fleet.time(turn);
+        fleet.schedule_timer(turn);
         fleet
     }
 
-    fn time(&mut self, turn: &mut Turn) {
+    fn schedule_timer(&mut self, turn: &mut Turn) {
         let next = self
             .member
             .drain_requests
@@ -332,185 +347,194 @@
         }
     }
 
-    pub fn timed_out(&mut self, turn: &mut Turn) -> Vec<News> {
+    pub fn on_timer(&mut self, turn: &mut Turn) -> Vec<FleetEvent> {
         self.deadline = None;
-        let done = self.member.on_timer(turn.now);
-        let mut news = self.carry_out(done, turn);
+        let actions = self.member.on_timer(turn.now);
+        let mut events = self.execute(actions, turn);
         if self.member.drain_requests.deadline().is_some_and(|until| until <= turn.now) {
             self.member.drain_requests.give_up();
-            self.time(turn);
-            news.push(News::Out { refused: Some("no daemon heard".to_string()) });
+            self.schedule_timer(turn);
+            events.push(FleetEvent::DrainAnswer { refused: Some("no daemon heard".to_string()) });
         }
-        news
+        events
     }
 
-    /// How this process stands; it is told at once where that has changed.
-    pub fn stands(&mut self, standing: MemberStatus, turn: &mut Turn) {
-        let done = self.member.set_status(turn.now, standing);
-        if !done.is_empty() {
-            self.carry_out(done, turn);
+    /// Sets this process's status; a change is reported at once.
+    pub fn set_status(&mut self, status: MemberStatus, turn: &mut Turn) {
+        let actions = self.member.set_status(turn.now, status);
+        if !actions.is_empty() {
+            self.execute(actions, turn);
         }
     }
 
-    /// Whether the fleet's budgets allow this attempt. The moment is that of the sending. Danger: a turn's own may lie before
-    /// a stop that outlasted the lease.
-    pub fn may_send(&mut self, now: Moment, wish: &Wish) -> bool {
+    /// Whether the fleet's budgets allow this attempt. `now` is the time of sending. Danger: the turn's own time may
+    /// lie before a suspension of the process that outlasted the budget lease.
+    pub fn may_send(&mut self, now: Moment, attempt: &PlannedAttempt) -> bool {
         let limits = &mut self.member.limits;
         if limits.is_empty() {
             return true;
         }
-        let held = limits.try_hold(now, Resource::InFlight, wish.out as u64)
-            && (wish.idle || limits.try_hold(now, Resource::Connections, wish.connections as u64));
-        held && limits.try_spend_attempt(now, wish.again, wish.cold)
+        let held = limits.try_hold(now, Resource::InFlight, attempt.in_flight as u64)
+            && (attempt.has_idle || limits.try_hold(now, Resource::Connections, attempt.connections as u64));
+        held && limits.try_spend_attempt(now, attempt.is_retry, attempt.cold)
     }
 
-    /// Whether the fleet's budgets allow a call to the list's service now.
+    /// Whether the fleet's budgets allow a call to service discovery now.
     pub fn may_call_list(&mut self, now: Moment) -> bool {
         self.member.limits.try_spend(now, Resource::DiscoveryCalls, true)
     }
 
-    /// Most connections that it may have at an endpoint now.
-    pub fn connections_most(&self, now: Moment) -> Option<u64> {
+    /// Most connections that it may have to one endpoint now.
+    pub fn max_connections(&self, now: Moment) -> Option<u64> {
         self.member.limits.allowed(now, Resource::Connections)
     }
 
-    /// What it holds at the endpoint where it holds most, and whether no other process serves its address.
-    pub fn holds(&mut self, connections: usize, out: usize, alone: bool) {
+    /// Sets the connections and attempts in flight at the endpoint with the most, and whether no other process serves
+    /// this address.
+    pub fn set_held(&mut self, connections: usize, in_flight: usize, alone: bool) {
         self.member.limits.set_held(Resource::Connections, connections as u64);
-        self.member.limits.set_held(Resource::InFlight, out as u64);
+        self.member.limits.set_held(Resource::InFlight, in_flight as u64);
         self.member.sole_at_address = alone;
     }
 
-    /// Asks the fleet whether this process may go out; `false` where nobody can be asked.
-    pub fn ask_out(&mut self, anyway: Option<String>, turn: &mut Turn) -> bool {
+    /// Asks the fleet for permission to drain; `false` if no daemon can be asked.
+    pub fn request_drain(&mut self, forced_reason: Option<String>, turn: &mut Turn) -> bool {
         if !self.member.is_connected() || !self.member.has_recent_answer(turn.now) {
             return false;
         }
         let ask = self.member.drain_requests.request(turn.now);
-        self.send(&Frame::DrainRequest { ask, anyway }, turn);
-        self.time(turn);
+        self.send(&Frame::DrainRequest { ask, anyway: forced_reason }, turn);
+        self.schedule_timer(turn);
         true
     }
 
-    /// It serves, and has not asked.
-    pub fn is_back(&mut self) {
+    /// This process serves again and has no drain request open.
+    pub fn on_return(&mut self) {
         self.member.drain_requests.on_return();
     }
 
-    /// Where it holds something still, of what is out of service.
-    pub fn holds_at(&mut self, held: Vec<String>) {
-        self.member.endpoints_in_use = held;
+    /// Sets the out-of-service endpoints to which it still has connections.
+    pub fn set_endpoints_in_use(&mut self, in_use: Vec<String>) {
+        self.member.endpoints_in_use = in_use;
     }
 
-    /// The endpoints that it is to look for.
-    pub fn looks_for(&self) -> impl Iterator<Item = &String> {
+    /// The endpoints whose presence in the list it has to report.
+    pub fn watched_endpoints(&self) -> impl Iterator<Item = &String> {
         self.member.watched_endpoints()
     }
 
-    /// What it has open still, and which of the endpoints that it looks for the list does not have as ready.
-    pub fn stands_with(&mut self, open: usize, lacks: Vec<String>) {
-        (self.member.open_requests, self.member.missing_endpoints) = (open as u64, lacks);
+    /// Sets the number of open requests and connections, and which watched endpoints the list does not have as ready.
+    pub fn set_open_requests(&mut self, open: usize, missing: Vec<String>) {
+        (self.member.open_requests, self.member.missing_endpoints) = (open as u64, missing);
     }
 
-    /// A request has ended, and served took longer than its latency budget or not.
-    pub fn ended(&mut self, end: RequestEnd, slow: bool) {
-        let figures = &mut self.member.request_counts;
+    /// Counts a request's end, and whether a served one exceeded its latency budget.
+    pub fn count_request(&mut self, end: RequestEnd, slow: bool) {
+        let counts = &mut self.member.request_counts;
         match end {
             RequestEnd::Served => {
-                figures.served += 1;
-                figures.slow += u64::from(slow);
+                counts.served += 1;
+                counts.slow += u64::from(slow);
             }
-            RequestEnd::Rejected => figures.rejected += 1,
-            RequestEnd::Failed => figures.failed += 1,
+            RequestEnd::Rejected => counts.rejected += 1,
+            RequestEnd::Failed => counts.failed += 1,
         }
     }
 
-    /// Whether it is limited at all.
+    /// Whether any budget limits this process.
     pub fn is_limited(&self) -> bool {
         !self.member.limits.is_empty()
     }
 
-    pub fn book(&mut self, now: Moment, endpoint: u32, method: u32, outcome: u8, part: f64) {
-        self.told += 1;
-        self.member.record_attempt(now, endpoint, method, outcome, part as f32);
+    pub fn record_attempt(
+        &mut self,
+        now: Moment,
+        endpoint: u32,
+        method: u32,
+        outcome: u8,
+        budget_fraction: f64,
+    ) {
+        self.reported_attempts += 1;
+        self.member.record_attempt(now, endpoint, method, outcome, budget_fraction as f32);
     }
 
-    /// It acts on these from now on.
-    pub fn acts_on(&mut self, agreed: Agreed) {
+    /// Records that these settings are now applied, and saves them.
+    pub fn set_applied_settings(&mut self, agreed: AgreedSettings) {
         self.member.set_active_version(agreed.version);
         let belongs = self.member.locality().filter(|_| !self.member.is_unscoped());
-        if let Some(path) = &self.terms.keep
-            && let Err(e) = agreed.keep(path, belongs)
+        if let Some(path) = &self.config.settings_path
+            && let Err(e) = agreed.save(path, belongs)
         {
             log::warn!("fleet.keep: {}: {e}", path.display());
         }
         self.agreed = Some(agreed);
     }
 
-    pub fn found_faulty(&mut self) {
-        self.faulty += 1;
+    pub fn count_invalid_settings(&mut self) {
+        self.invalid_settings += 1;
     }
 
-    pub fn ready(&mut self, key: Key, turn: &mut Turn) -> Vec<News> {
-        let mut news = Vec::new();
-        while let Some(link) = self.links.get_mut(key) {
-            let up = link.greeted || matches!(link.connection.is_up(), Ok(true));
-            let works = link.connection.flush().is_ok() && (!up || link.connection.fill(READ_MOST).is_ok());
+    pub fn on_ready(&mut self, key: Key, turn: &mut Turn) -> Vec<FleetEvent> {
+        let mut events = Vec::new();
+        while let Some(link) = self.connections.get_mut(key) {
+            let up = link.hello_received || matches!(link.connection.is_up(), Ok(true));
+            let works = link.connection.flush().is_ok() && (!up || link.connection.fill(READ_BYTES).is_ok());
             link.frames.push(&link.connection.input);
             link.connection.input.clear();
             let (ended, more) = (!works || link.connection.ended, link.connection.full);
-            let place = link.place;
+            let replica = link.replica;
             loop {
-                let Some(link) = self.links.get_mut(key) else { return news };
+                let Some(link) = self.connections.get_mut(key) else { return events };
                 let frame = link.frames.pop();
                 match frame {
                     Ok(Some(frame @ Frame::Hello { .. })) => {
-                        match check_hello(&frame, &self.terms.name, link.greets) {
+                        match check_hello(&frame, &self.config.name, link.offered_version) {
                             Ok((_, speaks)) => {
-                                link.greeted = true;
-                                self.greetings.entry(place).or_default().on_accepted();
-                                let done = self.member.on_connected(turn.now, speaks);
-                                news.extend(self.carry_out(done, turn));
+                                link.hello_received = true;
+                                self.negotiations.entry(replica).or_default().on_accepted();
+                                let actions = self.member.on_connected(turn.now, speaks);
+                                events.extend(self.execute(actions, turn));
                             }
                             Err(why) => {
                                 self.fail(&why, turn);
-                                return news;
+                                return events;
                             }
                         }
                     }
                     Ok(Some(Frame::DrainAnswer { ask, refused })) => {
                         if self.member.drain_requests.on_answer(ask, refused.is_none()) {
-                            news.push(News::Out { refused });
+                            events.push(FleetEvent::DrainAnswer { refused });
                         }
                     }
                     Ok(Some(Frame::ReportAnswer(told))) => {
-                        let done = self.member.on_answer(turn.now, told);
-                        news.extend(self.carry_out(done, turn));
+                        let actions = self.member.on_answer(turn.now, told);
+                        events.extend(self.execute(actions, turn));
                     }
                     Ok(Some(Frame::CodedReportAnswer(told, coded))) => {
-                        let done = self.member.on_coded_answer(turn.now, told, &coded);
-                        news.extend(self.carry_out(done, turn));
+                        let actions = self.member.on_coded_answer(turn.now, told, &coded);
+                        events.extend(self.execute(actions, turn));
                     }
-                    // Danger: what was said before is known to the member by now, and is not told again.
+                    // Danger: the member has taken note of the frames before this one and will not report them again,
+                    // so the events collected so far are returned.
                     Ok(Some(Frame::Rejected(why))) => {
-                        self.greetings.entry(place).or_default().on_rejected();
+                        self.negotiations.entry(replica).or_default().on_rejected();
                         self.fail(&why, turn);
-                        return news;
+                        return events;
                     }
                     Err(why) => {
                         self.fail(&why, turn);
-                        return news;
+                        return events;
                     }
                     Ok(Some(_)) => {
-                        self.fail("a frame that is not a daemon's to send", turn);
-                        return news;
+                        self.fail("unexpected frame from a daemon", turn);
+                        return events;
                     }
                     Ok(None) => break,
                 }
             }
             if ended {
-                if up && !self.links.get(key).is_some_and(|link| link.greeted) {
-                    self.greetings.entry(place).or_default().on_closed();
+                if up && !self.connections.get(key).is_some_and(|link| link.hello_received) {
+                    self.negotiations.entry(replica).or_default().on_closed();
                 }
                 self.close(turn);
                 self.member.on_disconnected(turn.now);
@@ -520,38 +544,38 @@
                 break;
             }
         }
-        self.time(turn);
-        news
+        self.schedule_timer(turn);
+        events
     }
 
     fn fail(&mut self, why: &str, turn: &mut Turn) {
         log::warn!("fleet: {why}");
         self.close(turn);
         self.member.on_disconnected(turn.now);
-        self.time(turn);
+        self.schedule_timer(turn);
     }
 
     fn close(&mut self, turn: &mut Turn) {
-        if let Some(link) = self.open.take().and_then(|key| self.links.remove(key)) {
+        if let Some(link) = self.open.take().and_then(|key| self.connections.remove(key)) {
             link.connection.close(&turn.registry);
         }
     }
 
-    fn dial(&mut self, place: u16, turn: &mut Turn) {
+    fn dial(&mut self, replica: u16, turn: &mut Turn) {
         self.close(turn);
-        let Some((_, at)) = self.terms.daemons.iter().find(|(known, _)| *known == place) else { return };
+        let Some((_, at)) = self.config.daemons.iter().find(|(known, _)| *known == replica) else { return };
         let (mut hello, name) = (Vec::new(), self.member.name().to_string());
-        let greets = self.greetings.entry(place).or_default().version();
-        Frame::hello_as(greets, &self.terms.name, Initiator::Member { name }).write(&mut hello);
-        let opened = self.links.insert_with(|key| {
+        let offered_version = self.negotiations.entry(replica).or_default().version();
+        Frame::hello_as(offered_version, &self.config.name, Initiator::Member { name }).write(&mut hello);
+        let opened = self.connections.insert_with(|key| {
             let mut connection = Connection::open(*at, &turn.registry, Peer::Fleet(key).token())?;
             connection.queue(&[&hello], 0);
-            Ok::<_, io::Error>(Link {
+            Ok::<_, io::Error>(DaemonConnection {
                 connection,
                 frames: FrameReader::default(),
-                greeted: false,
-                place,
-                greets,
+                hello_received: false,
+                replica,
+                offered_version,
             })
         });
         match opened {
@@ -561,7 +585,7 @@
     }
 
     fn send(&mut self, frame: &Frame, turn: &mut Turn) {
-        let Some(link) = self.open.and_then(|key| self.links.get_mut(key)) else { return };
+        let Some(link) = self.open.and_then(|key| self.connections.get_mut(key)) else { return };
         let mut bytes = Vec::new();
         frame.write(&mut bytes);
         if link.connection.send(&[&bytes]).is_err() {
@@ -570,37 +594,41 @@
         }
     }
 
-    fn carry_out(&mut self, done: Vec<HostAction>, turn: &mut Turn) -> Vec<News> {
-        let mut news = Vec::new();
-        for what in done {
-            match what {
-                HostAction::Dial(place) => self.dial(place, turn),
+    fn execute(&mut self, actions: Vec<HostAction>, turn: &mut Turn) -> Vec<FleetEvent> {
+        let mut events = Vec::new();
+        for action in actions {
+            match action {
+                HostAction::Dial(replica) => self.dial(replica, turn),
                 HostAction::Close => self.close(turn),
                 HostAction::SendLocality(locality) => self.send(&Frame::Locality(locality), turn),
                 HostAction::SendReport(report) => self.send(&Frame::Report(*report), turn),
-                HostAction::ApplySettings(version, settings) => news.push(News::Settings(version, settings)),
-                HostAction::DeliverObservations(passed) => news.push(News::Ends(passed)),
-                HostAction::SetDrainedEndpoints(outs) => news.push(News::Outs(outs)),
-                HostAction::SetReleaseDrain(sent) => news.push(News::Sent(sent)),
+                HostAction::ApplySettings(version, settings) => {
+                    events.push(FleetEvent::Settings(version, settings))
+                }
+                HostAction::DeliverObservations(passed) => events.push(FleetEvent::Observations(passed)),
+                HostAction::SetDrainedEndpoints(outs) => events.push(FleetEvent::OutOfService(outs)),
+                HostAction::SetReleaseDrain(sent) => events.push(FleetEvent::ReleaseDrain(sent)),
                 HostAction::DuplicateProcess(true) => {
-                    log::error!("fleet: another process runs under this name and incarnation")
+                    log::error!("fleet: another process uses the same name and incarnation")
                 }
                 HostAction::DuplicateProcess(false) => {
-                    log::info!("fleet: no other process runs under this name any more")
+                    log::info!("fleet: no other process uses this name any more")
                 }
                 HostAction::Superseded(true) => {
                     log::error!("fleet: a later process has taken this name; end this one")
                 }
-                HostAction::Superseded(false) => log::info!("fleet: this process is known by its name again"),
+                HostAction::Superseded(false) => {
+                    log::info!("fleet: this process is recognized under its name again")
+                }
                 HostAction::AnswerError(what) => log::warn!("fleet: {what}"),
             }
         }
-        self.time(turn);
-        news
+        self.schedule_timer(turn);
+        events
     }
 
-    /// What is counted, for operators.
-    pub fn figures(&self, now: Moment) -> String {
+    /// Renders the fleet's metrics as text.
+    pub fn metrics_text(&self, now: Moment) -> String {
         use std::fmt::Write;
         let mut text = String::new();
         let (version, knows) = (self.member.active_version(), self.member.latest_known());
@@ -608,9 +636,9 @@
             ("settings_generation", "gauge", version.generation),
             ("settings_number", "gauge", version.number),
             ("settings_known_number", "gauge", knows.number),
-            ("settings_faulty", "counter", self.faulty),
+            ("settings_faulty", "counter", self.invalid_settings),
             ("daemon_heard", "gauge", u64::from(self.member.has_recent_answer(now))),
-            ("ends_told", "counter", self.told),
+            ("ends_told", "counter", self.reported_attempts),
             ("ends_heard", "counter", self.member.observations_received),
         ] {
             writeln!(text, "# TYPE sidecar_fleet_{name} {kind}\nsidecar_fleet_{name} {value}")
@@ -634,10 +662,10 @@
 
     #[test]
     fn each_fault_of_the_key_is_named() {
-        assert_eq!(Terms::read(&json!({})), Ok(None));
+        assert_eq!(FleetConfig::read(&json!({})), Ok(None));
         let good = json!({"name": "f", "daemons": [{"place": 1, "address": "127.0.0.1:7001"}], "keep": "k"});
-        let read = |key: &Value| Terms::read(&json!({"fleet": key}));
-        assert_eq!(read(&good).unwrap().unwrap().beat, Span::from_millis(BEAT_MS));
+        let read = |key: &Value| FleetConfig::read(&json!({"fleet": key}));
+        assert_eq!(read(&good).unwrap().unwrap().heartbeat, Span::from_millis(HEARTBEAT_MS));
         for (path, value, said) in [
             ("/name", json!(""), "fleet.name: missing, or no text"),
             ("/daemons", json!([]), "fleet.daemons: expected at least one"),
@@ -654,20 +682,24 @@
         assert_eq!(read(&faulty).unwrap_err(), "fleet.beatMs: expected 20 to 60000, not 1");
         faulty["odd"] = json!(1);
         assert_eq!(read(&faulty).unwrap_err(), "fleet.odd: unknown");
-        assert_eq!(Terms::read(&json!({"fleet": true})).unwrap_err(), "fleet: expected an object, not true");
+        assert_eq!(
+            FleetConfig::read(&json!({"fleet": true})).unwrap_err(),
+            "fleet: expected an object, not true"
+        );
     }
 
     #[test]
     fn kept_settings_are_read_back_and_faulty_ones_named() {
         let path = std::env::temp_dir().join(format!("appledyke-kept-{}.json", std::process::id()));
         let key = json!({"fleet": {"name": "f", "keep": path, "daemons": [{"place": 1, "address": "127.0.0.1:1"}]}});
-        let terms = Terms::read(&key).unwrap().unwrap();
-        assert_eq!(terms.kept(), Ok(None));
-        let agreed = Agreed { version: Version { generation: 2, number: 7 }, settings: json!({"rules": {}}) };
-        agreed.keep(&path, None).unwrap();
-        assert_eq!(terms.kept(), Ok(Some(agreed)));
+        let config = FleetConfig::read(&key).unwrap().unwrap();
+        assert_eq!(config.load_saved(), Ok(None));
+        let agreed =
+            AgreedSettings { version: Version { generation: 2, number: 7 }, settings: json!({"rules": {}}) };
+        agreed.save(&path, None).unwrap();
+        assert_eq!(config.load_saved(), Ok(Some(agreed)));
         fs::write(&path, "{\"version\": 5}").unwrap();
-        assert!(terms.kept().unwrap_err().ends_with("version: missing, or no version"));
+        assert!(config.load_saved().unwrap_err().ends_with("version: missing, or no version"));
         fs::remove_file(&path).unwrap();
     }
 }
--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/launch.rs
@@ -11,7 +11,7 @@
 use appledyke::units::Span;
 use serde_json::Value;
 
-use crate::fleet::{self, Agreed};
+use crate::fleet::{self, AgreedSettings};
 use crate::net::{http, list, operator};
 
 /// File descriptors reserved for everything except client and endpoint connections: standard streams, the poll,
@@ -50,7 +50,7 @@
     /// Most client and endpoint connections together.
     pub connections: usize,
     /// The fleet that this process is a member of.
-    pub fleet: Option<fleet::Terms>,
+    pub fleet: Option<fleet::FleetConfig>,
     has_shadow: bool,
 }
 
@@ -123,7 +123,7 @@
     pub connection_idle: Span,
     pub connect_timeout: Span,
     /// The agreed fleet settings that this process last applied, and the local file that they were merged into.
-    pub agreed: Option<Agreed>,
+    pub agreed: Option<AgreedSettings>,
     pub base: Value,
 }
 
@@ -290,7 +290,7 @@
         let path = path.or_else(|| env::var("BALANCER_CONFIG").ok().map(PathBuf::from));
         let path = path.ok_or("BALANCER_CONFIG: no configuration file given by this variable or --config")?;
         let mut launch = Launch::read_from(path.clone(), Precedence::Variable, None, places, None)?;
-        let saved = launch.startup.fleet.as_ref().map_or(Ok(None), fleet::Terms::kept);
+        let saved = launch.startup.fleet.as_ref().map_or(Ok(None), fleet::FleetConfig::load_saved);
         let merged = saved.and_then(|saved| {
             let Some(agreed) = saved else { return Ok(None) };
             let read = Launch::read_from(path, Precedence::Variable, None, places, Some(&agreed.settings));
@@ -407,7 +407,7 @@
         let sockets = limit(&file, "sockets", DEFAULT_SOCKETS)? as usize;
         let memory = limit(&file, "memory_mb", DEFAULT_MEMORY_MB)? as f64 * 1e6 * BUFFER_MEMORY_SHARE;
         let memory_allows = (memory / (2.0 * http::MESSAGE_MOST as f64)) as usize;
-        let member = fleet::Terms::read(&file)?;
+        let member = fleet::FleetConfig::read(&file)?;
         let reserved = RESERVED_DESCRIPTORS
             + operator.map_or(0, |_| operator::SOCKETS)
             + member.as_ref().map_or(0, |_| fleet::SOCKETS);
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -20,7 +20,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 
-use crate::fleet::{Agreed, Fleet, News, Wish};
+use crate::fleet::{AgreedSettings, Fleet, FleetEvent, PlannedAttempt};
 use crate::handover::{self, RecentAttempts};
 use crate::launch::{Launch, Precedence, ReloadIdentity, StartupConfig};
 use crate::metrics::{Metrics, RequestEnd, Sampled};
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -194,7 +194,7 @@
         }
         let force = forced_reason.is_some();
         let Sidecar { fleet, turn, .. } = self;
-        if fleet.as_mut().is_some_and(|fleet| fleet.ask_out(forced_reason, turn)) {
+        if fleet.as_mut().is_some_and(|fleet| fleet.request_drain(forced_reason, turn)) {
             // Danger: this holds for the current request alone; kept longer it would force a later drain that did not
             // ask for it.
             self.drain_forced |= force;
@@ -301,7 +301,7 @@
             discovery: self.list.figures(self.turn.now),
         });
         match &self.fleet {
-            Some(fleet) => text + &fleet.figures(self.turn.now),
+            Some(fleet) => text + &fleet.metrics_text(self.turn.now),
             None => text,
         }
     }
@@ -383,29 +383,29 @@
         let Sidecar { fleet, turn, .. } = self;
         let Some(fleet) = fleet else { return };
         if status == MemberStatus::Serving {
-            fleet.is_back();
+            fleet.on_return();
         }
-        fleet.stands(status, turn);
+        fleet.set_status(status, turn);
     }
 
     /// Reports to the fleet that this process is about to exit.
     pub(super) fn report_gone(&mut self) {
         let Sidecar { fleet, turn, .. } = self;
-        fleet.iter_mut().for_each(|fleet| fleet.stands(MemberStatus::Gone, turn));
+        fleet.iter_mut().for_each(|fleet| fleet.set_status(MemberStatus::Gone, turn));
     }
 
     pub(super) fn fleet_ready(&mut self, key: Key) {
         self.update_fleet_report();
         let Sidecar { fleet, turn, .. } = self;
-        let news = fleet.as_mut().map(|fleet| fleet.ready(key, turn)).unwrap_or_default();
-        self.handle_fleet_events(news);
+        let events = fleet.as_mut().map(|fleet| fleet.on_ready(key, turn)).unwrap_or_default();
+        self.handle_fleet_events(events);
     }
 
     pub(super) fn fleet_due(&mut self) {
         self.update_fleet_report();
         let Sidecar { fleet, turn, .. } = self;
-        let news = fleet.as_mut().map(|fleet| fleet.timed_out(turn)).unwrap_or_default();
-        self.handle_fleet_events(news);
+        let events = fleet.as_mut().map(|fleet| fleet.on_timer(turn)).unwrap_or_default();
+        self.handle_fleet_events(events);
     }
 
     /// Updates what the next report to the fleet says of connections and requests, and closes idle connections above
@@ -424,16 +424,16 @@
             .for_each(|endpoint| servers.close_idle(endpoint, turn));
         let holds =
             |name: &&String| endpoints.find(name).is_some_and(|endpoint| servers.held(endpoint).0 > 0);
-        fleet.holds_at(out_of_service.iter().filter(holds).cloned().collect());
+        fleet.set_endpoints_in_use(out_of_service.iter().filter(holds).cloned().collect());
         let ready =
             |name: &&String| entries.get(*name).is_some_and(|entry| entry.state == EndpointStanding::Ready);
-        let lacks = fleet.looks_for().filter(|name| !ready(name)).cloned().collect();
+        let missing = fleet.watched_endpoints().filter(|name| !ready(name)).cloned().collect();
         // Danger: connections that were on their way when the drain began still arrive. Until the grace period is
         // over the process counts as busy, so that the fleet sees that they were waited for.
         let in_grace = draining.is_some_and(|since| turn.now.since(since) < DRAIN_GRACE);
-        fleet.stands_with(open + clients.count() + usize::from(in_grace), lacks);
+        fleet.set_open_requests(open + clients.count() + usize::from(in_grace), missing);
         // Danger: set each time, as a cap that is not cleared would outlive its budget.
-        servers.most_at_one = fleet.connections_most(now);
+        servers.most_at_one = fleet.max_connections(now);
         if !fleet.is_limited() {
             return;
         }
@@ -441,29 +441,29 @@
             servers.trim(most, turn);
         }
         let (connections, out) = servers.most_held();
-        fleet.holds(connections, out, alone);
+        fleet.set_held(connections, out, alone);
     }
 
-    fn handle_fleet_events(&mut self, news: Vec<News>) {
-        for news in news {
-            match news {
-                News::Settings(version, text) => self.apply_agreed_settings(version, &text),
-                News::Ends(passed) => self.apply_observations(&passed),
-                News::Outs(out_of_service) => self.update_out_of_service(out_of_service),
-                News::Out { refused } => self.handle_drain_answer(refused.as_deref()),
-                News::Sent(true) if self.draining.is_none() && self.shutdown.is_none() => {
+    fn handle_fleet_events(&mut self, events: Vec<FleetEvent>) {
+        for event in events {
+            match event {
+                FleetEvent::Settings(version, text) => self.apply_agreed_settings(version, &text),
+                FleetEvent::Observations(observations) => self.apply_observations(&observations),
+                FleetEvent::OutOfService(out_of_service) => self.update_out_of_service(out_of_service),
+                FleetEvent::DrainAnswer { refused } => self.handle_drain_answer(refused.as_deref()),
+                FleetEvent::ReleaseDrain(true) if self.draining.is_none() && self.shutdown.is_none() => {
                     log::info!("a release drains this process");
                     self.drained_by_release = true;
                     self.drain();
                 }
                 // A process that an operator has drained stays drained.
-                News::Sent(false)
+                FleetEvent::ReleaseDrain(false)
                     if std::mem::take(&mut self.drained_by_release) && self.shutdown.is_none() =>
                 {
                     log::info!("the release ends the drain of this process");
                     self.resume();
                 }
-                News::Sent(_) => {}
+                FleetEvent::ReleaseDrain(_) => {}
             }
         }
     }
@@ -481,13 +481,13 @@
             Ok((settings, launch)) => {
                 log::info!("acts on settings {version} from here on");
                 self.apply_config(launch);
-                self.fleet
-                    .iter_mut()
-                    .for_each(|fleet| fleet.acts_on(Agreed { version, settings: settings.clone() }));
+                self.fleet.iter_mut().for_each(|fleet| {
+                    fleet.set_applied_settings(AgreedSettings { version, settings: settings.clone() })
+                });
             }
             Err(what) => {
                 log::warn!("agreed settings {version} are invalid here, keeping the current ones: {what}");
-                self.fleet.iter_mut().for_each(Fleet::found_faulty);
+                self.fleet.iter_mut().for_each(Fleet::count_invalid_settings);
             }
         }
     }
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -177,7 +177,7 @@
 
     pub(super) fn count_request(&mut self, method: usize, end: RequestEnd) {
         self.metrics.count_request(&self.balancer.terms().methods[method].name, end);
-        self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, false));
+        self.fleet.iter_mut().for_each(|fleet| fleet.count_request(end, false));
     }
 
     /// Counts a request that arrived at `since` and was answered by an endpoint, whether served or failed.
@@ -185,7 +185,7 @@
         let method = &self.balancer.terms().methods[method];
         self.metrics.count_request(&method.name, end);
         let slow = self.turn.now.since(since) > method.latency_budget;
-        self.fleet.iter_mut().for_each(|fleet| fleet.ended(end, slow));
+        self.fleet.iter_mut().for_each(|fleet| fleet.count_request(end, slow));
     }
 
     pub(super) fn request(&mut self, at: usize) -> Option<&mut Request> {
@@ -257,7 +257,7 @@
         }
         if let (Some(fleet), Some(code)) = (&mut self.fleet, appledyke_fleet::evidence::outcome_code(outcome))
         {
-            fleet.book(record.at, record.endpoint, record.method, code, record.budget_fraction);
+            fleet.record_attempt(record.at, record.endpoint, record.method, code, record.budget_fraction);
         }
     }
 
@@ -438,12 +438,12 @@
     /// Whether the fleet's budgets allow another attempt to this endpoint now.
     fn budgets_allow(&mut self, endpoint: usize, is_retry: bool) -> bool {
         let Some(fleet) = self.fleet.as_mut().filter(|fleet| fleet.is_limited()) else { return true };
-        let (now, (connections, out)) = (self.clock.now(), self.servers.held(endpoint));
-        self.servers.most_at_one = fleet.connections_most(now);
+        let (now, (connections, in_flight)) = (self.clock.now(), self.servers.held(endpoint));
+        self.servers.most_at_one = fleet.max_connections(now);
         let started = self.servers.started(endpoint);
         let cold = started.is_some_and(|at| self.balancer.terms().warm_part(now.since(at)) < 1.0);
-        let idle = self.servers.has_idle(endpoint);
-        fleet.may_send(now, &Wish { again: is_retry, cold, connections, out, idle })
+        let has_idle = self.servers.has_idle(endpoint);
+        fleet.may_send(now, &PlannedAttempt { is_retry, cold, connections, in_flight, has_idle })
     }
 
     pub(super) fn send_attempt(
--- a/crates/sidecar/tests/belongs.rs
+++ b/crates/sidecar/tests/belongs.rs
@@ -5,16 +5,16 @@
 
 use appledyke_fleet::Version;
 use appledyke_fleet::scopes::Locality;
-use appledyke_sidecar::fleet::{Agreed, Terms};
+use appledyke_sidecar::fleet::{AgreedSettings, FleetConfig};
 use serde_json::{Value, json};
 
-fn read(belongs: &Value, keep: &Path) -> Result<Terms, String> {
+fn read(belongs: &Value, keep: &Path) -> Result<FleetConfig, String> {
     let daemons = json!([{"place": 1, "address": "127.0.0.1:7001"}]);
     let mut key = json!({"name": "f", "daemons": daemons, "keep": keep});
     if !belongs.is_null() {
         key["belongs"] = belongs.clone();
     }
-    Terms::read(&json!({"fleet": key})).map(|terms| terms.expect("the key is there"))
+    FleetConfig::read(&json!({"fleet": key})).map(|config| config.expect("the key is there"))
 }
 
 fn path(name: &str) -> PathBuf {
@@ -48,26 +48,27 @@
     let path = path("kept");
     let menu = json!({"service": "menu", "zone": "a1"});
     let locality = Locality { service: Some("menu".into()), zone: Some("a1".into()), region: None };
-    let agreed = Agreed { version: Version { generation: 2, number: 7 }, settings: json!({"rules": {}}) };
-    agreed.keep(&path, Some(&locality)).unwrap();
-    assert_eq!(read(&menu, &path).unwrap().kept(), Ok(Some(agreed.clone())));
+    let agreed =
+        AgreedSettings { version: Version { generation: 2, number: 7 }, settings: json!({"rules": {}}) };
+    agreed.save(&path, Some(&locality)).unwrap();
+    assert_eq!(read(&menu, &path).unwrap().load_saved(), Ok(Some(agreed.clone())));
     for (belongs, own) in [
         (json!({"service": "cart", "zone": "a1"}), "service=cart, zone=a1"),
         (json!({"service": "menu"}), "service=menu"),
         (Value::Null, "nothing"),
     ] {
-        let why = read(&belongs, &path).unwrap().kept().unwrap_err();
+        let why = read(&belongs, &path).unwrap().load_saved().unwrap_err();
         let said =
             format!("kept by a process that belonged to service=menu, zone=a1, and this one does to {own}");
         assert_eq!(why, format!("fleet.keep: {}: {said}", path.display()));
     }
     // As earlier builds kept it, and as one without a locality does still, to the byte.
-    agreed.keep(&path, None).unwrap();
+    agreed.save(&path, None).unwrap();
     assert_eq!(fs::read_to_string(&path).unwrap(), r#"{"settings":{"rules":{}},"version":"2.7"}"#);
-    assert_eq!(read(&Value::Null, &path).unwrap().kept(), Ok(Some(agreed)));
-    let why = read(&menu, &path).unwrap().kept().unwrap_err();
+    assert_eq!(read(&Value::Null, &path).unwrap().load_saved(), Ok(Some(agreed)));
+    let why = read(&menu, &path).unwrap().load_saved().unwrap_err();
     assert!(why.contains("belonged to nothing, and this one does to service=menu, zone=a1"), "{why}");
     fs::write(&path, r#"{"version": "2.7", "settings": {}, "belongs": {"pool": "a"}}"#).unwrap();
-    assert!(read(&menu, &path).unwrap().kept().unwrap_err().contains("belongs.pool: unknown"));
+    assert!(read(&menu, &path).unwrap().load_saved().unwrap_err().contains("belongs.pool: unknown"));
     fs::remove_file(&path).unwrap();
 }
