--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -168,7 +168,7 @@
         let named = |what: String| format!("template: {}: {what}", self.template.display());
         let text = fs::read_to_string(&self.template).map_err(|e| named(e.to_string()))?;
         let file: Value = serde_json::from_str(&text).map_err(|e| named(format!("not JSON: {e}")))?;
-        appledyke_sidecar::launch::check_agreed(&file, "{}").map_err(named)?;
+        appledyke_sidecar::config::check_agreed(&file, "{}").map_err(named)?;
         Ok(file)
     }
 
--- a/crates/daemon/src/serve/operators.rs
+++ b/crates/daemon/src/serve/operators.rs
@@ -12,7 +12,7 @@
 use appledyke_fleet::state::{Command, MAX_SETTINGS_BYTES, SettingsChange, Write};
 use appledyke_fleet::talk::{BudgetRow, MemberRow, OperatorReply, OperatorRequest, Status};
 use appledyke_fleet::{Answer, Version};
-use appledyke_sidecar::launch::check_agreed;
+use appledyke_sidecar::config::check_agreed;
 use appledyke_sidecar::net::slots::Key;
 
 use super::{Daemon, Whom};
--- a/crates/daemon/src/serve/scopes.rs
+++ b/crates/daemon/src/serve/scopes.rs
@@ -11,7 +11,7 @@
 use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings, Scopes};
 use appledyke_fleet::state::{Command, Fleet, MAX_SETTINGS_BYTES, SettingsChange, SettingsVersion, Write};
 use appledyke_fleet::talk::{Initiator, MergedSettings, OperatorReply, OperatorRequest, ScopeRow, VERSION};
-use appledyke_sidecar::launch::check_agreed;
+use appledyke_sidecar::config::check_agreed;
 use appledyke_sidecar::net::slots::Key;
 use serde_json::Value;
 
--- a/crates/sidecar/src/launch.rs
+++ b/crates/sidecar/src/config.rs
@@ -100,7 +100,7 @@
 }
 
 /// The complete validated configuration.
-pub struct Launch {
+pub struct Config {
     /// The file that this was read from.
     pub path: PathBuf,
     pub startup: StartupConfig,
@@ -281,35 +281,35 @@
 pub fn check_agreed(file: &Value, agreed: &str) -> Result<(), String> {
     let agreed: Value = serde_json::from_str(agreed).map_err(|e| format!("not JSON: {e}"))?;
     let whole = merge_agreed(file, &agreed)?;
-    Launch::check(whole, PathBuf::new(), Precedence::File, &mut Places::default()).map(drop)
+    Config::check(whole, PathBuf::new(), Precedence::File, &mut Places::default()).map(drop)
 }
 
-impl Launch {
+impl Config {
     /// Reads the file named by `path` or by the environment.
-    pub fn read(path: Option<PathBuf>, places: &mut Places) -> Result<Launch, String> {
+    pub fn read(path: Option<PathBuf>, places: &mut Places) -> Result<Config, String> {
         let path = path.or_else(|| env::var("BALANCER_CONFIG").ok().map(PathBuf::from));
         let path = path.ok_or("BALANCER_CONFIG: no configuration file given by this variable or --config")?;
-        let mut launch = Launch::read_from(path.clone(), Precedence::Variable, None, places, None)?;
-        let saved = launch.startup.fleet.as_ref().map_or(Ok(None), fleet::FleetConfig::load_saved);
+        let mut config = Config::read_from(path.clone(), Precedence::Variable, None, places, None)?;
+        let saved = config.startup.fleet.as_ref().map_or(Ok(None), fleet::FleetConfig::load_saved);
         let merged = saved.and_then(|saved| {
             let Some(agreed) = saved else { return Ok(None) };
-            let read = Launch::read_from(path, Precedence::Variable, None, places, Some(&agreed.settings));
-            read.map(|launch| Some(Launch { agreed: Some(agreed), ..launch }))
+            let read = Config::read_from(path, Precedence::Variable, None, places, Some(&agreed.settings));
+            read.map(|config| Some(Config { agreed: Some(agreed), ..config }))
         });
         match merged {
-            Ok(Some(merged)) => launch = merged,
+            Ok(Some(merged)) => config = merged,
             Ok(None) => {}
-            Err(what) => launch.warnings.push(format!("{what}; it starts with the file's own settings")),
+            Err(what) => config.warnings.push(format!("{what}; it starts with the file's own settings")),
         }
-        Ok(launch)
+        Ok(config)
     }
 
     /// Merges the fleet's agreed settings into this file's and validates the result.
     ///
     /// # Errors
     /// Names the faulty key.
-    pub fn with(base: &Value, path: PathBuf, agreed: &Value, places: &mut Places) -> Result<Launch, String> {
-        Launch::check(merge_agreed(base, agreed)?, path, Precedence::File, places)
+    pub fn with(base: &Value, path: PathBuf, agreed: &Value, places: &mut Places) -> Result<Config, String> {
+        Config::check(merge_agreed(base, agreed)?, path, Precedence::File, places)
     }
 
     /// Reads a file. On reload, `previous` says what it must share with the one that it replaces.
@@ -319,7 +319,7 @@
         previous: Option<&ReloadIdentity>,
         places: &mut Places,
         agreed: Option<&Value>,
-    ) -> Result<Launch, String> {
+    ) -> Result<Config, String> {
         let in_file = |path: &Path, what: String| format!("{}: {what}", path.display());
         let file = fs::read(&path).map_err(|e| in_file(&path, e.to_string()))?;
         let file: Value =
@@ -334,9 +334,9 @@
             Some(agreed) => merge_agreed(&file, agreed).map_err(|what| in_file(&path, what))?,
             None => file,
         };
-        let launch =
-            Launch::check(whole, path.clone(), precedence, places).map_err(|what| in_file(&path, what))?;
-        Ok(Launch { reload_identity: identity, base, ..launch })
+        let config =
+            Config::check(whole, path.clone(), precedence, places).map_err(|what| in_file(&path, what))?;
+        Ok(Config { reload_identity: identity, base, ..config })
     }
 
     fn check(
@@ -344,7 +344,7 @@
         path: PathBuf,
         precedence: Precedence,
         places: &mut Places,
-    ) -> Result<Launch, String> {
+    ) -> Result<Config, String> {
         let address = |variable, key: &'static str, precedence| {
             let found = text(variable, &file, key, precedence)?;
             let parsed = found.map(|(text, source)| {
@@ -444,7 +444,7 @@
             fleet: member,
             has_shadow: shadow_terms.is_some(),
         };
-        Ok(Launch {
+        Ok(Config {
             path,
             startup,
             folder: env::var_os("TMPDIR").map(PathBuf::from).filter(|_| operator.is_some()),
@@ -485,8 +485,8 @@
     fn what_a_start_has_fixed_is_named_where_a_file_read_again_differs() {
         let file: Value = serde_json::from_str(include_str!("../../../examples/sidecar.json")).unwrap();
         let read = |file: &Value| {
-            Launch::check(file.clone(), PathBuf::new(), Precedence::File, &mut Places::default())
-                .map(|launch| launch.startup)
+            Config::check(file.clone(), PathBuf::new(), Precedence::File, &mut Places::default())
+                .map(|config| config.startup)
         };
         let before = read(&file).unwrap();
         assert_eq!(before.differs(&before), [""; 0]);
@@ -502,8 +502,8 @@
             let mut other = file.clone();
             *other.pointer_mut(path).expect("a place in the example").as_object_mut().unwrap() =
                 value.as_object().unwrap().clone();
-            Launch::check(other, PathBuf::new(), Precedence::File, &mut Places::default())
-                .map(|launch| launch.restrictions)
+            Config::check(other, PathBuf::new(), Precedence::File, &mut Places::default())
+                .map(|config| config.restrictions)
         };
         let mut method = file["settings"]["methods"][0].clone();
         method["confinedTo"] = serde_json::json!(["attic"]);
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,9 +1,9 @@
 //! The sidecar's modules, for its own binary and for other programs of this project that validate settings or manage
 //! connections the same way. No load-balancing decisions are made here.
 
+pub mod config;
 pub mod fleet;
 pub mod handover;
-pub mod launch;
 pub mod logger;
 pub mod metrics;
 pub mod net;
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -7,7 +7,7 @@
 use argh::FromArgs;
 
 use appledyke::ids::Places;
-use appledyke_sidecar::launch::Launch;
+use appledyke_sidecar::config::Config;
 use appledyke_sidecar::logger;
 use appledyke_sidecar::sidecar::Sidecar;
 
@@ -54,13 +54,13 @@
         Command::Serve(Serve { config }) => {
             logger::start(logger::level(std::env::var("BALANCER_LOG").ok().as_deref())?);
             let mut places = Places::default();
-            Sidecar::start(Launch::read(config, &mut places)?, places)?.run()
+            Sidecar::start(Config::read(config, &mut places)?, places)?.run()
         }
-        Command::Check(Check { config }) => Launch::read(config, &mut Places::default()).map(|launch| {
-            launch.warnings.iter().chain(&launch.restrictions).for_each(|line| println!("{line}"));
+        Command::Check(Check { config }) => Config::read(config, &mut Places::default()).map(|config| {
+            config.warnings.iter().chain(&config.restrictions).for_each(|line| println!("{line}"));
             println!(
                 "{}: listens on {}, room for {} connections",
-                launch.startup.name, launch.startup.listen, launch.startup.connections
+                config.startup.name, config.startup.listen, config.startup.connections
             );
         }),
         Command::Version(Version {}) => {
--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -903,7 +903,7 @@
 
     #[test]
     fn a_hint_of_the_work_is_read_among_the_labels_and_a_bad_one_costs_nothing() {
-        let terms = crate::launch::plain_terms("view", &[]);
+        let terms = crate::config::plain_terms("view", &[]);
         for (labels, wanted) in [
             ("X-Labels: size=3, costGuessNs=12000000\r\n", Some(Span::from_millis(12))),
             ("X-Labels: costGuessNs=-1\r\n", None),
@@ -940,7 +940,7 @@
         }
         clients.slots.get_mut(key).unwrap().connection.input.clear();
         assert!(matches!(clients.timed_out(key, &mut turn), Said::Brought));
-        let terms = crate::launch::plain_terms("view", &[]);
+        let terms = crate::config::plain_terms("view", &[]);
         assert!(matches!(clients.ready(key, &terms, &mut turn), Said::Nothing));
         assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= LEAVE_IDLE));
     }
@@ -965,7 +965,7 @@
             clients.accept(&mut turn);
         }
         let (key, _) = clients.slots.iter().next().unwrap();
-        let terms = crate::launch::plain_terms("view", &[]);
+        let terms = crate::config::plain_terms("view", &[]);
         let (mut events, mut answers) = (mio::Events::with_capacity(8), String::new());
         let mut again = false;
         while answers.matches("HTTP/1.1 404 ").count() < MANY {
--- a/crates/sidecar/src/shadow.rs
+++ b/crates/sidecar/src/shadow.rs
@@ -269,7 +269,7 @@
     use appledyke::units::Span;
 
     use super::*;
-    use crate::launch::plain_terms;
+    use crate::config::plain_terms;
 
     /// Plays requests over two endpoints where every fourth attempt is rejected as overloaded; returns the shadow's
     /// counts.
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -20,9 +20,9 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 
+use crate::config::{Config, Precedence, ReloadIdentity, StartupConfig};
 use crate::fleet::{AgreedSettings, Fleet, FleetEvent, PlannedAttempt};
 use crate::handover::{self, RecentAttempts};
-use crate::launch::{Launch, Precedence, ReloadIdentity, StartupConfig};
 use crate::metrics::{Metrics, RequestEnd, Sampled};
 use crate::net::body::{Body, Piece};
 use crate::net::clients::{Clients, Said, Sight};
@@ -47,11 +47,11 @@
 const MAX_PIPELINED_PER_TURN: usize = 256;
 /// Longest time between the arrival of a client's close at this machine and the start of an attempt made for that
 /// client.
-pub const GONE_MOST: Span = Span::from_millis(100);
+pub const MAX_SEND_AFTER_CLOSE: Span = Span::from_millis(100);
 /// Age from which the known client disconnects are refreshed before an attempt begins, as a turn may take long. The
-/// rest of `GONE_MOST` covers the single decision or event between that refresh and the write.
+/// rest of `MAX_SEND_AFTER_CLOSE` covers the single decision or event between that refresh and the write.
 pub const MAX_DISCONNECT_AGE: Span = Span::from_millis(20);
-const _: () = assert!(4 * MAX_DISCONNECT_AGE.nanos() < GONE_MOST.nanos());
+const _: () = assert!(4 * MAX_DISCONNECT_AGE.nanos() < MAX_SEND_AFTER_CLOSE.nanos());
 /// A poll that took at least this long was blocked waiting, so its events arrived at its end.
 const BLOCKING_POLL: Span = Span::from_millis(1);
 const _: () = assert!(BLOCKING_POLL.nanos() < MAX_DISCONNECT_AGE.nanos());
@@ -175,7 +175,7 @@
 }
 
 impl Sidecar {
-    pub fn start(launch: Launch, places: Places) -> Result<Sidecar, String> {
+    pub fn start(config: Config, places: Places) -> Result<Sidecar, String> {
         let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
         let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(|e| format!("signals: {e}"))?;
         let registered = poll.registry().register(&mut signals, Peer::Signal.token(), Interest::READABLE);
@@ -190,39 +190,39 @@
             now,
             registry,
             deadlines: Deadlines::default(),
-            room: launch.startup.connections as isize,
+            room: config.startup.connections as isize,
         };
-        let StartupConfig { name, listen, operator, connections, .. } = launch.startup.clone();
+        let StartupConfig { name, listen, operator, connections, .. } = config.startup.clone();
         let clients = Clients::listen(listen, operator.is_some(), &mut turn)
             .map_err(|e| format!("listen: {listen}: {e}"))?;
         let operators =
             operator.map(|at| Operators::listen(at, &mut turn).map_err(|e| format!("operator: {at}: {e}")));
         let operators = operators.transpose()?;
-        let known = list::version(&launch.known).ok();
-        let callers = discovery_callers(&launch.terms);
+        let known = list::version(&config.known).ok();
+        let callers = discovery_callers(&config.terms);
         let pushed = callers.pushed;
         let mut sidecar = Sidecar {
-            config_path: launch.path,
-            reload_identity: launch.reload_identity,
-            startup: launch.startup,
+            config_path: config.path,
+            reload_identity: config.reload_identity,
+            startup: config.startup,
             deferred_events: Vec::new(),
             last_poll: now,
             signals,
             clock,
             turn,
-            balancer: ShadowedBalancer::new(now, launch.terms, launch.shadow_terms, launch.seed),
+            balancer: ShadowedBalancer::new(now, config.terms, config.shadow_terms, config.seed),
             requests: Slots::default(),
             endpoints: Names::default(),
             places,
             clients,
-            servers: Servers::new(launch.connection_idle, launch.connect_timeout),
-            list: List::new(launch.discovery, known.map_or(0, |(version, _)| version), launch.seed, callers),
+            servers: Servers::new(config.connection_idle, config.connect_timeout),
+            list: List::new(config.discovery, known.map_or(0, |(version, _)| version), config.seed, callers),
             clients_to_recheck: Vec::new(),
             streams_to_resume: Vec::new(),
             operators,
             metrics: Metrics::default(),
             fleet: None,
-            base_config: launch.base,
+            base_config: config.base,
             drain_waiters: Vec::new(),
             endpoint_states: EndpointStates::default(),
             entries: HashMap::new(),
@@ -243,7 +243,7 @@
             poll,
         };
         sidecar.balancer.terms().methods.iter().for_each(|method| sidecar.metrics.register(&method.name));
-        if let Some(folder) = &launch.folder {
+        if let Some(folder) = &config.folder {
             let at = sidecar.clients.address().unwrap_or(listen);
             match Presence::announce(folder, at, std::process::id()) {
                 Ok(presence) => sidecar.presence = Some(presence),
@@ -255,18 +255,18 @@
             sidecar.update_siblings();
         }
         if let Some(terms) = sidecar.startup.fleet.clone() {
-            let fleet = Fleet::new(terms, &name, launch.seed, launch.agreed, &mut sidecar.turn);
+            let fleet = Fleet::new(terms, &name, config.seed, config.agreed, &mut sidecar.turn);
             sidecar.fleet = Some(fleet);
         }
         if known.is_some() {
-            sidecar.apply_list(true, &launch.known);
+            sidecar.apply_list(true, &config.known);
         }
         if pushed {
             // Where discovery pushes changes, the balancer makes no decision to subscribe.
             sidecar.subscribe();
         }
         sidecar.run_decisions();
-        launch.warnings.iter().for_each(|warning| log::warn!("{warning}"));
+        config.warnings.iter().for_each(|warning| log::warn!("{warning}"));
         if let Some(at) = sidecar.operators.as_ref().and_then(|operators| operators.address().ok()) {
             log::info!("{name} is asked at {at}");
         }
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -57,26 +57,26 @@
         self.log_shadow_counts();
         let agreed =
             self.fleet.as_ref().and_then(|fleet| fleet.agreed.as_ref()).map(|agreed| &agreed.settings);
-        match Launch::read_from(
+        match Config::read_from(
             self.config_path.clone(),
             Precedence::File,
             Some(&self.reload_identity),
             &mut self.places,
             agreed,
         ) {
-            Ok(launch) => {
+            Ok(config) => {
                 self.metrics.reloads += 1;
-                log::info!("configuration reloaded: service discovery at {}", launch.discovery);
-                let restart_only = self.startup.differs(&launch.startup);
+                log::info!("configuration reloaded: service discovery at {}", config.discovery);
+                let restart_only = self.startup.differs(&config.startup);
                 if !restart_only.is_empty() {
                     log::warn!(
                         "configuration reloaded: {}: takes effect at the next restart",
                         restart_only.join(", ")
                     );
                 }
-                self.reload_identity = launch.reload_identity.clone();
-                self.base_config = launch.base.clone();
-                self.apply_config(launch);
+                self.reload_identity = config.reload_identity.clone();
+                self.base_config = config.base.clone();
+                self.apply_config(config);
             }
             Err(what) => {
                 self.metrics.reload_errors += 1;
@@ -86,17 +86,17 @@
     }
 
     /// Applies the part of a configuration that may change while requests are in flight.
-    fn apply_config(&mut self, launch: Launch) {
-        self.list.set_callers(discovery_callers(&launch.terms));
+    fn apply_config(&mut self, config: Config) {
+        self.list.set_callers(discovery_callers(&config.terms));
         let may = may_call_list(&mut self.fleet, &self.clock);
         let mut lists = Vec::new();
         let hear = |complete, list| lists.push((complete, list));
-        let failed = self.list.move_to(launch.discovery, may, &mut self.turn, hear);
+        let failed = self.list.move_to(config.discovery, may, &mut self.turn, hear);
         lists.into_iter().for_each(|(complete, list)| self.apply_list(complete, &list));
         let failed = self.retry_list_call() || failed;
         self.handle_list_failure(failed);
-        self.servers.update_terms(launch.connection_idle, launch.connect_timeout, &mut self.turn);
-        self.update_terms(launch.terms, launch.shadow_terms);
+        self.servers.update_terms(config.connection_idle, config.connect_timeout, &mut self.turn);
+        self.update_terms(config.terms, config.shadow_terms);
     }
 
     /// Applies other terms to requests that arrive from now on; open ones keep the methods they arrived with.
@@ -473,14 +473,14 @@
         let settings: Result<Value, String> =
             serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"));
         let read = settings.and_then(|settings| {
-            let launch =
-                Launch::with(&self.base_config, self.config_path.clone(), &settings, &mut self.places)?;
-            Ok((settings, launch))
+            let config =
+                Config::with(&self.base_config, self.config_path.clone(), &settings, &mut self.places)?;
+            Ok((settings, config))
         });
         match read {
-            Ok((settings, launch)) => {
+            Ok((settings, config)) => {
                 log::info!("acts on settings {version} from here on");
-                self.apply_config(launch);
+                self.apply_config(config);
                 self.fleet.iter_mut().for_each(|fleet| {
                     fleet.set_applied_settings(AgreedSettings { version, settings: settings.clone() })
                 });
--- a/crates/sidecar/src/sidecar/requests.rs
+++ b/crates/sidecar/src/sidecar/requests.rs
@@ -383,7 +383,7 @@
             Decision::Wake { at } => turn.deadlines.add(at, Due::Wake),
             Decision::Subscribe => self.subscribe(),
             Decision::Probe { endpoint } => self.send_probe(endpoint),
-            // Never decided: `launch.rs` turns messages to peers off in the terms.
+            // Never decided: `config.rs` turns messages to peers off in the terms.
             Decision::TellPeer { .. } => {}
         }
     }
--- a/crates/sidecar/tests/crossings/clients.rs
+++ b/crates/sidecar/tests/crossings/clients.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use appledyke_sidecar::sidecar::GONE_MOST;
+use appledyke_sidecar::sidecar::MAX_SEND_AFTER_CLOSE;
 
 use crate::stand_ins::{
     Client, Endpoint, OPEN, Sidecar, asked, configuration, connecting, connections, entry, full, list,
@@ -21,7 +21,7 @@
 /// Connections that stand in front of one that leaves: more than the loop once took from one poll.
 const CROWD: usize = 520;
 /// Longest from a client's close to an attempt for it.
-const GONE: Duration = Duration::from_nanos(GONE_MOST.nanos());
+const GONE: Duration = Duration::from_nanos(MAX_SEND_AFTER_CLOSE.nanos());
 
 /// The list's service. Whatever watch is open, or is opened later, is told all that has been told so far: on a busy
 /// machine a watch may have been given up as silent.
--- a/crates/sidecar/tests/crossings/descriptors.rs
+++ b/crates/sidecar/tests/crossings/descriptors.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use appledyke_sidecar::sidecar::GONE_MOST;
+use appledyke_sidecar::sidecar::MAX_SEND_AFTER_CLOSE;
 use socket2::{Domain, Socket, Type};
 
 use crate::stand_ins::{
@@ -489,7 +489,7 @@
     let mut leaves = Client::connect(&sidecar);
     assert!(leaves.flood("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n", 1_000_000) >= 300_000);
     drop(leaves);
-    std::thread::sleep(Duration::from_nanos(GONE_MOST.nanos()));
+    std::thread::sleep(Duration::from_nanos(MAX_SEND_AFTER_CLOSE.nanos()));
     // It is behind that one.
     let mut check = Client::connect(&sidecar);
     check.send(HEALTH);
