--- a/crates/sidecar/tests/crossings/clients.rs
+++ b/crates/sidecar/tests/crossings/clients.rs
@@ -12,8 +12,9 @@
 use appledyke_sidecar::sidecar::MAX_SEND_AFTER_CLOSE;
 
 use crate::stand_ins::{
-    Client, Endpoint, OPEN, Sidecar, asked, configuration, connecting, connections, entry, full, list,
-    list_of, list_that_tells, message, ok, queued, sent_late, until,
+    Client, Endpoint, OPEN, Sidecar, accept_late, configuration, connecting, connections, entry,
+    full_listener, list_of, ok, read_message, receive_queue, start_discovery, start_discovery_with,
+    wait_until, with_admin_endpoint,
 };
 
 /// Tries at a crossing that the machine's own pace may prevent, before that is a failure.
@@ -33,7 +34,7 @@
 
 impl Service {
     fn start() -> Service {
-        let (at, watches) = list();
+        let (at, watches) = start_discovery();
         let told = Arc::new(Mutex::new((Vec::new(), Vec::new())));
         let service = Service { at, told: Arc::clone(&told) };
         std::thread::spawn(move || {
@@ -56,7 +57,7 @@
     /// Beats until a watch is up that has heard it, so that none is given up for a while.
     fn beat(&self) {
         let open = || connections(None, self.at.port(), "01") > 0;
-        until("a watch", || {
+        wait_until("a watch", || {
             self.told.lock().unwrap().1.iter_mut().for_each(|watch| write_line(watch, ""));
             open()
         });
@@ -97,12 +98,12 @@
 
 /// Bytes that stand unread at this machine's ends of connections to this port.
 fn unread(port: u16) -> usize {
-    queued(|_, to| to == port)
+    receive_queue(|_, to| to == port)
 }
 
 /// Before these, with budgets that no busy machine uses up: nothing is over while a test makes its crossing.
 fn patient(list: SocketAddr, known: &[String], connect_ms: u64) -> String {
-    let text = asked(&configuration(list, 1024, &list_of(1, true, known)));
+    let text = with_admin_endpoint(&configuration(list, 1024, &list_of(1, true, known)));
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":2000000000000");
     let text = text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":3000000000000");
     text.replace("\"connectTimeoutNs\":200000000", &format!("\"connectTimeoutNs\":{connect_ms}000000"))
@@ -135,7 +136,7 @@
     let (may, go) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let request = message(&mut std::io::BufReader::new(&stream));
+            let request = read_message(&mut std::io::BufReader::new(&stream));
             if tell.send(request).is_err() || go.recv().is_err() {
                 return;
             }
@@ -155,7 +156,7 @@
     /// Breaks it, and waits until the machine has told the sidecar's end of it, if that is still there.
     fn breaks(&self) {
         self.may.send(()).unwrap();
-        until("it is broken", || connections(None, self.at.port(), "01") == 0);
+        wait_until("it is broken", || connections(None, self.at.port(), "01") == 0);
     }
 }
 
@@ -170,7 +171,7 @@
     requests.recv_timeout(Duration::from_secs(10)).expect("it is sent");
     // Only now is there another that it could be sent to.
     service.tell(&list_of(2, false, &[entry("good", good.at, 1, "up")]));
-    until("both are listed", || sidecar.figure("sidecar_members") == 2);
+    wait_until("both are listed", || sidecar.metric("sidecar_members") == 2);
     (sidecar, waits, Attempt { at: bad, may }, good)
 }
 
@@ -178,7 +179,7 @@
 fn leave(sidecar: &Sidecar, client: Client, leave: impl FnOnce(Client)) {
     let from = client.port();
     leave(client);
-    until("it has left", || connections(Some(sidecar.at.port()), from, "01") == 0);
+    wait_until("it has left", || connections(Some(sidecar.at.port()), from, "01") == 0);
 }
 
 /// Danger: sent on after its client has left, a request takes a place and has its effect for nobody; also where the settings
@@ -192,7 +193,7 @@
                 leave(&sidecar, waits, way);
                 attempt.breaks();
             });
-            sidecar.until_open(0);
+            sidecar.wait_pending(0);
             assert_eq!(good.requests.try_iter().count(), 0);
         }
         // One that stays is sent on.
@@ -209,10 +210,10 @@
     for cancel in [true, false] {
         let (sidecar, waits, attempt, good) = sent(cancel);
         leave(&sidecar, waits, drop);
-        sidecar.until_open(0);
+        sidecar.wait_pending(0);
         attempt.breaks();
         // Answered in the turn in which the break is heard, and in one after that.
-        (0..2).for_each(|_| sidecar.until_open(0));
+        (0..2).for_each(|_| sidecar.wait_pending(0));
         assert_eq!(good.requests.try_iter().count(), 0);
     }
 }
@@ -226,7 +227,7 @@
     assert!(waits.flood(more, 90_000) >= 90_000);
     leave(&sidecar, waits, drop);
     attempt.breaks();
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     assert_eq!(good.requests.try_iter().count(), 0);
 }
 
@@ -238,7 +239,7 @@
     assert!(waits.flood(more, 90_000) >= 90_000);
     leave(&sidecar, waits, Client::reset);
     attempt.breaks();
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     assert_eq!(good.requests.try_iter().count(), 0);
 }
 
@@ -249,14 +250,14 @@
     let service = Service::start();
     let sidecar = Sidecar::start(&patient(service.at, &[], 300_000));
     let (leaves, mut stays) = (views(&sidecar, "leaves"), views(&sidecar, "stays"));
-    sidecar.until_open(2);
+    sidecar.wait_pending(2);
     service.beat();
     sidecar.in_one_turn(|| {
         leave(&sidecar, leaves, drop);
         service.tell(&list_of(2, false, &[entry("good", good.at, 1, "up")]));
     });
     assert_eq!(stays.status(), "200");
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     let sent: Vec<_> = good.requests.try_iter().collect();
     assert!(sent.len() == 1 && sent[0].starts_with("GET /view/stays"), "{sent:?}");
 }
@@ -266,17 +267,17 @@
 #[test]
 fn a_request_whose_client_leaves_while_its_connect_is_under_way_is_not_sent() {
     for cancel in ["true", "false"] {
-        let (listener, fillers) = full();
+        let (listener, fillers) = full_listener();
         let at = listener.local_addr().unwrap();
-        let text = patient(list().0, &[entry("late", at, 0, "up")], 300_000);
+        let text = patient(start_discovery().0, &[entry("late", at, 0, "up")], 300_000);
         let sidecar = Sidecar::start(&text.replace("\"cancel\":true", &format!("\"cancel\":{cancel}")));
         let before = connecting(at.port());
         let client = views(&sidecar, "leaves");
-        until("a connect", || connecting(at.port()) > before);
+        wait_until("a connect", || connecting(at.port()) > before);
         drop(client);
-        sidecar.until_open(0);
+        sidecar.wait_pending(0);
         // What is still under way from now on comes up with its next try.
-        let sent = sent_late(&listener, &fillers, before);
+        let sent = accept_late(&listener, &fillers, before);
         assert!(sent.iter().all(String::is_empty), "cancel {cancel}: {sent:?}");
     }
 }
@@ -285,18 +286,18 @@
 /// before that, wrote its request for nobody.
 #[test]
 fn a_request_whose_connect_comes_up_in_the_turn_in_which_its_client_leaves_is_not_written() {
-    let (listener, fillers) = full();
+    let (listener, fillers) = full_listener();
     let at = listener.local_addr().unwrap();
-    let sidecar = Sidecar::start(&patient(list().0, &[entry("late", at, 0, "up")], 300_000));
+    let sidecar = Sidecar::start(&patient(start_discovery().0, &[entry("late", at, 0, "up")], 300_000));
     let before = connecting(at.port());
     let client = views(&sidecar, "leaves");
-    until("a connect", || connecting(at.port()) > before);
+    wait_until("a connect", || connecting(at.port()) > before);
     sidecar.in_one_turn(|| {
         fillers.iter().for_each(|_| drop(listener.accept().unwrap()));
-        until("it is up", || connections(None, at.port(), "01") == 1);
+        wait_until("it is up", || connections(None, at.port(), "01") == 1);
         leave(&sidecar, client, drop);
     });
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     let (mut late, _) = listener.accept().unwrap();
     let mut text = String::new();
     late.read_to_string(&mut text).unwrap();
@@ -306,12 +307,12 @@
 /// Danger: the same where the connect comes up only after a turn has begun that takes long.
 #[test]
 fn a_request_whose_connect_comes_up_in_a_long_turn_in_which_its_client_leaves_is_not_written() {
-    let (listener, fillers) = full();
+    let (listener, fillers) = full_listener();
     let at = listener.local_addr().unwrap();
-    let sidecar = Sidecar::start(&patient(list().0, &[entry("late", at, 0, "up")], 300_000));
+    let sidecar = Sidecar::start(&patient(start_discovery().0, &[entry("late", at, 0, "up")], 300_000));
     let before = connecting(at.port());
     let client = views(&sidecar, "leaves");
-    until("a connect", || connecting(at.port()) > before);
+    wait_until("a connect", || connecting(at.port()) > before);
     let text = std::fs::read(&sidecar.file).unwrap();
     let first = Held::prepare(&sidecar, &text);
     sidecar.signal("-HUP");
@@ -320,13 +321,13 @@
     let again = Held::prepare(&sidecar, &text);
     sidecar.signal("-HUP");
     fillers.iter().for_each(|_| drop(listener.accept().unwrap()));
-    until("it is up", || connections(None, at.port(), "01") == 1);
+    wait_until("it is up", || connections(None, at.port(), "01") == 1);
     first.end();
     let again = again.begun();
     leave(&sidecar, client, drop);
     std::thread::sleep(GONE);
     again.end();
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     let (mut late, _) = listener.accept().unwrap();
     let mut text = String::new();
     late.read_to_string(&mut text).unwrap();
@@ -337,19 +338,19 @@
 #[test]
 fn a_request_whose_client_leaves_while_its_further_attempt_connects_is_not_sent() {
     let (bad, requests, may) = breaking();
-    let ((listener, fillers), service) = (full(), Service::start());
+    let ((listener, fillers), service) = (full_listener(), Service::start());
     let at = listener.local_addr().unwrap();
     let sidecar = Sidecar::start(&patient(service.at, &[entry("bad", bad, 0, "up")], 300_000));
     let client = views(&sidecar, "leaves");
     requests.recv_timeout(Duration::from_secs(10)).expect("it is sent");
     service.tell(&list_of(2, false, &[entry("late", at, 1, "up")]));
-    until("both are listed", || sidecar.figure("sidecar_members") == 2);
+    wait_until("both are listed", || sidecar.metric("sidecar_members") == 2);
     let before = connecting(at.port());
     may.send(()).unwrap();
-    until("a connect", || connecting(at.port()) > before);
+    wait_until("a connect", || connecting(at.port()) > before);
     drop(client);
-    sidecar.until_open(0);
-    let sent = sent_late(&listener, &fillers, before);
+    sidecar.wait_pending(0);
+    let sent = accept_late(&listener, &fillers, before);
     assert!(sent.iter().all(String::is_empty), "{sent:?}");
 }
 
@@ -359,7 +360,8 @@
     let (go, wait) = channel::<()>();
     let wait = Arc::new(Mutex::new(wait));
     let endpoint = Endpoint::start(move |_| wait.lock().unwrap().recv().ok().and_then(|()| ok("menu")));
-    let sidecar = Sidecar::start(&patient(list().0, &[entry("e0", endpoint.at, 0, "up")], 300_000));
+    let sidecar =
+        Sidecar::start(&patient(start_discovery().0, &[entry("e0", endpoint.at, 0, "up")], 300_000));
     let mut client = views(&sidecar, "first");
     client.send("GET /view/next HTTP/1.1\r\nX-Txn: next\r\n\r\n");
     assert!(endpoint.next().starts_with("GET /view/first"));
@@ -367,10 +369,10 @@
         let to = endpoint.at.port();
         let read = unread(to);
         go.send(()).unwrap();
-        until("the answer is there", || unread(to) > read);
+        wait_until("the answer is there", || unread(to) > read);
         leave(&sidecar, client, drop);
     });
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     // One that comes after it is the next that is sent.
     let mut other = views(&sidecar, "other");
     go.send(()).unwrap();
@@ -385,15 +387,15 @@
 fn a_request_whose_client_leaves_while_its_process_stands_still_is_not_sent_again() {
     let connect = Duration::from_millis(1000);
     for _ in 0..TRIES {
-        let (listener, _fillers) = full();
+        let (listener, _fillers) = full_listener();
         let (at, good, service) = (listener.local_addr().unwrap(), still(), Service::start());
         let known = [entry("late", at, 0, "up")];
         let sidecar = Sidecar::start(&patient(service.at, &known, connect.as_millis() as u64));
         let before = connecting(at.port());
         let client = views(&sidecar, "leaves");
-        until("a connect", || connecting(at.port()) > before || !nobody_came(&good));
+        wait_until("a connect", || connecting(at.port()) > before || !nobody_came(&good));
         service.tell(&list_of(2, false, &[entry("good", good.local_addr().unwrap(), 1, "up")]));
-        until("both are listed", || sidecar.figure("sidecar_members") == 2);
+        wait_until("both are listed", || sidecar.metric("sidecar_members") == 2);
         let mut crosses = false;
         sidecar.in_one_turn(|| {
             // The first attempt is still out, and runs out before the process goes on.
@@ -402,7 +404,7 @@
             leave(&sidecar, client, drop);
             std::thread::sleep(connect.saturating_sub(stands.elapsed()));
         });
-        sidecar.until_open(0);
+        sidecar.wait_pending(0);
         if crosses {
             return assert!(nobody_came(&good), "sent on for nobody");
         }
@@ -419,7 +421,7 @@
     let waits = views(&sidecar, "leaves");
     requests.recv_timeout(Duration::from_secs(10)).expect("it is sent");
     service.tell(&list_of(2, false, &[entry("good", good.local_addr().unwrap(), 1, "up")]));
-    until("both are listed", || sidecar.figure("sidecar_members") == 2);
+    wait_until("both are listed", || sidecar.metric("sidecar_members") == 2);
     let mut crowd: Vec<_> = (0..CROWD).map(|_| Client::connect(&sidecar)).collect();
     for client in &mut crowd {
         client.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -427,11 +429,11 @@
     }
     sidecar.in_one_turn(|| {
         may.send(()).unwrap();
-        until("the attempt is broken", || connections(None, bad.port(), "08") == 1);
+        wait_until("the attempt is broken", || connections(None, bad.port(), "08") == 1);
         crowd.iter_mut().for_each(|client| client.send("G"));
         leave(&sidecar, waits, drop);
     });
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     assert!(nobody_came(&good), "sent on for nobody");
 }
 
@@ -442,7 +444,7 @@
     let (good, service) = (still(), Service::start());
     let sidecar = Sidecar::start(&patient(service.at, &[], 300_000));
     let client = views(&sidecar, "leaves");
-    sidecar.until_open(1);
+    sidecar.wait_pending(1);
     service.beat();
     let turn = Held::prepare(&sidecar, &std::fs::read(&sidecar.file).unwrap());
     sidecar.in_one_turn(|| {
@@ -453,8 +455,8 @@
     leave(&sidecar, client, drop);
     std::thread::sleep(GONE);
     turn.end();
-    sidecar.until_open(0);
-    until("the endpoint is listed", || sidecar.figure("sidecar_members") == 1);
+    sidecar.wait_pending(0);
+    wait_until("the endpoint is listed", || sidecar.metric("sidecar_members") == 1);
     assert!(nobody_came(&good), "sent on for nobody");
 }
 
@@ -478,13 +480,15 @@
             assert_eq!(waits.status(), "502");
             continue;
         }
-        sidecar.until_open(0);
+        sidecar.wait_pending(0);
         assert_eq!(good.requests.try_iter().count(), 0);
     }
     // One of which all has come here is known to be there.
     let (sidecar, mut waits, attempt, good) = sent(true);
     assert!(waits.flood(more, 90_000) >= 90_000);
-    until("all has come", || queued(|own, other| own == sidecar.at.port() && other == waits.port()) > 0);
+    wait_until("all has come", || {
+        receive_queue(|own, other| own == sidecar.at.port() && other == waits.port()) > 0
+    });
     std::thread::sleep(GONE);
     attempt.breaks();
     assert_eq!(waits.status(), "200");
@@ -498,17 +502,17 @@
 {
     let more = "GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n";
     for leaves in [true, false] {
-        let (listener, fillers) = full();
+        let (listener, fillers) = full_listener();
         let at = listener.local_addr().unwrap();
-        let sidecar = Sidecar::start(&patient(list().0, &[entry("late", at, 0, "up")], 300_000));
+        let sidecar = Sidecar::start(&patient(start_discovery().0, &[entry("late", at, 0, "up")], 300_000));
         let before = connecting(at.port());
         let mut waits = views(&sidecar, "waits");
-        until("a connect", || connecting(at.port()) > before);
+        wait_until("a connect", || connecting(at.port()) > before);
         assert!(waits.flood(more, 1_000_000) >= 300_000);
         if leaves {
             drop(waits);
             std::thread::sleep(GONE);
-            let sent = sent_late(&listener, &fillers, before);
+            let sent = accept_late(&listener, &fillers, before);
             assert!(sent.iter().all(String::is_empty), "{sent:?}");
             continue;
         }
@@ -523,7 +527,8 @@
 #[test]
 fn a_client_that_left_in_a_long_turn_behind_more_than_the_machine_takes_is_sent_nothing() {
     let endpoint = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::start(&patient(list().0, &[entry("e0", endpoint.at, 0, "up")], 300_000));
+    let sidecar =
+        Sidecar::start(&patient(start_discovery().0, &[entry("e0", endpoint.at, 0, "up")], 300_000));
     let mut client = Client::connect(&sidecar);
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert_eq!(client.status(), "200");
@@ -535,8 +540,8 @@
     std::thread::sleep(GONE);
     turn.end();
     // Answered in the turn in which it is read, and in one after that.
-    (0..2).for_each(|_| sidecar.until_open(0));
-    assert_eq!(sidecar.figure("sidecar_upstream_requests"), 0);
+    (0..2).for_each(|_| sidecar.wait_pending(0));
+    assert_eq!(sidecar.metric("sidecar_upstream_requests"), 0);
 }
 
 /// Danger: a process that hands over takes all of its backlog at once, with whoever has left in it meanwhile.
@@ -547,17 +552,17 @@
     std::fs::create_dir_all(&folder).unwrap();
     let variables = [("TMPDIR", folder.to_str().unwrap())];
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
-    let text = asked(&configuration(list_that_tells(&known), 1024, "null"));
+    let text = with_admin_endpoint(&configuration(start_discovery_with(&known), 1024, "null"));
     // With time enough for what waits while both stand still.
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":200000000000");
     let text = text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":300000000000");
     let mut old = Sidecar::start_with(&text, &variables);
-    until("it is ready", || old.told("ready\n").starts_with("200 "));
+    wait_until("it is ready", || old.admin_command("ready\n").starts_with("200 "));
     let beside = format!("\"listen\":\"{}\"", old.at);
     let new = Sidecar::start_with(&text.replace("\"listen\":\"127.0.0.1:0\"", &beside), &variables);
-    until("the new one is ready", || new.told("ready\n").starts_with("200 "));
+    wait_until("the new one is ready", || new.admin_command("ready\n").starts_with("200 "));
     // It looks before it answers, and knows of the new one by then.
-    assert!(old.told("ready\n").starts_with("200 "));
+    assert!(old.admin_command("ready\n").starts_with("200 "));
     let mut stay = Vec::new();
     new.in_one_turn(|| {
         old.in_one_turn(|| {
@@ -577,7 +582,7 @@
         assert!(old.end().success());
     });
     stay.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
-    (0..2).for_each(|_| new.until_open(0));
+    (0..2).for_each(|_| new.wait_pending(0));
     let sent: Vec<_> = endpoint.requests.try_iter().filter(|text| text != "end").collect();
     assert!(
         sent.len() == stay.len() && sent.iter().all(|text| text.starts_with("GET /view/stays")),
--- a/crates/sidecar/tests/crossings/descriptors.rs
+++ b/crates/sidecar/tests/crossings/descriptors.rs
@@ -12,8 +12,8 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::stand_ins::{
-    Client, Endpoint, OPEN, Sidecar, asked, configuration, connecting, entry, list, list_of, list_that_tells,
-    message, ok, until,
+    Client, Endpoint, OPEN, Sidecar, configuration, connecting, entry, list_of, ok, read_message,
+    start_discovery, start_discovery_with, wait_until, with_admin_endpoint,
 };
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -66,8 +66,8 @@
 
 /// Leaves so many descriptors free. Those that lie free below others are taken up by clients that rest.
 fn leave_free(sidecar: &Sidecar, crowd: &mut Vec<Client>, descriptors: u64) {
-    until("none lies free below the last", || {
-        sidecar.leaves_free(descriptors) || {
+    wait_until("none lies free below the last", || {
+        sidecar.limit_free_descriptors(descriptors) || {
             crowd.push(resting(sidecar));
             false
         }
@@ -77,7 +77,7 @@
 /// How many of these have been ended: without a word, but for the crowd's own with half a head, which are told to come
 /// again.
 fn gone(crowd: &mut [Client], idle: Idle) -> usize {
-    let ended: Vec<_> = crowd.iter_mut().zip(0..).filter(|(client, _)| !client.rests()).collect();
+    let ended: Vec<_> = crowd.iter_mut().zip(0..).filter(|(client, _)| !client.is_idle()).collect();
     let each = ended.into_iter().map(|(client, place)| {
         if idle == Idle::HalfHead && place < CROWD {
             let answer = client.answer();
@@ -105,7 +105,7 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             if is_up.load(Ordering::SeqCst) {
-                message(&mut BufReader::new(&stream));
+                read_message(&mut BufReader::new(&stream));
                 if tell.send(stream).is_err() {
                     return;
                 }
@@ -120,7 +120,7 @@
     let (at, up, calls) = service();
     let entries: Vec<_> =
         endpoints.iter().zip(0..).map(|(at, cell)| entry(&format!("e{cell}"), *at, cell, "up")).collect();
-    (asked(&configuration(at, 1024, &list_of(1, true, &entries))), up, calls)
+    (with_admin_endpoint(&configuration(at, 1024, &list_of(1, true, &entries))), up, calls)
 }
 
 /// For each way to be idle, and 0, 1 and 2 descriptors that are free.
@@ -150,20 +150,20 @@
                 client
             })
             .collect();
-        until("it is full", || sidecar.descriptors().0 >= 30);
+        wait_until("it is full", || sidecar.descriptors().0 >= 30);
         let mut new = Client::connect(&sidecar);
         new.send(HEALTH);
         let mut most = 0;
-        until("the health check is answered", || {
+        wait_until("the health check is answered", || {
             most = most.max(sidecar.descriptors().0);
-            !new.rests()
+            !new.is_idle()
         });
         assert_eq!(new.status(), "200", "{idle:?}");
         new.view();
         assert!(new.answer().ends_with("menu"), "{idle:?}");
-        assert!(sidecar.told("show-stat\n").ends_with("EOF\n"), "{idle:?}");
+        assert!(sidecar.admin_command("show-stat\n").ends_with("EOF\n"), "{idle:?}");
         sidecar.signal("-HUP");
-        until("read again", || sidecar.figure("sidecar_config_reloads") == 1);
+        wait_until("read again", || sidecar.metric("sidecar_config_reloads") == 1);
         up.store(true, Ordering::SeqCst);
         calls.recv_timeout(Duration::from_secs(6)).expect("the list is called");
         // Standing ones, the list's, and the callers that may come: what clients never take.
@@ -182,7 +182,7 @@
     drop(resting(&sidecar));
     // A new client is safe, also from a request that wants a connection: until the crowd may go it may be told to come again.
     // Danger: one that has been answered is not, and on a busy machine it had gone for another before it asked again.
-    until("it is served", || {
+    wait_until("it is served", || {
         let came = Instant::now();
         let mut client = Client::connect(&sidecar);
         let sent = client.try_order();
@@ -192,7 +192,7 @@
         assert!(answered || answer.is_empty() && late, "{answer}");
         answer.ends_with("menu")
     });
-    assert!(sidecar.told("show-stat\n").ends_with("EOF\n"));
+    assert!(sidecar.admin_command("show-stat\n").ends_with("EOF\n"));
     drop(crowd);
 }
 
@@ -231,7 +231,7 @@
     check.send(HEALTH);
     assert_eq!(check.status(), "200");
     // Who went for it was told so. The last ones may have had all their time meanwhile.
-    let told = crowd.iter_mut().filter(|client| !client.rests()).map(|client| client.answer());
+    let told = crowd.iter_mut().filter(|client| !client.is_idle()).map(|client| client.answer());
     let (come_again, others): (Vec<_>, Vec<_>) = told.partition(|answer| comes_again(answer));
     assert!(come_again.len() >= LONG_CROWD - PLACES, "{}", come_again.len());
     assert!(others.iter().all(|answer| answer.starts_with("HTTP/1.1 408 ")), "{others:?}");
@@ -241,8 +241,8 @@
 /// whoever comes meanwhile.
 #[test]
 fn a_crowd_waits_in_the_backlog_whether_or_not_there_is_a_second_address() {
-    let plain = configuration(list().0, 1024, "null");
-    for text in [asked(&plain), plain] {
+    let plain = configuration(start_discovery().0, 1024, "null");
+    for text in [with_admin_endpoint(&plain), plain] {
         let sidecar = Sidecar::start(&text);
         let mut crowd = Vec::new();
         sidecar.in_one_turn(|| {
@@ -252,7 +252,7 @@
                 let _ = socket.connect(&sidecar.at.into());
                 socket
             }));
-            until("all are connected", || connecting(sidecar.at.port()) == 0);
+            wait_until("all are connected", || connecting(sidecar.at.port()) == 0);
         });
     }
 }
@@ -279,8 +279,8 @@
             }
             (crowd.join().unwrap(), pause)
         });
-        let answer = message(&mut BufReader::new(&slow));
-        let turned_away = crowd.iter_mut().filter(|client| !client.rests()).count();
+        let answer = read_message(&mut BufReader::new(&slow));
+        let turned_away = crowd.iter_mut().filter(|client| !client.is_idle()).count();
         if pause < PAUSE && turned_away > PLACES {
             return assert!(answer.ends_with("menu"), "{answer}");
         }
@@ -295,7 +295,7 @@
         let (sidecar, _watch) = watching(&[]);
         let mut crowd = crowd(&sidecar, idle);
         leave_free(&sidecar, &mut crowd, free);
-        let mut callers: Vec<_> = (0..2).map(|_| sidecar.caller()).collect();
+        let mut callers: Vec<_> = (0..2).map(|_| sidecar.admin_connection()).collect();
         for caller in &mut callers {
             caller.write_all(b"show-stat\n").unwrap();
             let mut answer = String::new();
@@ -405,7 +405,7 @@
     while held.is_empty() || sidecar.descriptors().1 > 0 {
         let mut client = Client::connect(sidecar);
         client.send(format!("GET /view/1 HTTP/1.1\r\nX-Txn: held{}\r\n\r\n", held.len()));
-        until("it is sent", || endpoints.iter().any(|endpoint| endpoint.requests.try_recv().is_ok()));
+        wait_until("it is sent", || endpoints.iter().any(|endpoint| endpoint.requests.try_recv().is_ok()));
         held.push(client);
     }
     held
@@ -422,8 +422,8 @@
     let mut held = held(&sidecar, &[&one, &other]);
     client.view();
     let first = client.answer();
-    assert!(sidecar.leaves_free(0), "{:?}", sidecar.descriptors());
-    until("another endpoint answers", || {
+    assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
+    wait_until("another endpoint answers", || {
         client.view();
         let answer = client.answer();
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
@@ -439,13 +439,13 @@
     each(|idle, free| {
         let (sidecar, _watch) = watching(&[]);
         let mut crowd = crowd(&sidecar, idle);
-        let (at, calls) = list();
-        let other = asked(&configuration(at, 1024, "null"));
+        let (at, calls) = start_discovery();
+        let other = with_admin_endpoint(&configuration(at, 1024, "null"));
         std::fs::write(&sidecar.file, other).unwrap();
         leave_free(&sidecar, &mut crowd, free);
         sidecar.signal("-HUP");
         calls.recv_timeout(Duration::from_secs(6)).expect("the other service is called");
-        assert_eq!(sidecar.figure("sidecar_config_reload_errors"), 0, "{idle:?}, {free} free");
+        assert_eq!(sidecar.metric("sidecar_config_reload_errors"), 0, "{idle:?}, {free} free");
     });
 }
 
@@ -457,15 +457,15 @@
     let endpoint = hold.endpoint("menu");
     let (sidecar, _watch) = watching(&[endpoint.at]);
     let mut busy = held(&sidecar, &[&endpoint]);
-    assert!(sidecar.leaves_free(0), "{:?}", sidecar.descriptors());
-    let mut operator = sidecar.caller();
+    assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
+    let mut operator = sidecar.admin_connection();
     operator.write_all(b"show-stat\n").unwrap();
     let mut check = Client::connect(&sidecar);
     check.send(HEALTH);
     let used = sidecar.cpu();
     std::thread::sleep(Duration::from_secs(1));
     assert!(sidecar.cpu() - used < 0.2, "{} s", sidecar.cpu() - used);
-    assert!(check.rests());
+    assert!(check.is_idle());
     sidecar.signal("-HUP");
     hold.release();
     assert_eq!(check.status(), "200");
@@ -473,8 +473,8 @@
     operator.read_to_string(&mut answer).unwrap();
     assert!(answer.ends_with("EOF\n"), "{answer}");
     busy.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
-    until("read again", || sidecar.figure("sidecar_config_reloads") == 1);
-    assert_eq!(sidecar.figure("sidecar_config_reload_errors"), 0);
+    wait_until("read again", || sidecar.metric("sidecar_config_reloads") == 1);
+    assert_eq!(sidecar.metric("sidecar_config_reload_errors"), 0);
 }
 
 /// Danger: a client that has left while it waited outside, behind more than the machine takes unread, can't be seen to have
@@ -485,7 +485,7 @@
     let endpoint = hold.endpoint("menu");
     let (sidecar, _watch) = watching(&[endpoint.at]);
     let mut busy = held(&sidecar, &[&endpoint]);
-    assert!(sidecar.leaves_free(0), "{:?}", sidecar.descriptors());
+    assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
     let mut leaves = Client::connect(&sidecar);
     assert!(leaves.flood("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n", 1_000_000) >= 300_000);
     drop(leaves);
@@ -497,8 +497,8 @@
     assert_eq!(check.status(), "200");
     busy.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
     // Answered in the turn in which it is read, and in one after that.
-    (0..2).for_each(|_| sidecar.until_open(0));
-    assert_eq!(sidecar.figure("sidecar_upstream_requests"), busy.len() as u64);
+    (0..2).for_each(|_| sidecar.wait_pending(0));
+    assert_eq!(sidecar.metric("sidecar_upstream_requests"), busy.len() as u64);
 }
 
 /// Danger: a request that waited outside, behind a full house, is read long after its last byte; its attempt told its
@@ -509,7 +509,7 @@
     let endpoint = hold.endpoint("menu");
     let (sidecar, _watch) = watching(&[endpoint.at]);
     let mut busy = held(&sidecar, &[&endpoint]);
-    assert!(sidecar.leaves_free(0), "{:?}", sidecar.descriptors());
+    assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
     let mut waits = Client::connect(&sidecar);
     waits.send("GET /view/1 HTTP/1.1\r\nX-Txn: late\r\nX-Remaining-Ms: 2900\r\n\r\n");
     let sent = Instant::now();
@@ -531,20 +531,21 @@
     let folder = std::env::temp_dir().join(format!("appledyke-descriptors-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let variables = [("TMPDIR", folder.to_str().unwrap())];
-    let text = asked(&configuration(list_that_tells(&list_of(1, true, &[])), 1024, "null"));
+    let text =
+        with_admin_endpoint(&configuration(start_discovery_with(&list_of(1, true, &[])), 1024, "null"));
     let old = Sidecar::start_with(&text, &variables);
-    until("it is ready", || old.told("ready\n").starts_with("200 "));
+    wait_until("it is ready", || old.admin_command("ready\n").starts_with("200 "));
     let mut crowd = crowd(&old, Idle::Rests);
     let mut check = resting(&old);
     let beside = format!("\"listen\":\"{}\"", old.at);
     let new = Sidecar::start_with(&text.replace("\"listen\":\"127.0.0.1:0\"", &beside), &variables);
-    until("the new one is ready", || new.told("ready\n").starts_with("200 "));
+    wait_until("the new one is ready", || new.admin_command("ready\n").starts_with("200 "));
     // It looks before it answers, and knows of the new one by then.
-    assert!(old.told("ready\n").starts_with("200 "));
+    assert!(old.admin_command("ready\n").starts_with("200 "));
     leave_free(&old, &mut crowd, 0);
     old.signal("-TERM");
     // Once it leaves, connections end with their answers.
-    until("it leaves", || {
+    wait_until("it leaves", || {
         check.send(HEALTH);
         let answer = check.answer();
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
--- a/crates/sidecar/tests/crossings/edges.rs
+++ b/crates/sidecar/tests/crossings/edges.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use crate::stand_ins::{
-    Client, Endpoint, Sidecar, configuration, connections, entry, list, list_of, message, ok, until,
+    Client, Endpoint, Sidecar, configuration, connections, entry, list_of, ok, read_message, start_discovery,
+    wait_until,
 };
 
 const NO_LENGTH: &str = "HTTP/1.1 200 OK\r\nX-Ends: with the connection\r\n\r\n";
@@ -20,7 +21,7 @@
     let (tell, requests) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let request = message(&mut std::io::BufReader::new(&stream));
+            let request = read_message(&mut std::io::BufReader::new(&stream));
             if tell.send((request, stream)).is_err() {
                 return;
             }
@@ -38,10 +39,10 @@
     let (port, to) = (stream.peer_addr().unwrap().port(), stream.local_addr().unwrap().port());
     sidecar.in_one_turn(|| {
         stream.write_all(bytes.as_bytes()).unwrap();
-        until("it has come", || unacknowledged(to, port) == 0);
+        wait_until("it has come", || unacknowledged(to, port) == 0);
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap();
         drop(stream);
-        until("it is reset", || connections(Some(port), to, "01") == 0);
+        wait_until("it is reset", || connections(Some(port), to, "01") == 0);
     });
 }
 
@@ -73,7 +74,7 @@
 fn an_answer_of_no_length_that_is_reset_while_it_passes_is_not_whole() {
     for version in ["1.1", "1.0"] {
         let (at, requests) = endpoint();
-        let sidecar = Sidecar::before(&[at]);
+        let sidecar = Sidecar::start_with_endpoints(&[at]);
         let mut client = connect(&sidecar);
         write!(client, "GET /view/1 HTTP/{version}\r\nX-Txn: 7a01\r\n\r\n").unwrap();
         let (_, mut stream) = next(&requests);
@@ -93,7 +94,7 @@
     // The endpoint breaks off a chunked answer; the client stops reading; the process is ended.
     for how in ["endpoint", "process"] {
         let (at, requests) = endpoint();
-        let sidecar = Sidecar::before(&[at]);
+        let sidecar = Sidecar::start_with_endpoints(&[at]);
         let mut client = connect(&sidecar);
         write!(client, "GET /view/1 HTTP/1.0\r\nX-Txn: 7a01\r\n\r\n").unwrap();
         let (_, mut stream) = next(&requests);
@@ -115,7 +116,7 @@
         let (bad, requests) = endpoint();
         let good = Endpoint::start(|_| ok("menu"));
         let entries = [entry("e0", bad, 0, "up"), entry("e1", good.at, 1, "up")];
-        let text = configuration(list().0, 1024, &list_of(1, true, &entries));
+        let text = configuration(start_discovery().0, 1024, &list_of(1, true, &entries));
         // With time enough for each attempt.
         let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":20000000000");
         let sidecar =
@@ -157,7 +158,7 @@
     ] {
         let (bad, requests) = endpoint();
         let good = Endpoint::start(|_| ok("menu"));
-        let sidecar = Sidecar::before(&[bad, good.at]);
+        let sidecar = Sidecar::start_with_endpoints(&[bad, good.at]);
         // Until one has come to the first.
         let mut met = false;
         while !met {
@@ -184,7 +185,7 @@
 #[test]
 fn a_flood_on_one_connection_keeps_no_other_client_waiting() {
     let endpoint = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut flood = connect(&sidecar);
     let mut answers = flood.try_clone().unwrap();
     let (over, go_on) = channel::<()>();
@@ -209,7 +210,7 @@
             bytes.fetch_add(n, Ordering::Relaxed);
         }
     });
-    until("it is under way", || served.load(Ordering::Relaxed) > 100_000);
+    wait_until("it is under way", || served.load(Ordering::Relaxed) > 100_000);
     let mut took = Duration::ZERO;
     for _ in 0..5 {
         let mut other = Client::connect(&sidecar);
@@ -229,7 +230,7 @@
 /// Danger: small writes that the machine still holds back go with a reset.
 #[test]
 fn small_writes_are_not_held_back() {
-    let sidecar = Sidecar::before(&[Endpoint::start(|_| ok("menu")).at]);
+    let sidecar = Sidecar::start_with_endpoints(&[Endpoint::start(|_| ok("menu")).at]);
     let mut client = Client::connect(&sidecar);
     // A client that asks and hears by turns acknowledges late: what waits for that takes 40 ms.
     let mut asked = |times: usize| {
@@ -248,7 +249,7 @@
 fn the_last_answer_comes_whole_whatever_its_client_sends_behind() {
     let body = "x".repeat(60_000);
     let (at, requests) = endpoint();
-    let sidecar = Sidecar::asked_before(&[at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[at]);
     // One that takes little at a time: most of its answer waits at the sidecar's end.
     let client = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     client.set_recv_buffer_size(4096).unwrap();
@@ -261,26 +262,26 @@
     client.set_write_timeout(Some(Duration::from_millis(100))).unwrap();
     let _ = client.write_all("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n".repeat(20_000).as_bytes());
     stream.write_all(ok(&body).unwrap().as_bytes()).unwrap();
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
     let (answer, ended) = all_of(&mut client);
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with(&body), "{} bytes", answer.len());
     assert!(ended);
     // What was read behind it is not taken.
-    assert_eq!(sidecar.figure("sidecar_upstream_requests"), 1);
+    assert_eq!(sidecar.metric("sidecar_upstream_requests"), 1);
 }
 
 /// Danger: a request that is read after the end of our sending, and sent on, has its effect and no answer.
 #[test]
 fn a_request_in_the_turn_of_the_last_answer_is_not_sent_on() {
     let (at, requests) = endpoint();
-    let sidecar = Sidecar::asked_before(&[at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[at]);
     let mut client = Client::connect(&sidecar);
     client.view();
     let (_, mut stream) = next(&requests);
     // From soon on connections close with their next answer.
-    assert!(sidecar.told("drain\n").starts_with("200 "));
+    assert!(sidecar.admin_command("drain\n").starts_with("200 "));
     let mut other = Client::connect(&sidecar);
-    until("connections close", || {
+    wait_until("connections close", || {
         other.send("GET /healthz HTTP/1.1\r\n\r\n");
         other.answer().contains("Connection: close")
     });
@@ -291,8 +292,8 @@
     let answer = client.answer();
     assert!(answer.ends_with("menu") && answer.contains("Connection: close"), "{answer}");
     assert!(client.closed());
-    sidecar.until_open(0);
-    assert_eq!(sidecar.figure("sidecar_upstream_requests"), 1);
+    sidecar.wait_pending(0);
+    assert_eq!(sidecar.metric("sidecar_upstream_requests"), 1);
     assert!(requests.try_recv().is_err());
 }
 
@@ -300,7 +301,7 @@
 #[test]
 fn half_a_line_in_the_turn_of_a_request_costs_its_connection_and_not_the_request() {
     let (at, requests) = endpoint();
-    let sidecar = Sidecar::before(&[at]);
+    let sidecar = Sidecar::start_with_endpoints(&[at]);
     let mut client = Client::connect(&sidecar);
     client.view();
     let (_, mut first) = next(&requests);
@@ -324,7 +325,7 @@
 fn a_flood_whose_client_goes_in_the_turn_of_an_answer_sends_nothing_more() {
     for reset in [false, true] {
         let (at, requests) = endpoint();
-        let sidecar = Sidecar::asked_before(&[at]);
+        let sidecar = Sidecar::start_with_admin_endpoint(&[at]);
         let mut client = Client::connect(&sidecar);
         client.view();
         let (_, mut stream) = next(&requests);
@@ -337,10 +338,10 @@
             } else {
                 drop(client)
             }
-            until("it has left", || connections(Some(sidecar.at.port()), from, "01") == 0);
+            wait_until("it has left", || connections(Some(sidecar.at.port()), from, "01") == 0);
         });
-        sidecar.until_open(0);
-        assert_eq!(sidecar.figure("sidecar_upstream_requests"), 1, "reset: {reset}");
+        sidecar.wait_pending(0);
+        assert_eq!(sidecar.metric("sidecar_upstream_requests"), 1, "reset: {reset}");
         assert!(requests.try_recv().is_err(), "reset: {reset}");
     }
 }
--- a/crates/sidecar/tests/crossings/leaving.rs
+++ b/crates/sidecar/tests/crossings/leaving.rs
@@ -1,12 +1,19 @@
 //! SIGTERM, and what can cross with it.
 
-use crate::stand_ins::{Client, Endpoint, Sidecar, asked, configuration, entry, list, list_of, ok, until};
+use crate::stand_ins::{
+    Client, Endpoint, Sidecar, configuration, entry, list_of, ok, start_discovery, wait_until,
+    with_admin_endpoint,
+};
 
 const HALF: &str = "POST /order/1 HTTP/1.1\r\nX-Txn: 5a\r\nIdempotency-Key: 5\r\nContent-Length: 4\r\n\r\nso";
 
 /// With deadlines so short that all is over within a second and a half.
 fn short(endpoint: &Endpoint) -> Sidecar {
-    let text = asked(&configuration(list().0, 1024, &list_of(1, true, &[entry("e0", endpoint.at, 0, "up")])));
+    let text = with_admin_endpoint(&configuration(
+        start_discovery().0,
+        1024,
+        &list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]),
+    ));
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":400000000");
     Sidecar::start(&text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":600000000"))
 }
@@ -38,7 +45,7 @@
     let mut sidecar = short(&endpoint);
     let [mut held, mut half, mut idle, mut two] = [(); 4].map(|()| Client::connect(&sidecar));
     held.order_as("held");
-    sidecar.until_open(1);
+    sidecar.wait_pending(1);
     assert!(endpoint.next().contains("Txn: held"));
     half.send(HALF);
     for client in [&mut idle, &mut two] {
@@ -74,7 +81,7 @@
     half.send(HALF);
     sidecar.signal("-TERM");
     // Danger: stopped before it has heard that, it wakes to half a request whose own time is over, and leaves later.
-    until("it leaves", || sidecar.told("ready\n").contains("leaving"));
+    wait_until("it leaves", || sidecar.admin_command("ready\n").contains("leaving"));
     sidecar.in_one_turn(|| {
         std::thread::sleep(std::time::Duration::from_millis(1500));
         whole.view();
--- a/crates/sidecar/tests/crossings/lists.rs
+++ b/crates/sidecar/tests/crossings/lists.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use crate::stand_ins::{
-    Client, Endpoint, OPEN, Sidecar, asked, configuration, connecting, entry, full, list, list_of, ok,
-    sent_late, until, until_served_by, watch_line,
+    Client, Endpoint, OPEN, Sidecar, accept_late, configuration, connecting, entry, full_listener, list_of,
+    ok, start_discovery, until_served_by, wait_until, watch_line, with_admin_endpoint,
 };
 
 /// The same list over many lines, as a service may write it.
@@ -27,7 +27,7 @@
 #[test]
 fn a_list_that_comes_indented_is_heard_however_it_is_cut() {
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let known = list_of(1, true, &[entry("e0", one.at, 0, "up")]);
     let sidecar = Sidecar::start(&configuration(at, 1024, &known));
     let (_, mut watch) = watches.recv().unwrap();
@@ -71,7 +71,7 @@
 #[test]
 fn a_list_and_the_end_of_its_watch_in_one_turn_are_both_heard() {
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let known = list_of(1, true, &[entry("e0", one.at, 0, "up")]);
     let sidecar = Sidecar::start(&configuration(at, 1024, &known));
     let endings: [&[u8]; 3] = [b"0\r\n\r\n", b"no chunk\r\n", b""];
@@ -93,7 +93,7 @@
     let one = Endpoint::start(|_| ok("one"));
     let known = list_of(1, true, &[entry("e0", one.at, 0, "up")]);
     let start = || {
-        let (at, watches) = list();
+        let (at, watches) = start_discovery();
         let sidecar = Sidecar::start(&configuration(at, 1024, &known));
         let (_, mut watch) = watches.recv().unwrap();
         watch.write_all(OPEN).unwrap();
@@ -134,7 +134,7 @@
 ) {
     let line = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
     open.iter_mut().for_each(|watch| drop(watch.write_all(line.as_bytes())));
-    until("the list is heard", || {
+    wait_until("the list is heard", || {
         for (_, mut watch) in watches.try_iter() {
             let _ = watch.write_all(&[OPEN, line.as_bytes()].concat());
             open.push(watch);
@@ -148,11 +148,11 @@
 #[test]
 fn a_connect_that_comes_up_after_a_drain_has_no_time_left_carries_nothing() {
     let stops = Duration::from_millis(1000);
-    let (listener, fillers) = full();
+    let (listener, fillers) = full_listener();
     let at = listener.local_addr().unwrap();
-    let (service, watches) = list();
+    let (service, watches) = start_discovery();
     let ready = list_of(1, true, &[entry("late", at, 0, "up")]);
-    let text = asked(&configuration(service, 1024, &ready));
+    let text = with_admin_endpoint(&configuration(service, 1024, &ready));
     // Nothing but the time to stop sending ends the connect while this goes on.
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":30000000000");
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":8000000000");
@@ -160,19 +160,19 @@
     let stops_in = format!("\"rules\":{{\"stopSendingWithinNs\":{},", stops.as_nanos());
     let sidecar = Sidecar::start(&text.replace("\"rules\":{", &stops_in));
     let mut open = Vec::new();
-    tell(&watches, &mut open, &ready, || sidecar.told("ready\n").starts_with("200"));
+    tell(&watches, &mut open, &ready, || sidecar.admin_command("ready\n").starts_with("200"));
     let before = connecting(at.port());
     let mut client = Client::connect(&sidecar);
     client.send("GET /view/1 HTTP/1.1\r\nX-Txn: 1\r\n\r\n");
-    until("a connect", || connecting(at.port()) > before);
+    wait_until("a connect", || connecting(at.port()) > before);
     // By one more that is listed it is seen that the drain has been heard.
     let nobody = "127.0.0.1:1".parse().unwrap();
     let drains =
         list_of(2, false, &[entry("late", at, 0, "draining"), entry("other", nobody, 1, "draining")]);
-    tell(&watches, &mut open, &drains, || sidecar.figure("sidecar_members") == 2);
+    tell(&watches, &mut open, &drains, || sidecar.metric("sidecar_members") == 2);
     let told = Instant::now();
-    until("its time is over", || told.elapsed() > stops + Duration::from_millis(50));
-    let sent = sent_late(&listener, &fillers, before);
+    wait_until("its time is over", || told.elapsed() > stops + Duration::from_millis(50));
+    let sent = accept_late(&listener, &fillers, before);
     assert!(sent.iter().all(String::is_empty), "{sent:?}");
     assert_eq!(client.status(), "503");
 }
--- a/crates/sidecar/tests/crossings/retries.rs
+++ b/crates/sidecar/tests/crossings/retries.rs
@@ -6,13 +6,14 @@
 use std::time::Duration;
 
 use crate::stand_ins::{
-    Client, Endpoint, Sidecar, asked, configuration, connections, entry, list, list_of, message, ok, until,
+    Client, Endpoint, Sidecar, configuration, connections, entry, list_of, ok, read_message, start_discovery,
+    wait_until, with_admin_endpoint,
 };
 
 /// Where `view` is unsafe to repeat.
 fn unsafe_before(endpoints: &[(&str, std::net::SocketAddr)]) -> Sidecar {
     let entries: Vec<_> = endpoints.iter().map(|(name, at)| entry(name, *at, 0, "up")).collect();
-    let text = asked(&configuration(list().0, 1024, &list_of(1, true, &entries)));
+    let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &list_of(1, true, &entries)));
     Sidecar::start(&text.replace("\"effect\":\"retryable\"", "\"effect\":\"fragile\""))
 }
 
@@ -62,7 +63,7 @@
     let ((tell, requests), (go, may)) = (channel(), channel());
     std::thread::spawn(move || {
         let serve = |stream: &mut TcpStream| {
-            let request = message(&mut std::io::BufReader::new(&*stream));
+            let request = read_message(&mut std::io::BufReader::new(&*stream));
             let there = !request.is_empty();
             let _ = tell.send(request);
             there && stream.write_all(ok("menu").unwrap().as_bytes()).is_ok()
@@ -86,11 +87,11 @@
     let mut client = Client::connect(&sidecar);
     post(&mut client, "first");
     assert_eq!(client.status(), "200");
-    until("it is idle", || connections(None, at.port(), "01") == 1);
+    wait_until("it is idle", || connections(None, at.port(), "01") == 1);
     sidecar.in_one_turn(|| {
         post(&mut client, "second");
         go.send(()).unwrap();
-        until("the idle one has ended", || connections(None, at.port(), "01") == 0);
+        wait_until("the idle one has ended", || connections(None, at.port(), "01") == 0);
     });
     assert_eq!(client.status(), "200");
     assert_eq!(requests.try_iter().filter(|request| !request.is_empty()).count(), 2);
@@ -111,7 +112,7 @@
         }
         ok("next")
     });
-    let sidecar = Sidecar::asked_before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     client.send("GET /view/1 HTTP/1.1\r\nX-Txn: late\r\nX-Remaining-Ms: 600\r\n\r\n");
     assert!(endpoint.next().contains("Txn: late"));
@@ -125,5 +126,5 @@
     let (first, second) = (client.answer(), client.answer());
     assert!(first.ends_with("late") || first.starts_with("HTTP/1.1 503 "), "{first}");
     assert!(second.ends_with("next"), "{second}");
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
 }
--- a/crates/sidecar/tests/crossings/time_left.rs
+++ b/crates/sidecar/tests/crossings/time_left.rs
@@ -3,16 +3,21 @@
 use std::time::Instant;
 
 use crate::stand_ins::{
-    Client, Sidecar, asked, configuration, connecting, entry, full, list, list_of, sent_late, until,
+    Client, Sidecar, accept_late, configuration, connecting, entry, full_listener, list_of, start_discovery,
+    wait_until, with_admin_endpoint,
 };
 
 /// Danger: an attempt whose connect comes up late told the time that was left when it was decided; its endpoint goes on
 /// for longer than the client waits, and its own calls with it.
 #[test]
 fn an_attempt_whose_connect_comes_up_late_tells_what_is_left_then() {
-    let (listener, fillers) = full();
+    let (listener, fillers) = full_listener();
     let at = listener.local_addr().unwrap();
-    let text = asked(&configuration(list().0, 1024, &list_of(1, true, &[entry("late", at, 0, "up")])));
+    let text = with_admin_endpoint(&configuration(
+        start_discovery().0,
+        1024,
+        &list_of(1, true, &[entry("late", at, 0, "up")]),
+    ));
     // Long against what a loaded machine takes: a connect is tried again after 1, 3 and 7 s.
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":20000000000");
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":20000000000");
@@ -21,11 +26,11 @@
     let mut client = Client::connect(&sidecar);
     let lines = "X-Remaining-Ms: 20000\r\nIdempotency-Key: k\r\nContent-Length: 4";
     client.send(format!("POST /order/1 HTTP/1.1\r\nX-Txn: a\r\n{lines}\r\n\r\nsoup"));
-    until("a connect", || connecting(at.port()) > before);
+    wait_until("a connect", || connecting(at.port()) > before);
     let asked = Instant::now();
-    until("much of its time has passed", || asked.elapsed().as_millis() > 500);
+    wait_until("much of its time has passed", || asked.elapsed().as_millis() > 500);
     let waited = asked.elapsed().as_millis();
-    let sent = sent_late(&listener, &fillers, before);
+    let sent = accept_late(&listener, &fillers, before);
     let sent = sent.iter().find(|text| !text.is_empty()).expect("it goes out");
     let (head, body) = sent.split_once("\r\n\r\n").expect("a whole head");
     let told = head.lines().filter_map(|line| line.strip_prefix("X-Remaining-Ms: "));
--- a/crates/sidecar/tests/daily/long.rs
+++ b/crates/sidecar/tests/daily/long.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 use crate::stand_ins::{
-    Client, Endpoint, Sidecar, asked, configuration, connections, entry, list, list_of, ok, rows, until,
-    until_or,
+    Client, Endpoint, Sidecar, configuration, connections, entry, list_of, ok, start_discovery,
+    tcp_table_rows, wait_until, wait_until_or, with_admin_endpoint,
 };
 
 const LONG: usize = 32_000_000;
@@ -87,7 +87,7 @@
                 stream.write_all(b"0\r\nT: t\r\n\r\n").unwrap();
             }
         });
-        let sidecar = Sidecar::before(&[at]);
+        let sidecar = Sidecar::start_with_endpoints(&[at]);
         let mut client = connect(&sidecar);
         client.write_all(VIEW).unwrap();
         let head = head(&mut client);
@@ -112,7 +112,7 @@
             std::thread::sleep(Duration::from_millis(50));
         }
     });
-    let sidecar = Sidecar::before(&[at]);
+    let sidecar = Sidecar::start_with_endpoints(&[at]);
     let mut client = connect(&sidecar);
     let asked = Instant::now();
     client.write_all(VIEW).unwrap();
@@ -139,7 +139,7 @@
             stream.write_all(&[chunk.as_bytes(), piece].concat()).unwrap();
             let _ = wait.lock().unwrap().recv();
         };
-        let sidecar = Sidecar::before(&[raw(serve.clone()), raw(serve)]);
+        let sidecar = Sidecar::start_with_endpoints(&[raw(serve.clone()), raw(serve)]);
         let mut client = connect(&sidecar);
         client.write_all(VIEW).unwrap();
         let head = head(&mut client);
@@ -199,7 +199,7 @@
 #[test]
 fn long_requests_pass_whole_in_both_framings_and_the_connection_goes_on() {
     let (at, told) = reader();
-    let sidecar = Sidecar::before(&[at]);
+    let sidecar = Sidecar::start_with_endpoints(&[at]);
     let mut client = connect(&sidecar);
     let data = body(LONG);
     for chunked in [false, true, false] {
@@ -231,7 +231,7 @@
 fn a_long_request_is_sent_elsewhere_before_its_first_piece_and_not_after() {
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (good, told) = reader();
-    let sidecar = Sidecar::before(&[nobody, good]);
+    let sidecar = Sidecar::start_with_endpoints(&[nobody, good]);
     for _ in 0..6 {
         let mut client = connect(&sidecar);
         write!(client, "{ORDER}Content-Length: 200000\r\n\r\n").unwrap();
@@ -245,7 +245,7 @@
         tell.send(head(&mut stream)).unwrap();
         let _ = stream.read_exact(&mut [0; 100_000]);
     };
-    let sidecar = Sidecar::before(&[raw(serve.clone()), raw(serve)]);
+    let sidecar = Sidecar::start_with_endpoints(&[raw(serve.clone()), raw(serve)]);
     let mut client = connect(&sidecar);
     write!(client, "{ORDER}Content-Length: {LONG}\r\n\r\n").unwrap();
     let _ = client.write_all(body(LONG));
@@ -266,7 +266,7 @@
             // What still comes is read, so that the answer is not lost on the way.
             let _ = std::io::copy(&mut stream, &mut std::io::sink());
         });
-        let sidecar = Sidecar::before(&[at]);
+        let sidecar = Sidecar::start_with_endpoints(&[at]);
         let mut client = connect(&sidecar);
         write!(client, "{ORDER}Content-Length: 200000\r\n\r\n").unwrap();
         client.write_all(body(100_000)).unwrap();
@@ -280,10 +280,12 @@
 
 /// With this connect timeout and no other time that a busy machine uses up: what is held against a client is its own.
 fn patient(at: SocketAddr) -> Sidecar {
-    let text = configuration(list().0, 1024, &list_of(1, true, &[entry("e0", at, 0, "up")]));
+    let text = configuration(start_discovery().0, 1024, &list_of(1, true, &[entry("e0", at, 0, "up")]));
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":300000000000");
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":2000000000000");
-    Sidecar::start(&asked(&text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":3000000000000")))
+    Sidecar::start(&with_admin_endpoint(
+        &text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":3000000000000"),
+    ))
 }
 
 /// Tries to leave before the sidecar's own time is over, which a busy machine may prevent.
@@ -294,7 +296,7 @@
     let (at, told) = reader();
     let sidecar = patient(at);
     let begin = |framing: &str| {
-        until("none is left of before", || connections(None, at.port(), "01") == 0);
+        wait_until("none is left of before", || connections(None, at.port(), "01") == 0);
         let mut client = connect(&sidecar);
         let chunk = if framing.contains("chunked") { "186a0\r\n" } else { "" };
         write!(client, "{ORDER}{framing}\r\n\r\n{chunk}").unwrap();
@@ -321,8 +323,12 @@
             gone.get() || begun()
         };
         // Seen once never to begin, on a busy machine: what it waits for is told, if it does so again.
-        until_or("its write-out has begun", there, || {
-            format!("{framing}\n{}{}", rows(&[at.port(), port]), sidecar.told("show-stat\n"))
+        wait_until_or("its write-out has begun", there, || {
+            format!(
+                "{framing}\n{}{}",
+                tcp_table_rows(&[at.port(), port]),
+                sidecar.admin_command("show-stat\n")
+            )
         });
         client.shutdown(Shutdown::Both).unwrap();
         !gone.get()
@@ -347,7 +353,7 @@
 #[test]
 fn slow_clients_are_served_and_dripping_ones_are_told() {
     let (at, told) = reader();
-    let sidecar = Sidecar::before(&[at]);
+    let sidecar = Sidecar::start_with_endpoints(&[at]);
     let order = |id: &str, lines: &str| format!("{}{lines}\r\n\r\n", ORDER.replace("7a02", id));
     let slow = |first: &str, rest: Vec<u8>, piece: usize, every: u64| {
         let mut client = connect(&sidecar);
@@ -389,7 +395,7 @@
 #[test]
 fn however_a_message_is_split_it_is_the_same() {
     let (at, told) = reader();
-    let sidecar = Sidecar::before(&[at]);
+    let sidecar = Sidecar::start_with_endpoints(&[at]);
     let mut client = connect(&sidecar);
     let text = "POST /order/1 HTTP/1.1\r\nX-Txn: 1\r\nIdempotency-Key: 5\r\nTransfer-Encoding: chunked\r\n\r\n\
                 2;x=y\r\nso\r\n2\r\nup\r\n0\r\nT: t\r\n\r\n";
@@ -412,9 +418,10 @@
         let _ = stream.write_all(body(LONG));
     });
     let known = list_of(1, true, &[entry("e0", at, 0, "up")]);
-    let limits = configuration(list().0, 1024, &known).replace("\"memory_mb\":192", "\"memory_mb\":32");
+    let limits =
+        configuration(start_discovery().0, 1024, &known).replace("\"memory_mb\":192", "\"memory_mb\":32");
     let limits = limits.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":300000000000");
-    let sidecar = Sidecar::start(&asked(&limits));
+    let sidecar = Sidecar::start(&with_admin_endpoint(&limits));
     // Danger: where all ask at once, how many are begun is up to time; on a busy machine 8 were. One after another all are.
     let mut clients = Vec::new();
     let mut begun = 0;
@@ -426,7 +433,7 @@
     }
     assert!(begun >= 30, "{begun}");
     let (asked, waited) = (Instant::now(), sidecar.waited());
-    assert!(sidecar.figure("sidecar_pending") >= 8);
+    assert!(sidecar.metric("sidecar_pending") >= 8);
     let took = asked.elapsed().saturating_sub(sidecar.waited() - waited);
     assert!(took < Duration::from_millis(500), "{took:?}");
     assert!(sidecar.memory() < 24 << 20, "{} bytes", sidecar.memory());
@@ -439,12 +446,12 @@
 #[test]
 fn a_long_answer_counts_once_when_it_has_passed() {
     let endpoint = Endpoint::start(|_| ok(&"x".repeat(300_000)));
-    let sidecar = Sidecar::asked_before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     for _ in 0..3 {
         client.view();
         assert!(client.answer().ends_with('x'));
     }
-    assert_eq!(sidecar.figure("sidecar_completed{lane=\"view\"}"), 3);
-    assert_eq!(sidecar.figure("sidecar_pending"), 0);
+    assert_eq!(sidecar.metric("sidecar_completed{lane=\"view\"}"), 3);
+    assert_eq!(sidecar.metric("sidecar_pending"), 0);
 }
--- a/crates/sidecar/tests/daily/operator.rs
+++ b/crates/sidecar/tests/daily/operator.rs
@@ -8,14 +8,14 @@
 #[test]
 fn whatever_a_caller_sends_is_answered_or_closed_and_delays_nobody() {
     let endpoint = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::asked_before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
     let asked = Instant::now();
     // Far more callers that say nothing than are taken at once.
-    let mut silent: Vec<_> = (0..60).map(|_| sidecar.caller()).collect();
+    let mut silent: Vec<_> = (0..60).map(|_| sidecar.admin_connection()).collect();
     for line in
         ["reboot\n", "\n", "drain\ndrain\n", "dr\0ain\n", "GET /ready HTTP/1.1\r\n", &"x".repeat(5000)]
     {
-        let mut caller = sidecar.caller();
+        let mut caller = sidecar.admin_connection();
         // A line too long may be answered before all of it is sent.
         let _ = caller.write_all(line.as_bytes());
         let mut answer = [0; 4];
@@ -23,13 +23,13 @@
         assert_eq!(&answer, b"400 ", "{}", line.escape_default());
     }
     // Half a line and an end to the sending: not obeyed.
-    let mut caller = sidecar.caller();
+    let mut caller = sidecar.admin_connection();
     caller.write_all(b"drain").unwrap();
     caller.shutdown(std::net::Shutdown::Write).unwrap();
     let mut answer = String::new();
     caller.read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("400 "), "{answer}");
-    assert!(sidecar.told("resume\r\n").starts_with("200 "));
+    assert!(sidecar.admin_command("resume\r\n").starts_with("200 "));
     assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
     // Those that say nothing are let go of, so none of them keeps a place.
     silent.iter_mut().for_each(|caller| drop(caller.read_to_string(&mut String::new())));
@@ -53,9 +53,9 @@
             _ => ok("menu"),
         }
     });
-    let sidecar = Sidecar::asked_before(&[endpoint.at]);
-    assert_eq!(sidecar.figure("sidecar_completed{lane=\"order\"}"), 0);
-    assert_eq!(sidecar.figure("sidecar_members"), 1);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
+    assert_eq!(sidecar.metric("sidecar_completed{lane=\"order\"}"), 0);
+    assert_eq!(sidecar.metric("sidecar_members"), 1);
     let mut counted = [[0; 3]; 2];
     for number in 0..120 {
         let mut client = Client::connect(&sidecar);
@@ -79,14 +79,14 @@
     }
     for (lane, counted) in ["view", "order"].iter().zip(counted) {
         for (name, count) in ["completed", "rejected", "failed"].iter().zip(counted) {
-            let told = sidecar.figure(&format!("sidecar_{name}{{lane=\"{lane}\"}}"));
+            let told = sidecar.metric(&format!("sidecar_{name}{{lane=\"{lane}\"}}"));
             assert_eq!(told, count, "{name} {lane}");
         }
     }
     assert!(counted.iter().all(|ends| ends.iter().all(|count| *count > 0)), "{counted:?}");
     let requests = endpoint.requests.try_iter().filter(|request| request != "end").count() as u64;
-    assert_eq!(sidecar.figure("sidecar_upstream_requests"), requests);
-    assert_eq!(sidecar.figure("sidecar_pending"), 0);
+    assert_eq!(sidecar.metric("sidecar_upstream_requests"), requests);
+    assert_eq!(sidecar.metric("sidecar_pending"), 0);
 }
 
 #[test]
@@ -98,29 +98,29 @@
         ok("menu")
     });
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let sidecar = Sidecar::asked_before(&[slow.at, nobody]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[slow.at, nobody]);
     let mut client = Client::connect(&sidecar);
     client.view();
     slow.next();
-    assert_eq!((sidecar.figure("sidecar_pending"), sidecar.figure("sidecar_upstream_requests")), (1, 1));
+    assert_eq!((sidecar.metric("sidecar_pending"), sidecar.metric("sidecar_upstream_requests")), (1, 1));
     go.send(()).unwrap();
     assert_eq!(client.status(), "200");
-    assert_eq!(sidecar.figure("sidecar_pending"), 0);
+    assert_eq!(sidecar.metric("sidecar_pending"), 0);
     drop(go);
     // Until one of them has met the endpoint that is not there.
     let asked = Instant::now();
-    while sidecar.figure("sidecar_members_unavailable") == 0 {
+    while sidecar.metric("sidecar_members_unavailable") == 0 {
         client.view();
         assert_eq!(client.status(), "200");
         assert!(asked.elapsed() < Duration::from_secs(5));
     }
-    assert_eq!(sidecar.figure("sidecar_members"), 2);
+    assert_eq!(sidecar.metric("sidecar_members"), 2);
 }
 
 #[test]
 fn through_a_drain_and_a_resume_a_client_that_goes_on_loses_nothing() {
     let endpoint = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::asked_before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
     let health = || {
         let mut client = Client::connect(&sidecar);
         client.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -130,9 +130,9 @@
     idle.view();
     assert_eq!((idle.status(), health()), ("200".to_string(), "200".to_string()));
     let told = Instant::now();
-    assert!(sidecar.told("drain\n").starts_with("200 "));
+    assert!(sidecar.admin_command("drain\n").starts_with("200 "));
     assert_eq!(health(), "503");
-    assert!(sidecar.told("ready\n").starts_with("400 not ready: drained"));
+    assert!(sidecar.admin_command("ready\n").starts_with("400 not ready: drained"));
     // It sends on until its connection is closed with an answer, then on new ones.
     let mut closed = 0;
     while told.elapsed() < Duration::from_millis(1500) {
@@ -146,11 +146,11 @@
         }
     }
     assert!(closed > 0 && idle.closed());
-    assert!(sidecar.told("drain\n").starts_with("200 "));
+    assert!(sidecar.admin_command("drain\n").starts_with("200 "));
     assert!(busy.closed(), "nothing stays idle");
     assert!(told.elapsed() < Duration::from_secs(3), "{:?}", told.elapsed());
     for _ in 0..2 {
-        assert!(sidecar.told("resume\n").starts_with("200 "));
+        assert!(sidecar.admin_command("resume\n").starts_with("200 "));
         assert_eq!(health(), "200");
     }
     let mut stays = Client::connect(&sidecar);
@@ -161,8 +161,8 @@
     }
     sidecar.signal("-TERM");
     let told = Instant::now();
-    while !sidecar.told("resume\n").starts_with("400 leaving") {
+    while !sidecar.admin_command("resume\n").starts_with("400 leaving") {
         assert!(told.elapsed() < Duration::from_secs(1));
     }
-    assert!(sidecar.told("drain\n").starts_with("200 leaving"));
+    assert!(sidecar.admin_command("drain\n").starts_with("200 leaving"));
 }
--- a/crates/sidecar/tests/daily/settings.rs
+++ b/crates/sidecar/tests/daily/settings.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use crate::stand_ins::{Client, Endpoint, Sidecar, asked, configuration, entry, list, list_of, ok};
+use crate::stand_ins::{
+    Client, Endpoint, Sidecar, configuration, entry, list_of, ok, start_discovery, with_admin_endpoint,
+};
 
 const VIEW: &str = "\"name\":\"view\",\"effect\":\"retryable\"";
 
@@ -17,7 +19,7 @@
 /// Writes the file anew, tells the sidecar, and waits until it has taken it or turned it down.
 fn reload(sidecar: &Sidecar, text: &str) -> &'static str {
     let counts =
-        || ["sidecar_config_reloads", "sidecar_config_reload_errors"].map(|name| sidecar.figure(name));
+        || ["sidecar_config_reloads", "sidecar_config_reload_errors"].map(|name| sidecar.metric(name));
     let before = counts();
     std::fs::write(&sidecar.file, text).unwrap();
     sidecar.signal("-HUP");
@@ -40,7 +42,7 @@
 
 fn started(endpoint: &Endpoint) -> (Sidecar, String) {
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
-    let text = asked(&configuration(list().0, 1024, &known));
+    let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &known));
     (Sidecar::start(&text), text)
 }
 
@@ -65,7 +67,7 @@
     assert_eq!(reload(&sidecar, &text), "taken");
     assert_eq!(asks(&sidecar, "GET", "soups"), "404");
     // What has been counted of it stays.
-    assert_eq!(sidecar.figure("sidecar_completed{lane=\"soups\"}"), 1);
+    assert_eq!(sidecar.metric("sidecar_completed{lane=\"soups\"}"), 1);
     let fewer = text.replace("\"mostWriteOuts\":3", "\"mostWriteOuts\":1");
     assert_eq!(reload(&sidecar, &with_method(&fewer, "soups", "fragile")), "taken");
     assert_eq!(
@@ -76,7 +78,7 @@
     go.send(true).unwrap();
     go.send(false).unwrap();
     assert_eq!(open.status(), "200");
-    assert_eq!(sidecar.figure("sidecar_completed{lane=\"soups\"}"), 3);
+    assert_eq!(sidecar.metric("sidecar_completed{lane=\"soups\"}"), 3);
     // The same under the new rules may have run, and one attempt is all there is.
     open.send("POST /soups/1 HTTP/1.1\r\nX-Txn: open\r\nContent-Length: 0\r\n\r\n");
     go.send(true).unwrap();
@@ -88,7 +90,7 @@
     let endpoint = Endpoint::start(|_| ok("menu"));
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let watch = "{\"watch\":{\"ceilings\":{\"mostWriteOuts\":1}},";
-    let text = asked(&configuration(list().0, 1024, &known)).replacen('{', watch, 1);
+    let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &known)).replacen('{', watch, 1);
     let sidecar = Sidecar::start(&text);
     let more = with_method(&text, "soups", "retryable");
     for (file, soups) in [(&more, "200"), (&text, "404"), (&more, "200"), (&text, "404")] {
--- a/crates/sidecar/tests/daily/upgrade.rs
+++ b/crates/sidecar/tests/daily/upgrade.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use crate::stand_ins::{
-    Client, Endpoint, Sidecar, asked, configuration, entry, list, list_of, list_that_tells, ok,
+    Client, Endpoint, Sidecar, configuration, entry, list_of, ok, start_discovery, start_discovery_with,
+    with_admin_endpoint,
 };
 
 /// A folder that all processes of one sidecar are given.
@@ -49,10 +50,10 @@
     });
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let folder = Folder::new("two");
-    let text = asked(&configuration(list_that_tells(&known), 1024, &known));
+    let text = with_admin_endpoint(&configuration(start_discovery_with(&known), 1024, &known));
     let mut old = folder.start(&text);
     let text = beside(&old, &text);
-    wait_for("the first is ready", || old.told("ready\n").starts_with("200 "));
+    wait_for("the first is ready", || old.admin_command("ready\n").starts_with("200 "));
     let (mut kept, mut sent, mut closed, mut turned_back) = (Client::connect(&old), 0, 0, 0);
     for round in 0..2 {
         let new = folder.start(&text);
@@ -74,7 +75,7 @@
         wait_for("the new one is ready", || {
             serves(&mut Client::connect(&old));
             serves(&mut kept);
-            new.told("ready\n").starts_with("200 ")
+            new.admin_command("ready\n").starts_with("200 ")
         });
         // Right after the yes: the old one must know by then.
         old.signal("-TERM");
@@ -108,10 +109,10 @@
     let endpoint = Endpoint::start(|_| ok("menu"));
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let folder = Folder::new("dies");
-    let text = asked(&configuration(list().0, 1024, &known));
+    let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &known));
     let mut old = folder.start(&text);
     let new = folder.start(&beside(&old, &text));
-    assert!(new.told("ready\n").starts_with("400 not ready: list not heard"));
+    assert!(new.admin_command("ready\n").starts_with("400 not ready: list not heard"));
     // Killed, and its file stays behind.
     drop(new);
     let mut client = Client::connect(&old);
@@ -135,10 +136,10 @@
     let endpoint = Endpoint::start(|_| ok("menu"));
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let folder = Folder::new("killed");
-    let text = asked(&configuration(list_that_tells(&known), 1024, &known));
+    let text = with_admin_endpoint(&configuration(start_discovery_with(&known), 1024, &known));
     let old = folder.start(&text);
     let mut new = folder.start(&beside(&old, &text));
-    wait_for("the new one is ready", || new.told("ready\n").starts_with("200 "));
+    wait_for("the new one is ready", || new.admin_command("ready\n").starts_with("200 "));
     // Killed outright: nothing is handed over, and its files stay.
     drop(old);
     wait_for("its files are cleared away", || std::fs::read_dir(&folder.0).unwrap().count() <= 2);
@@ -161,16 +162,16 @@
 fn two_that_are_told_to_leave_together_do_not_count_on_each_other() {
     let known = list_of(1, true, &[]);
     let folder = Folder::new("together");
-    let text = asked(&configuration(list_that_tells(&known), 1024, &known));
+    let text = with_admin_endpoint(&configuration(start_discovery_with(&known), 1024, &known));
     let first = folder.start(&text);
     // Someone is there, so it does not leave at once.
     let _stays = Client::connect(&first);
     let second = folder.start(&beside(&first, &text));
     for process in [&first, &second] {
-        wait_for("ready", || process.told("ready\n").starts_with("200 "));
+        wait_for("ready", || process.admin_command("ready\n").starts_with("200 "));
     }
     first.signal("-TERM");
-    wait_for("the first leaves", || first.told("resume\n").starts_with("400 leaving"));
+    wait_for("the first leaves", || first.admin_command("resume\n").starts_with("400 leaving"));
     // At once, before the first looks again.
     second.signal("-TERM");
     wait_for("a no, as nobody serves on", || {
@@ -182,7 +183,7 @@
 
 #[test]
 fn without_a_second_address_a_taken_address_stays_an_error() {
-    let text = configuration(list().0, 1024, &list_of(1, true, &[]));
+    let text = configuration(start_discovery().0, 1024, &list_of(1, true, &[]));
     let first = Sidecar::start(&text);
     let path = crate::stand_ins::file(&beside(&first, &text));
     let second = std::process::Command::new(env!("CARGO_BIN_EXE_appledyke-sidecar"))
@@ -200,15 +201,15 @@
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up"), entry("e1", nobody, 1, "up")]);
     let folder = Folder::new("hears");
-    let text = asked(&configuration(list_that_tells(&known), 1024, &known));
+    let text = with_admin_endpoint(&configuration(start_discovery_with(&known), 1024, &known));
     let old = folder.start(&text);
     let mut client = Client::connect(&old);
     wait_for("the old one avoids it", || {
         client.view();
         assert_eq!(client.status(), "200");
-        old.figure("sidecar_members_unavailable") == 1
+        old.metric("sidecar_members_unavailable") == 1
     });
     let new = folder.start(&beside(&old, &text));
-    wait_for("the new one avoids it", || new.figure("sidecar_members_unavailable") == 1);
-    assert_eq!(new.figure("sidecar_upstream_requests"), 0);
+    wait_for("the new one avoids it", || new.metric("sidecar_members_unavailable") == 1);
+    assert_eq!(new.metric("sidecar_upstream_requests"), 0);
 }
--- a/crates/sidecar/tests/discovery_crowded.rs
+++ b/crates/sidecar/tests/discovery_crowded.rs
@@ -100,7 +100,7 @@
     let clients: Vec<_> =
         sidecars.iter().zip(0..).map(|(sidecar, number)| send_requests(sidecar, number, &over)).collect();
     // All have called at least once, in vain.
-    stand_ins::until("calls while it is down", || discovery.calls().len() >= SIDECARS as usize);
+    stand_ins::wait_until("calls while it is down", || discovery.calls().len() >= SIDECARS as usize);
 
     discovery.retry_after(&list_of(2, true, &both("draining")));
     let begun = Instant::now();
--- a/crates/sidecar/tests/fakes/discovery.rs
+++ b/crates/sidecar/tests/fakes/discovery.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use crate::stand_ins::{OPEN, message};
+use crate::stand_ins::{OPEN, read_message};
 
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 /// Between two empty lines on a watch that has nothing to tell.
@@ -130,7 +130,7 @@
 /// Takes a call: it waits for its turn, or is refused.
 fn take(address: usize, stream: TcpStream, state: &Arc<Mutex<State>>, wake: &Sender<()>) {
     let waiting = Waiting { since: Instant::now(), address, stream };
-    if message(&mut BufReader::new(&waiting.stream)).is_empty() {
+    if read_message(&mut BufReader::new(&waiting.stream)).is_empty() {
         return;
     }
     let mut service = state.lock().unwrap();
--- a/crates/sidecar/tests/restarts.rs
+++ b/crates/sidecar/tests/restarts.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use stand_ins::{Client, Endpoint, Sidecar, asked, configuration, entry, list_of, ok};
+use stand_ins::{Client, Endpoint, Sidecar, configuration, entry, list_of, ok, with_admin_endpoint};
 
 /// Processes that start together.
 const TOGETHER: usize = 30;
@@ -50,7 +50,7 @@
     let known = list_of(1, true, &[entry("e0", good.at, 0, "up")]);
     for how in [Service::Down, Service::Hangs, Service::Busy] {
         for mode in ["automatic", "subscribe"] {
-            let text = asked(&configuration(service(how), 1024, &known));
+            let text = with_admin_endpoint(&configuration(service(how), 1024, &known));
             let text = text.replace("\"automatic\"", &format!("\"{mode}\""));
             let text = text.replace("\"rules\":{", "\"rules\":{\"askWithinNs\":10000000000,");
             let text = Arc::new(text);
@@ -60,7 +60,7 @@
                     let begun = Instant::now();
                     let sidecar = Sidecar::start(&text);
                     let listens = begun.elapsed();
-                    while !sidecar.told("ready\n").starts_with("200") && begun.elapsed() < READY_IN {
+                    while !sidecar.admin_command("ready\n").starts_with("200") && begun.elapsed() < READY_IN {
                         std::thread::sleep(Duration::from_millis(20));
                     }
                     let ready = begun.elapsed();
--- a/crates/sidecar/tests/sockets.rs
+++ b/crates/sidecar/tests/sockets.rs
@@ -7,13 +7,14 @@
 use std::time::{Duration, Instant};
 
 use stand_ins::{
-    Client, Endpoint, Sidecar, configuration, entry, file, list, list_of, ok, until_served_by, watch_line,
+    Client, Endpoint, Sidecar, configuration, entry, file, list_of, ok, start_discovery, until_served_by,
+    watch_line,
 };
 
 #[test]
 fn a_request_goes_on_and_its_answer_comes_back() {
     let endpoint = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     client.send("GET /healthz HTTP/1.1\r\n\r\n");
     assert_eq!(client.status(), "200");
@@ -42,7 +43,7 @@
 #[test]
 fn bad_input_is_told_apart_and_harms_nobody() {
     let endpoint = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let long = "x".repeat(9000);
     for (text, status) in [
         ("\0\x01\x02\r\n\r\n", "400"),
@@ -84,7 +85,7 @@
 
 #[test]
 fn who_says_nothing_or_never_ends_a_request_is_told_within_three_seconds() {
-    let sidecar = Sidecar::before(&[]);
+    let sidecar = Sidecar::start_with_endpoints(&[]);
     let mut clients: Vec<_> = (0..3).map(|_| Client::connect(&sidecar)).collect();
     let connected = Instant::now();
     // One says nothing, one half a request, and one a little all the time.
@@ -104,7 +105,7 @@
         std::thread::sleep(Duration::from_millis(200));
         ok("menu")
     });
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let (mut first, mut second) = (Client::connect(&sidecar), Client::connect(&sidecar));
     for _ in 0..2 {
         first.order_as("9b20");
@@ -128,7 +129,7 @@
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         Some(format!("{head}3\r\nmen\r\n1\r\nu\r\n0\r\n\r\n"))
     });
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     for cut in [0, 30, 100, 120] {
         let text = "POST /order HTTP/1.1\r\nX-Txn: 1\r\nIdempotency-Key: 5\r\nX-Remaining-Ms: 2000\r\n\
@@ -145,7 +146,7 @@
 fn beside_a_good_one(how: &'static str) -> (Sidecar, Endpoint, Endpoint) {
     let bad = Endpoint::start(move |_| if how == "break" { None } else { Some(how.to_string()) });
     let good = Endpoint::start(|_| ok("menu"));
-    (Sidecar::before(&[bad.at, good.at]), bad, good)
+    (Sidecar::start_with_endpoints(&[bad.at, good.at]), bad, good)
 }
 
 #[test]
@@ -177,7 +178,7 @@
 fn what_never_ran_is_sent_elsewhere() {
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let good = Endpoint::start(|_| ok("menu"));
-    let sidecar = Sidecar::before(&[nobody, good.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[nobody, good.at]);
     let turned = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     let (other, _bad, _good) = beside_a_good_one(turned);
     for _ in 0..6 {
@@ -195,7 +196,7 @@
     let answer =
         |request: &str| if request.contains("GET /view/odd") { Some(bad.to_string()) } else { ok("menu") };
     let endpoints = [Endpoint::start(answer), Endpoint::start(answer)];
-    let sidecar = Sidecar::before(&endpoints.each_ref().map(|endpoint| endpoint.at));
+    let sidecar = Sidecar::start_with_endpoints(&endpoints.each_ref().map(|endpoint| endpoint.at));
     let mut client = Client::connect(&sidecar);
     for number in 0..40 {
         client.send(format!("GET /view/odd HTTP/1.1\r\nX-Txn: odd{number}\r\n\r\n"));
@@ -215,7 +216,7 @@
     // It ends each connection after an answer, and does not say so.
     let endpoint =
         Endpoint::start(|_| Some("HTTP/1.1 200 OK\r\nX: close\r\nContent-Length: 0\r\n\r\n".to_string()));
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     for _ in 0..5 {
         client.order();
@@ -227,13 +228,13 @@
 #[test]
 fn what_comes_late_behind_an_answer_is_not_taken_for_the_next() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let sidecar = Sidecar::before(&[listener.local_addr().unwrap()]);
+    let sidecar = Sidecar::start_with_endpoints(&[listener.local_addr().unwrap()]);
     let (tell, written) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let tell = tell.clone();
             std::thread::spawn(move || {
-                while !stand_ins::message(&mut BufReader::new(&stream)).is_empty() {
+                while !stand_ins::read_message(&mut BufReader::new(&stream)).is_empty() {
                     stream.write_all(ok("menu").unwrap().as_bytes()).unwrap();
                     std::thread::sleep(Duration::from_millis(1));
                     // A second copy, or what was meant for somebody else.
@@ -259,7 +260,7 @@
         std::thread::sleep(Duration::from_millis(200));
         ok("late")
     });
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     client.view();
     assert!(endpoint.next().starts_with("GET /view/1"));
@@ -273,7 +274,7 @@
         std::thread::sleep(Duration::from_secs(60));
         None
     });
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     let asked = Instant::now();
     client.send("GET /view HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining-Ms: 300\r\n\r\n");
@@ -289,7 +290,7 @@
         ok("menu")
     });
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
-    let long = configuration(list().0, 1024, &known).replace("deadlineNs\":3", "deadlineNs\":6");
+    let long = configuration(start_discovery().0, 1024, &known).replace("deadlineNs\":3", "deadlineNs\":6");
     let (mut sidecar, mut empty) = (Sidecar::start(&long), Sidecar::start(&long));
     let connect = || Client::connect(&sidecar);
     let (mut busy, mut idle, mut late, mut stuck) = (connect(), connect(), connect(), connect());
@@ -329,7 +330,7 @@
     });
     // Room for eleven connections, of which clients may take eight.
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
-    let sidecar = Sidecar::start(&configuration(list().0, 27, &known));
+    let sidecar = Sidecar::start(&configuration(start_discovery().0, 27, &known));
     let mut idle: Vec<_> = (0..8).map(|_| Client::connect(&sidecar)).collect();
     for client in &mut idle {
         client.order();
@@ -360,7 +361,7 @@
 fn a_fresh_connection_does_not_make_room_before_its_first_request() {
     let endpoint = Endpoint::start(|_| ok("menu"));
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
-    let sidecar = Sidecar::start(&configuration(list().0, 27, &known));
+    let sidecar = Sidecar::start(&configuration(start_discovery().0, 27, &known));
     let open = |_| {
         std::thread::sleep(Duration::from_millis(5));
         Client::connect(&sidecar)
@@ -376,7 +377,8 @@
 fn memory_is_bounded_whatever_clients_leave_unread_or_unsaid() {
     let endpoint = Endpoint::start(|_| ok(&"x".repeat(60_000)));
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
-    let limits = configuration(list().0, 1024, &known).replace("\"memory_mb\":192", "\"memory_mb\":32");
+    let limits =
+        configuration(start_discovery().0, 1024, &known).replace("\"memory_mb\":192", "\"memory_mb\":32");
     let sidecar = Sidecar::start(&limits);
     let head = "POST /order HTTP/1.1\r\nX-Txn: 1\r\nIdempotency-Key: 5\r\nContent-Length: 65536\r\n\r\n";
     let mut unsaid: Vec<_> = (0..100).map(|_| Client::connect(&sidecar)).collect();
@@ -391,7 +393,7 @@
 #[test]
 fn the_list_is_followed_kept_and_asked_for_again() {
     let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let sidecar =
         Sidecar::start(&configuration(at, 1024, &list_of(41, true, &[entry("e0", old.at, 0, "up")])));
     let mut client = Client::connect(&sidecar);
@@ -437,7 +439,7 @@
 #[test]
 fn told_to_read_its_file_again_it_asks_the_list_that_is_named_there() {
     let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
-    let ((before, watches), (after, moved)) = (list(), list());
+    let ((before, watches), (after, moved)) = (start_discovery(), start_discovery());
     let known = list_of(41, true, &[entry("e0", old.at, 0, "up")]);
     // The variable of the start says as before, whatever the file says anew.
     let sidecar = Sidecar::start_with(
@@ -503,7 +505,7 @@
 
 /// A sidecar that follows a list before one endpoint, and the watch on that list.
 fn following(endpoint: &Endpoint) -> (Sidecar, std::net::TcpStream) {
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let sidecar = Sidecar::start(&configuration(at, 1024, &known));
     let (_, mut watch) = watches.recv().unwrap();
@@ -558,7 +560,7 @@
 #[test]
 fn drains_in_a_line_that_never_ends_are_kept_and_the_line_is_asked_for_again() {
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let known = list_of(41, true, &[entry("e0", one.at, 0, "up"), entry("e1", other.at, 1, "up")]);
     let sidecar = Sidecar::start(&configuration(at, 1024, &known));
     for cut in ["in a chunk", "at a chunk's end"] {
@@ -642,7 +644,7 @@
         let full = "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
         if others == 0 { ok("menu") } else { Some(full.to_string()) }
     });
-    let sidecar = Sidecar::before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
     let mut clients: Vec<_> = (0..8).map(|_| Client::connect(&sidecar)).collect();
     let mut served = 0;
     for _ in 0..10 {
@@ -671,7 +673,7 @@
     };
     let (idle, crowded) = (reporting("0,1"), reporting("30,40"));
     let entries = [entry("idle", idle.at, 0, "up"), entry("crowded", crowded.at, 1, "up")];
-    let mut text = configuration(list().0, 1024, &list_of(1, true, &entries));
+    let mut text = configuration(start_discovery().0, 1024, &list_of(1, true, &entries));
     let reports =
         r#""reporting":{"source":"on_probe","names":["backlog","outstanding"]},"ceilings":{"probes":true,"#;
     for (from, to) in [(r#""ceilings":{"#, reports)].iter().chain(changes) {
@@ -730,7 +732,7 @@
             move |request| if request.contains("X-Txn: away") { Some(full.into()) } else { ok("menu") },
         );
     let entries = [entry("e0", endpoint.at, 0, "up")];
-    let mut text = configuration(list().0, 1024, &list_of(1, true, &entries));
+    let mut text = configuration(start_discovery().0, 1024, &list_of(1, true, &entries));
     text.insert_str(text.len() - 1, r#","watch":{"ceilings":{"mostWriteOuts":1}}"#);
     let sidecar = Sidecar::start(&text);
     let mut client = Client::connect(&sidecar);
--- a/crates/sidecar/tests/stand_ins/mod.rs
+++ b/crates/sidecar/tests/stand_ins/mod.rs
@@ -1,6 +1,7 @@
-//! What a sidecar talks to, as small as it can be: endpoints and a list that do as a test says, and a client.
+//! Minimal fakes of what a sidecar talks to: endpoints and a discovery service controlled by the test, and a client.
+//! Also starts and inspects sidecar processes.
 
-// Each of the test programs uses a part of these.
+// Each test binary uses only some of these.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -14,24 +15,24 @@
 
 use rlimit::Resource;
 
-/// Longer than anything here takes; who waits for so long has failed.
+/// Timeout for every wait; well above what anything here takes.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-/// Waits for what is told by no event here.
-pub fn until(what: &str, there: impl FnMut() -> bool) {
-    until_or(what, there, String::new);
+/// Polls until the condition holds; panics after `PATIENCE`.
+pub fn wait_until(what: &str, there: impl FnMut() -> bool) {
+    wait_until_or(what, there, String::new);
 }
 
-/// The same, and says how things stand if it never comes.
-pub fn until_or(what: &str, mut there: impl FnMut() -> bool, stand: impl Fn() -> String) {
-    let asked = Instant::now();
+/// Like `wait_until`, with a description of the current state in the panic message.
+pub fn wait_until_or(what: &str, mut there: impl FnMut() -> bool, stand: impl Fn() -> String) {
+    let started = Instant::now();
     while !there() {
-        assert!(asked.elapsed() < PATIENCE, "never: {what}\n{}", stand());
+        assert!(started.elapsed() < PATIENCE, "never: {what}\n{}", stand());
     }
 }
 
-/// Reads up to the end of a message with a length or none; what came before the end, if that came first.
-pub fn message(from: &mut impl BufRead) -> String {
+/// Reads one HTTP message with a Content-Length or no body; returns what was read if the connection ends first.
+pub fn read_message(from: &mut impl BufRead) -> String {
     let (mut text, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
@@ -53,8 +54,8 @@
     text
 }
 
-/// An endpoint. Each request it reads goes to the test, and what the test says of it goes back: `None` ends the
-/// connection at once. Then what is written is always flushed.
+/// A fake endpoint. Each request that it reads is passed to the test, and the test's function gives the response:
+/// `None` closes the connection at once. Everything written before is flushed.
 pub struct Endpoint {
     pub at: SocketAddr,
     pub requests: Receiver<String>,
@@ -71,7 +72,7 @@
                 std::thread::spawn(move || {
                     let mut reader = BufReader::new(&stream);
                     loop {
-                        let request = message(&mut reader);
+                        let request = read_message(&mut reader);
                         let ended = request.is_empty();
                         if tell.send(if ended { "end".to_string() } else { request.clone() }).is_err()
                             || ended
@@ -90,7 +91,7 @@
     }
 
     pub fn next(&self) -> String {
-        self.requests.recv_timeout(PATIENCE).expect("a req reaches the endpoint")
+        self.requests.recv_timeout(PATIENCE).expect("a request reaches the endpoint")
     }
 }
 
@@ -98,17 +99,17 @@
     Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// How the answer begins that a watch is.
+/// Head of the response to a watch call.
 pub const OPEN: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// The list's service: each watch that is opened goes to the test, which writes what it likes to it.
-pub fn list() -> (SocketAddr, Receiver<(String, TcpStream)>) {
+/// A fake discovery service: each call is passed to the test, which writes the response.
+pub fn start_discovery() -> (SocketAddr, Receiver<(String, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let (tell, watches) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let call = message(&mut BufReader::new(&stream));
+            let call = read_message(&mut BufReader::new(&stream));
             if tell.send((call, stream)).is_err() {
                 return;
             }
@@ -117,9 +118,9 @@
     (at, watches)
 }
 
-/// The same, where each watch is told this list and nothing more.
-pub fn list_that_tells(list: &str) -> SocketAddr {
-    let (at, watches) = self::list();
+/// A fake discovery service that sends this list on each watch and nothing more.
+pub fn start_discovery_with(list: &str) -> SocketAddr {
+    let (at, watches) = self::start_discovery();
     let list = list.to_string();
     std::thread::spawn(move || {
         let mut open = Vec::new();
@@ -146,7 +147,7 @@
     format!(r#"{{"index":{index},"snapshot":{complete},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-/// Methods: `view`, retryable, and `order`, deduplicated within a cell.
+/// A configuration with two methods: `view`, retryable, and `order`, deduplicated within a cell.
 pub fn configuration(discovery: SocketAddr, sockets: u32, known: &str) -> String {
     let method = |name: &str, effect: &str| {
         format!(
@@ -166,19 +167,19 @@
     )
 }
 
-/// With these endpoints, each in a cell of its own, and a list that has no news.
-fn before(endpoints: &[SocketAddr]) -> String {
+/// A configuration with these endpoints, each in its own cell, and a discovery service that sends no changes.
+fn configuration_with_endpoints(endpoints: &[SocketAddr]) -> String {
     let cells = endpoints.iter().zip(0..);
     let entries: Vec<_> = cells.map(|(at, cell)| entry(&format!("e{cell}"), *at, cell, "up")).collect();
-    configuration(list().0, 1024, &list_of(1, true, &entries))
+    configuration(start_discovery().0, 1024, &list_of(1, true, &entries))
 }
 
-/// The configuration with a second address.
-pub fn asked(configuration: &str) -> String {
+/// Adds an admin endpoint to a configuration.
+pub fn with_admin_endpoint(configuration: &str) -> String {
     configuration.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new temporary file.
 pub fn file(text: &str) -> PathBuf {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -190,11 +191,11 @@
 pub struct Sidecar {
     child: Child,
     pub at: SocketAddr,
-    /// Where operators call.
+    /// Address of the admin endpoint.
     operator: Option<SocketAddr>,
-    /// Its configuration.
+    /// Its configuration file.
     pub file: PathBuf,
-    /// What it has logged since it listened.
+    /// Lines logged since it began to listen.
     log: Arc<Mutex<Vec<String>>>,
 }
 
@@ -203,14 +204,14 @@
         Sidecar::start_with(configuration, &[])
     }
 
-    /// With these variables.
+    /// Starts with these environment variables.
     pub fn start_with(configuration: &str, variables: &[(&str, &str)]) -> Sidecar {
         let mut program = Command::new(env!("CARGO_BIN_EXE_appledyke-sidecar"));
         program.envs(variables.iter().copied());
         Sidecar::launch(program, configuration)
     }
 
-    /// Where the process itself may open so many descriptors.
+    /// Starts with this soft limit on file descriptors.
     pub fn start_within(configuration: &str, descriptors: u64) -> Sidecar {
         let mut shell = Command::new("sh");
         let line = format!("ulimit -S -n {descriptors} && exec \"$0\" \"$@\"");
@@ -244,40 +245,40 @@
         Sidecar { child, at, operator, file: path, log: lines }
     }
 
-    /// The lines that it has logged since it listened and that have this in them.
+    /// The lines logged since it began to listen that contain `what`.
     pub fn logged(&self, what: &str) -> Vec<String> {
         self.log.lock().unwrap().iter().filter(|line| line.contains(what)).cloned().collect()
     }
 
-    /// With these endpoints, each in a cell of its own, and a list that has no news.
-    pub fn before(endpoints: &[SocketAddr]) -> Sidecar {
-        Sidecar::start(&before(endpoints))
+    /// Starts a sidecar with these endpoints, each in its own cell, and a discovery service that sends no changes.
+    pub fn start_with_endpoints(endpoints: &[SocketAddr]) -> Sidecar {
+        Sidecar::start(&configuration_with_endpoints(endpoints))
     }
 
-    /// The same, with a second address for operators.
-    pub fn asked_before(endpoints: &[SocketAddr]) -> Sidecar {
-        Sidecar::start(&asked(&before(endpoints)))
+    /// Like `start_with_endpoints`, with an admin endpoint.
+    pub fn start_with_admin_endpoint(endpoints: &[SocketAddr]) -> Sidecar {
+        Sidecar::start(&with_admin_endpoint(&configuration_with_endpoints(endpoints)))
     }
 
-    /// A connection to the operators' address.
-    pub fn caller(&self) -> TcpStream {
+    /// Opens a connection to the admin endpoint.
+    pub fn admin_connection(&self) -> TcpStream {
         let stream = TcpStream::connect(self.operator.expect("an operators' address")).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream
     }
 
-    /// What it answers an operator, up to the connection's end.
-    pub fn told(&self, line: &str) -> String {
-        let mut caller = self.caller();
+    /// Sends a command to the admin endpoint and returns the response.
+    pub fn admin_command(&self, line: &str) -> String {
+        let mut caller = self.admin_connection();
         caller.write_all(line.as_bytes()).unwrap();
         let mut answer = String::new();
         caller.read_to_string(&mut answer).unwrap();
         answer
     }
 
-    /// One of its figures.
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = self.told("show-stat\n");
+    /// The value of one of its metrics.
+    pub fn metric(&self, name: &str) -> u64 {
+        let text = self.admin_command("show-stat\n");
         assert!(text.ends_with("\nEOF\n"), "{text}");
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         value.unwrap_or_else(|| panic!("{name} in\n{text}")).parse().expect("a number")
@@ -288,7 +289,8 @@
         assert!(told.success());
     }
 
-    /// Does this while the process stands still: what it makes ready is there before the next turn of the loop.
+    /// Runs `make_ready` while the process is stopped, so that everything it causes is there before the next turn of
+    /// the event loop.
     pub fn in_one_turn(&self, make_ready: impl FnOnce()) {
         self.signal("-STOP");
         let stands = |stat: String| stat.rsplit(')').next().unwrap().trim_start().starts_with('T');
@@ -297,8 +299,8 @@
         self.signal("-CONT");
     }
 
-    /// How many descriptors it has up to the last of its sockets, and how many lie free below that. Others may have been
-    /// handed to it far behind these.
+    /// How many file descriptors it has up to its highest socket, and how many are free below that. Inherited
+    /// descriptors may have much higher numbers.
     pub fn descriptors(&self) -> (u64, u64) {
         let open = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap();
         let number =
@@ -312,9 +314,9 @@
         (count, last + 1 - count)
     }
 
-    /// Leaves so many descriptors free for it, by its own soft limit. Returns whether that could be: not where some lie
-    /// free below the last.
-    pub fn leaves_free(&self, descriptors: u64) -> bool {
+    /// Lowers its soft limit so that this many file descriptors are free. Returns whether that was possible: not if
+    /// some are free below the highest socket.
+    pub fn limit_free_descriptors(&self, descriptors: u64) -> bool {
         let mut could = false;
         self.in_one_turn(|| {
             let (open, below) = self.descriptors();
@@ -330,24 +332,24 @@
         could
     }
 
-    /// Waits until it has so many requests whose clients wait.
-    pub fn until_open(&self, requests: u64) {
-        until("so many open", || self.figure("sidecar_pending") == requests);
+    /// Waits until it has this many pending requests.
+    pub fn wait_pending(&self, requests: u64) {
+        wait_until("so many open", || self.metric("sidecar_pending") == requests);
     }
 
     pub fn end(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
 
-    /// Most memory that it has used, in bytes.
+    /// Its peak memory use in bytes.
     pub fn memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
         most.split_whitespace().next().unwrap().parse::<u64>().unwrap() * 1024
     }
 
-    /// How long it and the calling thread have waited for a processor, as the machine counts it: what is not theirs of a
-    /// time that was taken while others compute.
+    /// How long the process and the calling thread have waited for a CPU according to the kernel, to be subtracted
+    /// from times measured on a busy machine.
     pub fn waited(&self) -> Duration {
         let of = |path: &str| {
             let counts = std::fs::read_to_string(path).unwrap();
@@ -356,7 +358,7 @@
         of(&format!("/proc/{}/schedstat", self.child.id())) + of("/proc/thread-self/schedstat")
     }
 
-    /// Seconds of CPU that it has used.
+    /// CPU time used, in seconds.
     pub fn cpu(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
@@ -372,7 +374,7 @@
     }
 }
 
-/// Ids are new with every request.
+/// A new id for each request.
 fn new_id() -> String {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     format!("{:08x}", NUMBER.fetch_add(1, Ordering::Relaxed))
@@ -409,12 +411,12 @@
         self.send(order(id));
     }
 
-    /// Whether an order could be sent, on a connection that may have ended.
+    /// Sends an order on a connection that may be closed; returns whether the write succeeded.
     pub fn try_order(&mut self) -> bool {
         self.0.get_mut().write_all(order(&new_id()).as_bytes()).is_ok()
     }
 
-    /// Sends until the sidecar takes no more, without reading. Returns how many bytes went.
+    /// Sends without reading until the sidecar stops accepting data. Returns the bytes sent.
     pub fn flood(&mut self, text: &str, most: usize) -> usize {
         let stream = self.0.get_mut();
         stream.set_write_timeout(Some(Duration::from_millis(100))).unwrap();
@@ -425,34 +427,34 @@
         sent
     }
 
-    /// Its own end of the connection.
+    /// The local port of the connection.
     pub fn port(&self) -> u16 {
         self.0.get_ref().local_addr().unwrap().port()
     }
 
-    /// Goes with a reset in place of an end.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         socket2::SockRef::from(self.0.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// Ends its sending alone, and stays.
+    /// Shuts down the sending side and keeps the connection open.
     pub fn end_sending(self) {
         self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
         std::mem::forget(self);
     }
 
     /// Whether the connection is open, with nothing to read.
-    pub fn rests(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).unwrap();
-        let rests = stream.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
+        let idle = stream.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
         stream.set_nonblocking(false).unwrap();
-        rests
+        idle
     }
 
-    /// The next answer; what came of it if the connection ended before.
+    /// Reads the next response, or the part of it before the connection ended.
     pub fn answer(&mut self) -> String {
-        message(&mut self.0)
+        read_message(&mut self.0)
     }
 
     pub fn status(&mut self) -> String {
@@ -468,8 +470,8 @@
     }
 }
 
-/// Asks until this endpoint serves, as a list takes effect a moment after it was written. Whatever else is
-/// listed, each request is answered.
+/// Sends requests until this endpoint serves one, as a list takes effect shortly after it was written. Every request
+/// must be answered, whatever else is listed.
 pub fn until_served_by(sidecar: &Sidecar, body: &str) {
     let mut client = Client::connect(sidecar);
     for _ in 0..2000 {
@@ -483,7 +485,7 @@
     panic!("never served by {body}");
 }
 
-/// Connections in the machine's table from this port to that one, in this state.
+/// Counts the connections in the kernel's table from one port to another in this state.
 pub fn connections(from: Option<u16>, to: u16, state: &str) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let there = |line: &&str| {
@@ -494,30 +496,31 @@
     table.lines().skip(1).filter(there).count()
 }
 
-/// The rows of the machine's table with one of these ports at either end, in whatever state.
-pub fn rows(ports: &[u16]) -> String {
+/// The rows of the kernel's connection table with one of these ports at either end.
+pub fn tcp_table_rows(ports: &[u16]) -> String {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let of = |line: &&str| ports.iter().any(|port| line.contains(&format!(":{port:04X} ")));
     table.lines().filter(of).map(|line| format!("{line}\n")).collect()
 }
 
-/// A listener with no room: connects to it are under way until those that fill it have been accepted. With a backlog of
-/// 0 one that waits fills it. Danger: a connect that took long on a busy machine passed for one that found no room.
-pub fn full() -> (TcpListener, Vec<TcpStream>) {
+/// A listener with a full backlog: connects to it stay pending until the connections that fill it are accepted. With
+/// a backlog of 0 one waiting connection fills it. Danger: on a busy machine a slow connect could be mistaken for one
+/// that found no room, so the kernel's count is awaited.
+pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
     listener.listen(0).unwrap();
     let listener = TcpListener::from(listener);
     let at = listener.local_addr().unwrap();
     let filler = TcpStream::connect(at).unwrap();
-    // The machine's table tells of a listener how many wait there.
-    until("it is full", || queued(|own, other| (own, other) == (at.port(), 0)) == 1);
+    // For a listener the kernel's table has the number of waiting connections.
+    wait_until("it is full", || receive_queue(|own, other| (own, other) == (at.port(), 0)) == 1);
     (listener, vec![filler])
 }
 
-/// What stands unread at the ends of connections for which this holds of their own port and the other's, by the machine's
-/// table: bytes, and at a listener, whose other port is 0, the connections that wait to be accepted.
-pub fn queued(counts: impl Fn(u16, u16) -> bool) -> usize {
+/// Sums the receive queues in the kernel's table of the connections selected by local and remote port: unread bytes
+/// and, for a listener, whose remote port is 0, the connections waiting to be accepted.
+pub fn receive_queue(counts: impl Fn(u16, u16) -> bool) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let number = |text: &str| usize::from_str_radix(text.rsplit(':').next().unwrap(), 16).unwrap();
     let lines = table.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>());
@@ -525,16 +528,17 @@
     counted.map(|words| number(words[4])).sum()
 }
 
-/// How many connects to this port are under way.
+/// How many connects to this port are pending.
 pub fn connecting(port: u16) -> usize {
     connections(None, port, "02")
 }
 
-/// Makes room at a full listener, and awaits that nothing is under way to it but what was before; what came of that.
-pub fn sent_late(listener: &TcpListener, fillers: &[TcpStream], before: usize) -> Vec<String> {
+/// Makes room at a full listener and waits until no more connects are pending than before. Returns what was sent on
+/// the connections.
+pub fn accept_late(listener: &TcpListener, fillers: &[TcpStream], before: usize) -> Vec<String> {
     let port = listener.local_addr().unwrap().port();
     fillers.iter().for_each(|_| drop(listener.accept().unwrap()));
-    until("no connect", || connecting(port) <= before);
+    wait_until("no connect", || connecting(port) <= before);
     listener.set_nonblocking(true).unwrap();
     let mut sent = Vec::new();
     while let Ok((mut late, _)) = listener.accept() {
--- a/crates/sidecar/tests/trace.rs
+++ b/crates/sidecar/tests/trace.rs
@@ -9,21 +9,22 @@
 use appledyke_sidecar::logger;
 use appledyke_sidecar::trace::EndpointStates;
 use stand_ins::{
-    Client, Endpoint, OPEN, Sidecar, asked, configuration, entry, list, list_of, ok, until, watch_line,
+    Client, Endpoint, OPEN, Sidecar, configuration, entry, list_of, ok, start_discovery, wait_until,
+    watch_line, with_admin_endpoint,
 };
 
 /// A sidecar that logs single requests, and its first watch.
 fn traced(endpoints: &[&Endpoint]) -> (Sidecar, std::net::TcpStream) {
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let entries: Vec<_> =
         endpoints.iter().zip(0..).map(|(e, cell)| entry(&format!("e{cell}"), e.at, cell, "up")).collect();
     let known = list_of(1, true, &entries);
-    let text = asked(&configuration(at, 1024, &known));
+    let text = with_admin_endpoint(&configuration(at, 1024, &known));
     let sidecar = Sidecar::start_with(&text, &[("BALANCER_LOG", "debug")]);
     let (_, mut watch) = watches.recv_timeout(Duration::from_secs(10)).unwrap();
     watch.write_all(OPEN).unwrap();
     watch_line(&mut watch, &known);
-    until("the list is heard", || sidecar.figure("sidecar_discovery_version") == 1);
+    wait_until("the list is heard", || sidecar.metric("sidecar_discovery_version") == 1);
     (sidecar, watch)
 }
 
@@ -40,15 +41,15 @@
     let status = asks(&sidecar, "abc7");
     assert!(status == "502" || status == "503", "{status}");
     let lines = || sidecar.logged("request abc7");
-    until("its answer is logged", || {
+    wait_until("its answer is logged", || {
         lines().iter().any(|line| line.contains(&format!("answered {status} here")))
     });
     for part in ["taken", "attempt 0 to e0, list version 1", "attempt 0 at e0 ended", "Broken"] {
         assert!(lines().iter().any(|line| line.contains(part)), "{part} in {:?}", lines());
     }
-    assert!(sidecar.figure("sidecar_attempts{outcome=\"reset\"}") >= 1);
+    assert!(sidecar.metric("sidecar_attempts{outcome=\"reset\"}") >= 1);
     let here = ["throttled", "no_retry", "no_endpoint", "time_over", "queue_full"];
-    let here = here.map(|reason| sidecar.figure(&format!("sidecar_answered_here{{reason=\"{reason}\"}}")));
+    let here = here.map(|reason| sidecar.metric(&format!("sidecar_answered_here{{reason=\"{reason}\"}}")));
     assert_eq!(here.iter().sum::<u64>(), 1);
 }
 
@@ -59,10 +60,10 @@
     for number in 0..20 {
         asks(&sidecar, &format!("r{number}"));
     }
-    let retries = sidecar.figure("sidecar_retries{outcome=\"reset\"}");
+    let retries = sidecar.metric("sidecar_retries{outcome=\"reset\"}");
     let logged = || sidecar.logged(", a retry after reset").len() as u64;
     assert!(retries >= 1);
-    until("all are logged", || logged() == retries);
+    wait_until("all are logged", || logged() == retries);
 }
 
 #[test]
@@ -70,22 +71,26 @@
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
     let (sidecar, mut watch) = traced(&[&one, &other]);
     watch_line(&mut watch, &list_of(2, false, &[entry("e1", other.at, 1, "draining")]));
-    until("the drain is logged", || !sidecar.logged("list version 2: 1 endpoints, draining: e1").is_empty());
+    wait_until("the drain is logged", || {
+        !sidecar.logged("list version 2: 1 endpoints, draining: e1").is_empty()
+    });
     watch_line(&mut watch, &list_of(3, true, &[entry("e0", one.at, 0, "up")]));
-    until("the loss is logged", || !sidecar.logged("list version 3: 1 endpoints, removed: e1").is_empty());
+    wait_until("the loss is logged", || {
+        !sidecar.logged("list version 3: 1 endpoints, removed: e1").is_empty()
+    });
 }
 
 #[test]
 fn a_call_that_is_turned_away_is_counted_with_its_reason() {
-    let (at, watches) = list();
+    let (at, watches) = start_discovery();
     let one = Endpoint::start(|_| ok("one"));
     let known = list_of(1, true, &[entry("e0", one.at, 0, "up")]);
-    let sidecar = Sidecar::start(&asked(&configuration(at, 1024, &known)));
+    let sidecar = Sidecar::start(&with_admin_endpoint(&configuration(at, 1024, &known)));
     let (_, mut call) = watches.recv_timeout(Duration::from_secs(10)).unwrap();
     call.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").unwrap();
     let reason = "sidecar_discovery_calls_failed{reason=\"turned_away\"}";
-    until("it is counted", || sidecar.figure(reason) == 1);
-    until("it is logged", || !sidecar.logged("answered 503; call 1 took").is_empty());
+    wait_until("it is counted", || sidecar.metric(reason) == 1);
+    wait_until("it is logged", || !sidecar.logged("answered 503; call 1 took").is_empty());
 }
 
 #[test]
