--- a/crates/sidecar/tests/belongs.rs
+++ b/crates/sidecar/tests/belongs.rs
@@ -1,4 +1,4 @@
-//! What a sidecar belongs to, by the operators' key, and what it kept as one that belonged elsewhere.
+//! A sidecar's locality in the configuration, and settings that were saved under another locality.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -42,7 +42,7 @@
     }
 }
 
-/// Danger: another service's settings, under a version that is later than that of this one's, would never be left again.
+/// Danger: settings of another service with a later version than this one's own would never be replaced.
 #[test]
 fn what_was_kept_as_one_that_belonged_elsewhere_is_passed_over() {
     let path = path("kept");
@@ -62,7 +62,7 @@
             format!("kept by a process that belonged to service=menu, zone=a1, and this one does to {own}");
         assert_eq!(why, format!("fleet.keep: {}: {said}", path.display()));
     }
-    // As earlier builds kept it, and as one without a locality does still, to the byte.
+    // Byte for byte as earlier builds saved it, and as a sidecar without a locality still does.
     agreed.save(&path, None).unwrap();
     assert_eq!(fs::read_to_string(&path).unwrap(), r#"{"settings":{"rules":{}},"version":"2.7"}"#);
     assert_eq!(read(&Value::Null, &path).unwrap().load_saved(), Ok(Some(agreed)));
--- a/crates/sidecar/tests/crossings.rs
+++ b/crates/sidecar/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, on real sockets among stand-ins: each crossing is held open until it is there, and awaited.
-//! `docs/crossings.md` lists the pairs.
+//! Pairs of events that coincide, on real sockets with fake peers: each test sets up the coincidence and waits until
+//! it is there. `docs/crossings.md` lists the pairs.
 
 mod stand_ins;
 
--- a/crates/sidecar/tests/crossings/descriptors.rs
+++ b/crates/sidecar/tests/crossings/descriptors.rs
@@ -1,5 +1,5 @@
-//! Descriptors that run out: idle clients fill them, and the list, the endpoints, operators and the health check get
-//! theirs all the same.
+//! File descriptors that run out: idle clients use them up, and service discovery, endpoints, operators and the
+//! health check get theirs all the same.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,27 +17,28 @@
 };
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
-/// Longer than a connection is safe from making room before its request is whole.
+/// Longer than a connection is protected from being closed for room before its request is complete.
 const SAFE_FOR: Duration = Duration::from_millis(1050);
-/// Idle clients that are made ready for most tests.
+/// Number of idle clients in most tests.
 const CROWD: usize = 8;
-/// Places of clients in a process that may open `LIMIT`, and one that is taken before another goes.
+/// Client connections in a process with the soft limit `LIMIT`, including one that is accepted before another is
+/// closed.
 const PLACES: usize = 23;
 const LIMIT: u64 = 64;
-/// More than go through these within anybody's patience at a second for each filling.
+/// More clients than could pass through these places within the test's timeout at one second for each filling.
 const LONG_CROWD: usize = 400;
-/// Between two bytes of a client that writes slowly, and less than one may pause.
+/// Interval between two bytes of a slow client, and a pause shorter than the one allowed.
 const SLOWLY: Duration = Duration::from_millis(45);
 const PAUSE: Duration = Duration::from_millis(90);
-/// Tries at writing without a pause, which a busy machine may prevent.
+/// Attempts to write without a longer pause, which a busy machine may prevent.
 const TRIES: usize = 20;
-/// For so long a new one is that has brought nothing, whoever waits outside.
+/// How long a new silent connection is protected while others wait to be accepted.
 const SAFE_SILENT_FOR: Duration = Duration::from_millis(100);
 
-/// How idle clients hold their connections.
+/// The state in which idle clients keep their connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Idle {
-    /// Nothing was ever sent.
+    /// Nothing was sent.
     Silent,
     /// Between two requests.
     Rests,
@@ -45,7 +46,7 @@
     HalfHead,
 }
 
-/// A client that has been answered and rests.
+/// A client that has been answered and is idle.
 fn resting(sidecar: &Sidecar) -> Client {
     let mut client = Client::connect(sidecar);
     client.send(HEALTH);
@@ -53,18 +54,18 @@
     client
 }
 
-/// Clients that are in the process, idle, and may go for room.
+/// Accepted idle clients that may be closed to make room.
 fn crowd(sidecar: &Sidecar, idle: Idle) -> Vec<Client> {
     let mut crowd: Vec<_> = (0..CROWD).map(|_| resting(sidecar)).collect();
     if idle == Idle::HalfHead {
-        // Nothing is awaited here: it is time that has to pass.
+        // No event to wait for: the protection simply has to expire.
         std::thread::sleep(SAFE_FOR);
         crowd.iter_mut().for_each(|client| client.send("GET /view/1 HT"));
     }
     crowd
 }
 
-/// Leaves so many descriptors free. Those that lie free below others are taken up by clients that rest.
+/// Leaves this many descriptors free. Gaps below the highest socket are filled with idle clients.
 fn leave_free(sidecar: &Sidecar, crowd: &mut Vec<Client>, descriptors: u64) {
     wait_until("none lies free below the last", || {
         sidecar.limit_free_descriptors(descriptors) || {
@@ -74,8 +75,7 @@
     });
 }
 
-/// How many of these have been ended: without a word, but for the crowd's own with half a head, which are told to come
-/// again.
+/// How many of these were closed: without a response, except for those with half a head, which are told to retry.
 fn gone(crowd: &mut [Client], idle: Idle) -> usize {
     let ended: Vec<_> = crowd.iter_mut().zip(0..).filter(|(client, _)| !client.is_idle()).collect();
     let each = ended.into_iter().map(|(client, place)| {
@@ -88,14 +88,14 @@
     each.count()
 }
 
-/// Whether this tells that a request never ran, when to come again, and that its connection ends.
+/// Whether this response says that the request was not processed, when to retry, and that the connection closes.
 fn comes_again(answer: &str) -> bool {
     let says = |line| answer.contains(line);
     answer.starts_with("HTTP/1.1 503 ") && says("Retry-After: ") && says("Connection: close")
 }
 
-/// A list's service that is down, and ends each call at once, until it is told to be up. From then on calls go to the
-/// test.
+/// A fake discovery service that closes each call at once until it is switched on. From then on calls are passed to
+/// the test.
 fn service() -> (SocketAddr, Arc<AtomicBool>, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -115,7 +115,7 @@
     (at, up, calls)
 }
 
-/// With this endpoint in a list that it knows, and a second address; the list's service is down.
+/// A configuration with these endpoints in the known list and an admin endpoint; the discovery service is down.
 fn settings(endpoints: &[SocketAddr]) -> (String, Arc<AtomicBool>, Receiver<TcpStream>) {
     let (at, up, calls) = service();
     let entries: Vec<_> =
@@ -123,22 +123,22 @@
     (with_admin_endpoint(&configuration(at, 1024, &list_of(1, true, &entries))), up, calls)
 }
 
-/// For each way to be idle, and 0, 1 and 2 descriptors that are free.
+/// Runs the test for each idle state with 0, 1 and 2 free descriptors.
 fn each(mut play: impl FnMut(Idle, u64)) {
     for idle in [Idle::Rests, Idle::HalfHead] {
         (0..=2).for_each(|free| play(idle, free));
     }
 }
 
-/// Danger: where the process may open less than the file allows, clients filled all of it, and neither the list nor an
-/// endpoint, an operator or the file itself could be opened.
+/// Danger: where the process's soft limit is below the configured one, clients used up all descriptors, and neither
+/// discovery nor an endpoint, an operator or the configuration file could be opened.
 #[test]
 fn clients_leave_room_within_the_limit_of_the_process_itself() {
     for idle in [Idle::Silent, Idle::Rests, Idle::HalfHead] {
         let endpoint = Endpoint::start(|_| ok("menu"));
         let (text, up, calls) = settings(&[endpoint.at]);
         let sidecar = Sidecar::start_within(&text, 64);
-        // Of 30 connections clients may have 22, and one more that is taken before another goes.
+        // Of 30 connections clients may have 22, and one more that is accepted before another is closed.
         let crowd: Vec<_> = (0..70)
             .map(|_| {
                 let mut client = Client::connect(&sidecar);
@@ -166,13 +166,13 @@
         wait_until("read again", || sidecar.metric("sidecar_config_reloads") == 1);
         up.store(true, Ordering::SeqCst);
         calls.recv_timeout(Duration::from_secs(6)).expect("the list is called");
-        // Standing ones, the list's, and the callers that may come: what clients never take.
+        // The fixed descriptors, discovery's, and those reserved for admin connections: clients never use these.
         assert!(most <= 64 - 18, "{idle:?}: {most} open");
         drop(crowd);
     }
 }
 
-/// Danger: where a process may open less than is kept for all that is no client, it would not start, though it can serve.
+/// Danger: a process whose soft limit is below the reserved descriptors did not start, although it can serve.
 #[test]
 fn a_process_that_may_open_less_than_is_kept_serves() {
     let endpoint = Endpoint::start(|_| ok("menu"));
@@ -180,8 +180,9 @@
     let sidecar = Sidecar::start_within(&text, 24);
     let crowd: Vec<_> = (0..20).map(|_| Client::connect(&sidecar)).collect();
     drop(resting(&sidecar));
-    // A new client is safe, also from a request that wants a connection: until the crowd may go it may be told to come again.
-    // Danger: one that has been answered is not, and on a busy machine it had gone for another before it asked again.
+    // A new client is protected, also from a request that needs a connection: until the crowd may be closed the
+    // request may be told to retry. Danger: a client that has been answered is not protected, and on a busy machine
+    // it was closed for another before it sent the next request.
     wait_until("it is served", || {
         let came = Instant::now();
         let mut client = Client::connect(&sidecar);
@@ -196,13 +197,13 @@
     drop(crowd);
 }
 
-/// Danger: of a crowd that says nothing each was safe for a second, and the health check waited behind all that came
+/// Danger: each client of a silent crowd was protected for a second, and the health check waited behind all that came
 /// before it.
 #[test]
 fn the_health_check_does_not_wait_for_long_behind_a_crowd_that_says_nothing() {
     let (text, ..) = settings(&[]);
     let sidecar = Sidecar::start_within(&text, 64);
-    // At a second for each of 22 places they would take 18 s, longer than anybody here waits.
+    // At one second for each filling of the 22 places they would take 18 s, longer than the tests wait.
     let crowd: Vec<_> = (0..400).map(|_| Client::connect(&sidecar)).collect();
     let mut check = Client::connect(&sidecar);
     check.send(HEALTH);
@@ -210,7 +211,7 @@
     drop(crowd);
 }
 
-/// A crowd that comes, each with half a head, and rests.
+/// A crowd of clients that send half a head each and then pause.
 fn half_heads(sidecar: &Sidecar) -> Vec<Client> {
     let half_head = |_| {
         let mut client = Client::connect(sidecar);
@@ -220,8 +221,8 @@
     (0..LONG_CROWD).map(half_head).collect()
 }
 
-/// Danger: of a crowd that sends half a head and rests each was safe for a second, and the health check waited behind all
-/// that came before it.
+/// Danger: each client of a crowd that sends half a head and pauses was protected for a second, and the health check
+/// waited behind all that came before it.
 #[test]
 fn the_health_check_does_not_wait_for_long_behind_a_crowd_of_half_heads() {
     let (text, ..) = settings(&[]);
@@ -230,15 +231,15 @@
     let mut check = Client::connect(&sidecar);
     check.send(HEALTH);
     assert_eq!(check.status(), "200");
-    // Who went for it was told so. The last ones may have had all their time meanwhile.
+    // Clients closed for it were told to retry. The last ones may have timed out meanwhile.
     let told = crowd.iter_mut().filter(|client| !client.is_idle()).map(|client| client.answer());
     let (come_again, others): (Vec<_>, Vec<_>) = told.partition(|answer| comes_again(answer));
     assert!(come_again.len() >= LONG_CROWD - PLACES, "{}", come_again.len());
     assert!(others.iter().all(|answer| answer.starts_with("HTTP/1.1 408 ")), "{others:?}");
 }
 
-/// Danger: a connect that finds no room in the backlog is lost, and made again by its machine after 1, 3 and 7 s, behind
-/// whoever comes meanwhile.
+/// Danger: a connect that finds the backlog full is dropped, and retransmitted by its kernel after 1, 3 and 7 s,
+/// behind whoever connects meanwhile.
 #[test]
 fn a_crowd_waits_in_the_backlog_whether_or_not_there_is_a_second_address() {
     let plain = configuration(start_discovery().0, 1024, "null");
@@ -257,8 +258,8 @@
     }
 }
 
-/// Danger: who writes slowly is older than a crowd that comes after it, and went before all of that; and once it is older
-/// than what is safe at all it went with that.
+/// Danger: a slow writer is older than a crowd that connects after it and was closed before all of that; and once
+/// older than the protection it was closed together with the crowd.
 #[test]
 fn a_client_that_writes_slowly_is_served_beside_a_crowd_of_half_heads() {
     let endpoint = Endpoint::start(|_| ok("menu"));
@@ -271,7 +272,7 @@
             let crowd = scope.spawn(|| half_heads(&sidecar));
             let (mut wrote, mut pause) = (Instant::now(), Duration::ZERO);
             for byte in b"GET /view/1 HTTP/1.1\r\nX-Txn: 1\r\n\r\n" {
-                // One that has been turned away meanwhile hears of it below.
+                // A client rejected meanwhile reads that below.
                 let _ = slow.write_all(&[*byte]);
                 pause = pause.max(wrote.elapsed());
                 wrote = Instant::now();
@@ -288,7 +289,7 @@
     panic!("the machine is too busy to write slowly");
 }
 
-/// Danger: a caller for whom there was no descriptor brings no further event, and waited for the next caller.
+/// Danger: an admin connection that found no descriptor causes no further event, and waited for the next connection.
 #[test]
 fn an_operator_is_answered_when_no_descriptor_is_free() {
     each(|idle, free| {
@@ -302,12 +303,12 @@
             caller.read_to_string(&mut answer).unwrap();
             assert!(answer.ends_with("EOF\n"), "{idle:?}, {free} free: {answer}");
         }
-        // One for each, and one more for the look whether another waits.
+        // One for each, and one more for the check whether another waits.
         assert!(gone(&mut crowd, idle) <= 3, "{idle:?}, {free} free");
     });
 }
 
-/// Danger: a full process answered its health check only once idle clients had run out of time.
+/// Danger: a process without free descriptors answered its health check only once idle clients had timed out.
 #[test]
 fn the_health_check_is_answered_when_no_descriptor_is_free() {
     each(|idle, free| {
@@ -319,13 +320,13 @@
             check.send(HEALTH);
             assert_eq!(check.status(), "200", "{idle:?}, {free} free");
         }
-        // One for each, and one more for the look whether another waits.
+        // One for each, and one more for the check whether another waits.
         assert!(gone(&mut crowd, idle) <= 3, "{idle:?}, {free} free");
     });
 }
 
-/// Danger: each call for which there was no descriptor counted as a failure of the list's service, so it waited longer
-/// and longer, and was never made while clients held all.
+/// Danger: each discovery call that found no descriptor counted as a failure of the service, so the delay grew, and
+/// the call was never made while clients held all descriptors.
 #[test]
 fn the_list_is_called_when_no_descriptor_is_free() {
     each(|idle, free| {
@@ -336,13 +337,13 @@
         up.store(true, Ordering::SeqCst);
         let mut watch = calls.recv_timeout(Duration::from_secs(5)).expect("it is called");
         let gone = gone(&mut crowd, idle);
-        // One may have gone for a call that was under way before.
+        // One may have been closed for a call that was pending before.
         assert!(gone <= 2, "{idle:?}, {free} free: {gone} gone");
         watch.write_all(OPEN).unwrap();
     });
 }
 
-/// Danger: a request whose connection to an endpoint could not be opened was turned away while others rested.
+/// Danger: a request whose endpoint connection could not be opened was rejected while other clients were idle.
 #[test]
 fn a_request_is_sent_when_no_descriptor_is_free() {
     each(|idle, free| {
@@ -350,7 +351,7 @@
         let (sidecar, _watch) = watching(&[endpoint.at]);
         let mut client = resting(&sidecar);
         let mut crowd = crowd(&sidecar, idle);
-        // It is not the one that has rested for longest.
+        // It is not the one that has been idle for longest.
         client.send(HEALTH);
         assert_eq!(client.status(), "200");
         leave_free(&sidecar, &mut crowd, free);
@@ -359,7 +360,7 @@
     });
 }
 
-/// What holds back the answers to requests that say so.
+/// Holds back the responses to marked requests.
 #[derive(Clone, Default)]
 struct Hold(Arc<(Mutex<bool>, Condvar)>);
 
@@ -380,7 +381,8 @@
     }
 }
 
-/// A sidecar whose watch is open, and what keeps it open. Requests stay out for as long as a test may take.
+/// A sidecar with an open watch, and the stream that keeps it open. Requests stay in flight for as long as a test may
+/// take.
 fn watching(endpoints: &[SocketAddr]) -> (Sidecar, TcpStream) {
     let (text, up, calls) = settings(endpoints);
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":200000000000");
@@ -389,7 +391,7 @@
     let sidecar = Sidecar::start(&text);
     let mut watch = calls.recv_timeout(Duration::from_secs(6)).expect("it is called");
     watch.write_all(OPEN).unwrap();
-    // Its beats go on: what the list does is not to set one free.
+    // Its heartbeats continue, so that discovery does not free a descriptor.
     let mut beats = watch.try_clone().unwrap();
     std::thread::spawn(move || {
         while beats.write_all(b"1\r\n\n\r\n").is_ok() {
@@ -399,7 +401,7 @@
     (sidecar, watch)
 }
 
-/// Clients in the middle of requests, until no descriptor lies free below others.
+/// Starts clients with requests in flight until no descriptor is free below the highest socket.
 fn held(sidecar: &Sidecar, endpoints: &[&Endpoint]) -> Vec<Client> {
     let mut held = Vec::new();
     while held.is_empty() || sidecar.descriptors().1 > 0 {
@@ -411,8 +413,8 @@
     held
 }
 
-/// Danger: with all clients in the middle of requests an idle connection to one endpoint kept the descriptor that another's
-/// was to have.
+/// Danger: while all clients had requests in flight, an idle connection to one endpoint kept the descriptor needed
+/// for another endpoint.
 #[test]
 fn an_idle_connection_to_an_endpoint_goes_for_one_to_another() {
     let hold = Hold::default();
@@ -433,7 +435,7 @@
     held.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
 }
 
-/// Danger: settings that were told while no file could be opened were never read.
+/// Danger: a reload requested while no file could be opened was never done.
 #[test]
 fn settings_are_read_again_when_no_descriptor_is_free() {
     each(|idle, free| {
@@ -449,8 +451,8 @@
     });
 }
 
-/// Danger: who waits outside brings no further event, and was not looked for once a descriptor came free; looked for
-/// without a pause, it would take the processor from all else.
+/// Danger: a client waiting in the backlog causes no further event, and was not accepted once a descriptor became
+/// free. Retrying without a pause would take the CPU from everything else.
 #[test]
 fn who_waits_outside_is_taken_once_a_descriptor_comes_free_and_nothing_spins() {
     let hold = Hold::default();
@@ -477,8 +479,8 @@
     assert_eq!(sidecar.metric("sidecar_config_reload_errors"), 0);
 }
 
-/// Danger: a client that has left while it waited outside, behind more than the machine takes unread, can't be seen to have
-/// left, and its first request was sent however long ago that was.
+/// Danger: a client that disconnected in the backlog, behind more unread data than the kernel buffers hold, cannot be
+/// seen to be gone, and its first request was sent however long ago that was.
 #[test]
 fn who_leaves_while_it_waits_outside_behind_more_than_the_machine_takes_is_sent_nothing() {
     let hold = Hold::default();
@@ -490,19 +492,19 @@
     assert!(leaves.flood("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n", 1_000_000) >= 300_000);
     drop(leaves);
     std::thread::sleep(Duration::from_nanos(MAX_SEND_AFTER_CLOSE.nanos()));
-    // It is behind that one.
+    // It is behind that one in the backlog.
     let mut check = Client::connect(&sidecar);
     check.send(HEALTH);
     hold.release();
     assert_eq!(check.status(), "200");
     busy.iter_mut().for_each(|client| assert_eq!(client.status(), "200"));
-    // Answered in the turn in which it is read, and in one after that.
+    // The first response comes in the turn in which it is read, the second in a later one.
     (0..2).for_each(|_| sidecar.wait_pending(0));
     assert_eq!(sidecar.metric("sidecar_upstream_requests"), busy.len() as u64);
 }
 
-/// Danger: a request that waited outside, behind a full house, is read long after its last byte; its attempt told its
-/// endpoint all the time that its client had then.
+/// Danger: a request that waited in the backlog of a full process is read long after its last byte; its attempt
+/// passed the client's whole original time to the endpoint.
 #[test]
 fn a_request_that_waits_outside_tells_no_more_time_than_is_left() {
     let hold = Hold::default();
@@ -524,8 +526,8 @@
     assert!(told.trim().parse::<u128>().unwrap() + waited <= 2900 + 50, "{told} after {waited}");
 }
 
-/// Danger: a process that has no descriptor to look with took itself for alone at its address, and as it left it said no
-/// to the health check of an address that another serves.
+/// Danger: a process without a descriptor to check with believed to be alone at its address, and on shutdown it
+/// failed the health check of an address that another process serves.
 #[test]
 fn who_leaves_with_no_descriptor_free_sees_that_another_serves() {
     let folder = std::env::temp_dir().join(format!("appledyke-descriptors-{}", std::process::id()));
@@ -540,11 +542,11 @@
     let beside = format!("\"listen\":\"{}\"", old.at);
     let new = Sidecar::start_with(&text.replace("\"listen\":\"127.0.0.1:0\"", &beside), &variables);
     wait_until("the new one is ready", || new.admin_command("ready\n").starts_with("200 "));
-    // It looks before it answers, and knows of the new one by then.
+    // The old process checks for others before it answers, so it knows of the new one by then.
     assert!(old.admin_command("ready\n").starts_with("200 "));
     leave_free(&old, &mut crowd, 0);
     old.signal("-TERM");
-    // Once it leaves, connections end with their answers.
+    // During shutdown connections close with their responses.
     wait_until("it leaves", || {
         check.send(HEALTH);
         let answer = check.answer();
--- a/crates/sidecar/tests/crossings/edges.rs
+++ b/crates/sidecar/tests/crossings/edges.rs
@@ -1,4 +1,4 @@
-//! The edges of a connection: resets and ends behind bytes, bytes behind a close, floods, connects that come up late.
+//! Edge cases of connections: resets and closes behind data, data behind a close, floods, late connects.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 
 const NO_LENGTH: &str = "HTTP/1.1 200 OK\r\nX-Ends: with the connection\r\n\r\n";
 
-/// An endpoint whose connections go to the test, each with the request that it has brought.
+/// An endpoint that passes each connection to the test, with the request read from it.
 fn endpoint() -> (SocketAddr, Receiver<(String, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -34,7 +34,7 @@
     requests.recv_timeout(Duration::from_secs(10)).expect("a request reaches the endpoint")
 }
 
-/// Ends a connection of the sidecar with a reset, behind some last bytes, while that stands still.
+/// Resets a connection of the sidecar behind some last bytes, while the process is stopped.
 fn reset_behind(sidecar: &Sidecar, mut stream: TcpStream, bytes: &str) {
     let (port, to) = (stream.peer_addr().unwrap().port(), stream.local_addr().unwrap().port());
     sidecar.in_one_turn(|| {
@@ -46,7 +46,7 @@
     });
 }
 
-/// Bytes that this end of a connection has sent and the other has not taken in.
+/// Bytes that this end of a connection has sent and the other has not acknowledged.
 fn unacknowledged(from: u16, to: u16) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let line = table.lines().skip(1).map(|line| line.split_whitespace().collect::<Vec<_>>()).find(|words| {
@@ -55,7 +55,7 @@
     line.map_or(0, |words| usize::from_str_radix(words[4].split(':').next().unwrap(), 16).unwrap())
 }
 
-/// What the client gets up to the end of its connection, and whether that was an end and no reset.
+/// Reads up to the end of the client's connection; also whether it ended without a reset.
 fn all_of(client: &mut TcpStream) -> (String, bool) {
     let mut bytes = Vec::new();
     let ended = client.read_to_end(&mut bytes).is_ok();
@@ -68,8 +68,8 @@
     stream
 }
 
-/// Danger: the machine tells a reset once and an end from then on; taken for the end of an answer with no length, that
-/// is served cut short.
+/// Danger: the kernel reports a reset once and an end of stream from then on. If that is taken for the end of a
+/// response without a length, the response is served truncated.
 #[test]
 fn an_answer_of_no_length_that_is_reset_while_it_passes_is_not_whole() {
     for version in ["1.1", "1.0"] {
@@ -78,7 +78,7 @@
         let mut client = connect(&sidecar);
         write!(client, "GET /view/1 HTTP/{version}\r\nX-Txn: 7a01\r\n\r\n").unwrap();
         let (_, mut stream) = next(&requests);
-        // More than is held: it passes.
+        // More than is buffered, so it is streamed.
         write!(stream, "{NO_LENGTH}{}", "x".repeat(100_000)).unwrap();
         client.read_exact(&mut [0; 90_000]).unwrap();
         reset_behind(&sidecar, stream, "yyyy");
@@ -88,10 +88,10 @@
     }
 }
 
-/// Danger: a client that can't read chunks takes the end of its connection for the end of its answer.
+/// Danger: a client that cannot read chunks takes the end of its connection for the end of its response.
 #[test]
 fn an_answer_that_only_an_end_ends_is_reset_where_it_breaks_off() {
-    // The endpoint breaks off a chunked answer; the client stops reading; the process is ended.
+    // The endpoint aborts a chunked response; the client stops reading; the process is terminated.
     for how in ["endpoint", "process"] {
         let (at, requests) = endpoint();
         let sidecar = Sidecar::start_with_endpoints(&[at]);
@@ -109,7 +109,8 @@
     }
 }
 
-/// Danger: begun, an answer can't be given by another endpoint; and a short one was taken for whole.
+/// Danger: a response that has begun cannot be replaced by another endpoint's, and a truncated one was taken for
+/// complete.
 #[test]
 fn an_answer_of_no_length_that_is_reset_is_given_by_another_endpoint() {
     for late in [false, true] {
@@ -121,7 +122,7 @@
         let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":20000000000");
         let sidecar =
             Sidecar::start(&text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":30000000000"));
-        // Until one comes to the first.
+        // Until one reaches the first endpoint.
         let (mut client, mut stream) = loop {
             let mut client = Client::connect(&sidecar);
             client.send(format!("GET /view/1 HTTP/1.1\r\nX-Txn: {}\r\n\r\n", client.port()));
@@ -133,7 +134,7 @@
             assert_eq!(client.status(), "200");
         };
         if late {
-            // Held for as long as it is held for its end, whatever it brings then passes.
+            // It is buffered for as long as its end is awaited; what arrives after that is streamed.
             write!(stream, "{NO_LENGTH}me").unwrap();
             std::thread::sleep(Duration::from_millis(700));
             reset_behind(&sidecar, stream, "n");
@@ -145,7 +146,7 @@
     }
 }
 
-/// Danger: what never ends is held, or passed on, for as long as it comes.
+/// Danger: a response that never ends would be buffered, or streamed, forever.
 #[test]
 fn an_answer_that_never_ends_costs_one_attempt_and_little_memory() {
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -159,7 +160,7 @@
         let (bad, requests) = endpoint();
         let good = Endpoint::start(|_| ok("menu"));
         let sidecar = Sidecar::start_with_endpoints(&[bad, good.at]);
-        // Until one has come to the first.
+        // Until one has reached the first endpoint.
         let mut met = false;
         while !met {
             let mut client = Client::connect(&sidecar);
@@ -172,7 +173,7 @@
                 )
             });
             let answer = client.answer();
-            // Interim answers may go on for as long as the client has.
+            // Interim responses may continue until the client's deadline.
             let waits = how == "interim answers" && answer.starts_with("HTTP/1.1 503 ");
             assert!(answer.ends_with("menu") || waits, "{how}: {answer}");
             met = write.is_some_and(|write| write.join().is_ok());
@@ -181,7 +182,8 @@
     }
 }
 
-/// Danger: one that asks again at once, and is answered at once, had the turn for itself for as long as it went on.
+/// Danger: a client that pipelines requests that are answered at once kept the turn to itself for as long as it
+/// continued.
 #[test]
 fn a_flood_on_one_connection_keeps_no_other_client_waiting() {
     let endpoint = Endpoint::start(|_| ok("menu"));
@@ -227,12 +229,13 @@
     assert!(sidecar.memory() < 64 << 20, "{} bytes", sidecar.memory());
 }
 
-/// Danger: small writes that the machine still holds back go with a reset.
+/// Danger: small writes that the kernel still delays (Nagle) are lost with a reset.
 #[test]
 fn small_writes_are_not_held_back() {
     let sidecar = Sidecar::start_with_endpoints(&[Endpoint::start(|_| ok("menu")).at]);
     let mut client = Client::connect(&sidecar);
-    // A client that asks and hears by turns acknowledges late: what waits for that takes 40 ms.
+    // A client that alternates between requests and responses delays its acknowledgements: a write that waits for
+    // them takes 40 ms.
     let mut asked = |times: usize| {
         let begun = Instant::now();
         client.send("GET /healthz HTTP/1.1\r\n\r\n".repeat(times));
@@ -244,13 +247,14 @@
     assert!(least < Duration::from_millis(20), "{least:?}");
 }
 
-/// Danger: closed over what is unread, a connection is reset, and what of its last answer is on its way is lost.
+/// Danger: closing a connection with unread data resets it, and the part of its last response that is in transit is
+/// lost.
 #[test]
 fn the_last_answer_comes_whole_whatever_its_client_sends_behind() {
     let body = "x".repeat(60_000);
     let (at, requests) = endpoint();
     let sidecar = Sidecar::start_with_admin_endpoint(&[at]);
-    // One that takes little at a time: most of its answer waits at the sidecar's end.
+    // A client that reads slowly: most of its response is buffered in the sidecar.
     let client = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     client.set_recv_buffer_size(4096).unwrap();
     client.connect(&sidecar.at.into()).unwrap();
@@ -258,7 +262,7 @@
     client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     client.write_all(b"GET /view/1 HTTP/1.1\r\nX-Txn: 7a01\r\nConnection: close\r\n\r\n").unwrap();
     let (_, mut stream) = next(&requests);
-    // More than is read at a time.
+    // More than is read at once.
     client.set_write_timeout(Some(Duration::from_millis(100))).unwrap();
     let _ = client.write_all("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n".repeat(20_000).as_bytes());
     stream.write_all(ok(&body).unwrap().as_bytes()).unwrap();
@@ -266,11 +270,12 @@
     let (answer, ended) = all_of(&mut client);
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with(&body), "{} bytes", answer.len());
     assert!(ended);
-    // What was read behind it is not taken.
+    // Data read behind it is not processed.
     assert_eq!(sidecar.metric("sidecar_upstream_requests"), 1);
 }
 
-/// Danger: a request that is read after the end of our sending, and sent on, has its effect and no answer.
+/// Danger: a request that is read after this side has finished sending, and is sent on, has its effect but no
+/// response.
 #[test]
 fn a_request_in_the_turn_of_the_last_answer_is_not_sent_on() {
     let (at, requests) = endpoint();
@@ -278,7 +283,7 @@
     let mut client = Client::connect(&sidecar);
     client.view();
     let (_, mut stream) = next(&requests);
-    // From soon on connections close with their next answer.
+    // Shortly after this, connections close with their next response.
     assert!(sidecar.admin_command("drain\n").starts_with("200 "));
     let mut other = Client::connect(&sidecar);
     wait_until("connections close", || {
@@ -297,7 +302,7 @@
     assert!(requests.try_recv().is_err());
 }
 
-/// Danger: half a line that came on an idle connection becomes the head of the next answer on it.
+/// Danger: half a line received on an idle connection becomes the head of the next response on it.
 #[test]
 fn half_a_line_in_the_turn_of_a_request_costs_its_connection_and_not_the_request() {
     let (at, requests) = endpoint();
@@ -315,12 +320,12 @@
     assert!(request.starts_with("GET /view/1"), "{request}");
     second.write_all(ok("second").unwrap().as_bytes()).unwrap();
     assert!(client.answer().ends_with("second"));
-    // Nothing was written to the first.
+    // Nothing was written to the first connection.
     first.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     assert_eq!(first.read(&mut [0]).unwrap_or(0), 0);
 }
 
-/// Danger: requests behind the one that a client waits for are sent on for nobody once it has gone.
+/// Danger: pipelined requests behind the current one are sent for nobody once their client has disconnected.
 #[test]
 fn a_flood_whose_client_goes_in_the_turn_of_an_answer_sends_nothing_more() {
     for reset in [false, true] {
--- a/crates/sidecar/tests/crossings/leaving.rs
+++ b/crates/sidecar/tests/crossings/leaving.rs
@@ -1,4 +1,4 @@
-//! SIGTERM, and what can cross with it.
+//! SIGTERM, and the events that can coincide with it.
 
 use crate::stand_ins::{
     Client, Endpoint, Sidecar, configuration, entry, list_of, ok, start_discovery, wait_until,
@@ -7,7 +7,7 @@
 
 const HALF: &str = "POST /order/1 HTTP/1.1\r\nX-Txn: 5a\r\nIdempotency-Key: 5\r\nContent-Length: 4\r\n\r\nso";
 
-/// With deadlines so short that all is over within a second and a half.
+/// With deadlines so short that a shutdown ends within a second and a half.
 fn short(endpoint: &Endpoint) -> Sidecar {
     let text = with_admin_endpoint(&configuration(
         start_discovery().0,
@@ -18,7 +18,8 @@
     Sidecar::start(&text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":600000000"))
 }
 
-/// Danger: a process that ends with half a request in hand ends it with no answer, whole or not by then.
+/// Danger: a process that exits while it has half a request leaves it without a response, even if the rest arrives by
+/// then.
 #[test]
 fn half_a_request_is_told_to_come_again_before_the_end() {
     let endpoint = Endpoint::start(|_| ok("menu"));
@@ -31,7 +32,7 @@
     assert!(client.closed() && sidecar.end().success());
 }
 
-/// New settings, the word to leave, twice, the rest of a request and an answer, all in one turn.
+/// SIGHUP, SIGTERM twice, the rest of a request and a response, all in one turn.
 #[test]
 fn what_comes_in_the_turn_of_the_word_to_leave_is_answered() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
@@ -58,7 +59,7 @@
         }
         half.send("up");
         idle.view();
-        // The second stands behind the answer to the first.
+        // The second is answered behind the first.
         two.view();
         two.view();
         go.send(()).unwrap();
@@ -70,7 +71,7 @@
     assert!(sidecar.end().success());
 }
 
-/// Danger: a process that has stood still past its own time would end without a last look.
+/// Danger: a process that was suspended past its shutdown deadline would exit without reading what arrived.
 #[test]
 fn what_waits_when_the_time_to_leave_is_long_over_is_answered_all_the_same() {
     let endpoint = Endpoint::start(|_| ok("menu"));
@@ -80,7 +81,8 @@
     assert_eq!(whole.status(), "200");
     half.send(HALF);
     sidecar.signal("-TERM");
-    // Danger: stopped before it has heard that, it wakes to half a request whose own time is over, and leaves later.
+    // Danger: if the process is stopped before it handles SIGTERM, it resumes with half a request that has timed out,
+    // and shuts down later.
     wait_until("it leaves", || sidecar.admin_command("ready\n").contains("leaving"));
     sidecar.in_one_turn(|| {
         std::thread::sleep(std::time::Duration::from_millis(1500));
--- a/crates/sidecar/tests/crossings/lists.rs
+++ b/crates/sidecar/tests/crossings/lists.rs
@@ -1,4 +1,4 @@
-//! Watches on the list, and what can cross with them.
+//! Watches on service discovery, and the events that can coincide with them.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -22,8 +22,8 @@
     stream.write_all(b"\r\n").unwrap();
 }
 
-/// Danger: a list over several lines, read a line at a time, was taken for one that is broken, and its watch opened anew
-/// for ever.
+/// Danger: a list over several lines was parsed line by line and taken for malformed, and its watch was reopened
+/// forever.
 #[test]
 fn a_list_that_comes_indented_is_heard_however_it_is_cut() {
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
@@ -39,8 +39,8 @@
         let text = indented(&list_of(index, true, &[entry(&format!("e{index}"), at, 0, "up")]));
         (text + "\n", body)
     };
-    // In one chunk; cut in the middle of a text, of a number and behind a bracket; a chunk for each byte; two at once,
-    // of which the last counts; with beats between the lines.
+    // In one chunk; split inside a string, inside a number and behind a bracket; one chunk for each byte; two lists
+    // at once, of which the last counts; with heartbeats between the lines.
     let (text, body) = next();
     chunk(&mut watch, text.as_bytes());
     until_served_by(&sidecar, body);
@@ -67,7 +67,7 @@
     assert!(watches.try_recv().is_err());
 }
 
-/// Danger: what a watch tells and then ends, all in one turn, was lost with its end.
+/// Danger: a list that arrived in the same turn as the end of its watch was lost.
 #[test]
 fn a_list_and_the_end_of_its_watch_in_one_turn_are_both_heard() {
     let (one, other) = (Endpoint::start(|_| ok("one")), Endpoint::start(|_| ok("other")));
@@ -87,7 +87,7 @@
     }
 }
 
-/// Danger: what is no list would be waited for as part of one, or cost the list that is known.
+/// Danger: data that is not a list would be awaited as part of one, or would discard the known list.
 #[test]
 fn what_is_no_list_ends_its_watch_and_what_was_known_stays() {
     let one = Endpoint::start(|_| ok("one"));
@@ -110,7 +110,7 @@
         client.view();
         assert!(client.answer().ends_with("one"), "{bad}");
     }
-    // A value of which a little comes all the time, and that never ends.
+    // A value that arrives slowly and never ends.
     let (sidecar, watches, mut watch) = start();
     let begun = Instant::now();
     let mut more = || write!(watch, "4\r\n{{\"a\"\r\n").is_ok();
@@ -124,8 +124,8 @@
     assert!(client.answer().ends_with("one"));
 }
 
-/// Tells a list on all watches, and on those that are opened anew, until it has been heard: on a busy machine one may have
-/// been given up as silent before it is told anything.
+/// Sends a list on all watches, including reopened ones, until the sidecar has applied it: on a busy machine a watch
+/// may be given up as silent before anything is sent.
 fn tell(
     watches: &Receiver<(String, TcpStream)>,
     open: &mut Vec<TcpStream>,
@@ -143,8 +143,8 @@
     });
 }
 
-/// Danger: what waits for its connect to an endpoint goes out when that comes up, though the endpoint has been told to
-/// drain meanwhile and its time to be sent to is over.
+/// Danger: a request that waits for its connect is sent when that completes, although the endpoint has begun to drain
+/// meanwhile and the time to stop sending is over.
 #[test]
 fn a_connect_that_comes_up_after_a_drain_has_no_time_left_carries_nothing() {
     let stops = Duration::from_millis(1000);
@@ -153,7 +153,7 @@
     let (service, watches) = start_discovery();
     let ready = list_of(1, true, &[entry("late", at, 0, "up")]);
     let text = with_admin_endpoint(&configuration(service, 1024, &ready));
-    // Nothing but the time to stop sending ends the connect while this goes on.
+    // Only the time to stop sending ends the connect during this test.
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":30000000000");
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":8000000000");
     let text = text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":12000000000");
@@ -165,7 +165,7 @@
     let mut client = Client::connect(&sidecar);
     client.send("GET /view/1 HTTP/1.1\r\nX-Txn: 1\r\n\r\n");
     wait_until("a connect", || connecting(at.port()) > before);
-    // By one more that is listed it is seen that the drain has been heard.
+    // An additional listed endpoint shows that the drain was applied.
     let nobody = "127.0.0.1:1".parse().unwrap();
     let drains =
         list_of(2, false, &[entry("late", at, 0, "draining"), entry("other", nobody, 1, "draining")]);
--- a/crates/sidecar/tests/crossings/retries.rs
+++ b/crates/sidecar/tests/crossings/retries.rs
@@ -1,4 +1,5 @@
-//! Attempts that end, and what can cross with that: what may have run and is unsafe to repeat goes out once.
+//! Attempts that end, and the events that can coincide with that: a request that may have run and is unsafe to repeat
+//! is sent once.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -10,7 +11,7 @@
     wait_until, with_admin_endpoint,
 };
 
-/// Where `view` is unsafe to repeat.
+/// A sidecar with these endpoints, configured so that `view` is unsafe to repeat.
 fn unsafe_before(endpoints: &[(&str, std::net::SocketAddr)]) -> Sidecar {
     let entries: Vec<_> = endpoints.iter().map(|(name, at)| entry(name, *at, 0, "up")).collect();
     let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &list_of(1, true, &entries)));
@@ -21,7 +22,7 @@
     client.send(format!("POST /view/1 HTTP/1.1\r\nX-Txn: {id}\r\nContent-Length: 2\r\n\r\nso"));
 }
 
-/// Danger: an unsafe request that is sent again after it may have run has its effect twice.
+/// Danger: an unsafe request that is retried after it may have run has its effect twice.
 #[test]
 fn what_is_unsafe_to_repeat_goes_out_once_however_its_attempt_ends() {
     for how in [
@@ -32,7 +33,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nme",
         "SMTP\r\n\r\n",
     ] {
-        // Without a word, or after one that says so, the connection ends.
+        // The connection closes without a response, or after one that announces it.
         let both = [(); 2].map(|()| Endpoint::start(move |_| (!how.is_empty()).then(|| how.to_string())));
         let sidecar = unsafe_before(&[("e0", both[0].at), ("e1", both[1].at)]);
         let mut client = Client::connect(&sidecar);
@@ -45,7 +46,7 @@
             .count();
         assert_eq!(sent, 1, "{how}");
     }
-    // Turned away, it never ran, and goes on.
+    // A request rejected by the endpoint never ran, and is retried.
     let turned = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     let (away, good) = (Endpoint::start(move |_| Some(turned.to_string())), Endpoint::start(|_| ok("menu")));
     let sidecar = unsafe_before(&[("e0", away.at), ("e1", good.at)]);
@@ -56,7 +57,7 @@
     }
 }
 
-/// An endpoint that answers its first request, then ends the connection when told to, and serves all that come after.
+/// An endpoint that answers its first request, closes the connection when told to, and serves all later requests.
 fn ends_when_told() -> (std::net::SocketAddr, Sender<()>, std::sync::mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -79,7 +80,7 @@
     (at, go, requests)
 }
 
-/// Danger: written to a connection that its endpoint has ended, a request may have run for all that can be told.
+/// Danger: after a request was written to a connection that its endpoint had closed, it is unknown whether it ran.
 #[test]
 fn an_idle_connection_that_ends_in_the_turn_of_a_request_is_not_used() {
     let (at, go, requests) = ends_when_told();
@@ -97,8 +98,8 @@
     assert_eq!(requests.try_iter().filter(|request| !request.is_empty()).count(), 2);
 }
 
-/// The deadline, the endpoint's answer and more from the client, all in one turn: one whole answer, and the next is its
-/// own.
+/// The deadline, the endpoint's response and more data from the client, all in one turn: the client gets one complete
+/// response, and the next request gets its own.
 #[test]
 fn an_answer_in_the_turn_of_its_deadline_is_given_once() {
     let (go, wait) = channel::<()>();
@@ -119,7 +120,7 @@
     sidecar.in_one_turn(|| {
         go.send(()).unwrap();
         written.recv().unwrap();
-        // Past its deadline before the process goes on.
+        // Past its deadline before the process continues.
         std::thread::sleep(Duration::from_millis(700));
         client.view();
     });
--- a/crates/sidecar/tests/crossings/time_left.rs
+++ b/crates/sidecar/tests/crossings/time_left.rs
@@ -1,4 +1,4 @@
-//! The time that an attempt tells its endpoint, and what can pass between its decision and its writing.
+//! The remaining time that an attempt passes to its endpoint, and the delay between decision and write.
 
 use std::time::Instant;
 
@@ -7,8 +7,8 @@
     wait_until, with_admin_endpoint,
 };
 
-/// Danger: an attempt whose connect comes up late told the time that was left when it was decided; its endpoint goes on
-/// for longer than the client waits, and its own calls with it.
+/// Danger: an attempt whose connect completes late passed the time that was left when it was decided, so its
+/// endpoint, and that one's own calls, continue for longer than the client waits.
 #[test]
 fn an_attempt_whose_connect_comes_up_late_tells_what_is_left_then() {
     let (listener, fillers) = full_listener();
@@ -18,7 +18,7 @@
         1024,
         &list_of(1, true, &[entry("late", at, 0, "up")]),
     ));
-    // Long against what a loaded machine takes: a connect is tried again after 1, 3 and 7 s.
+    // Long compared with delays on a busy machine: a connect is retransmitted after 1, 3 and 7 s.
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":20000000000");
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":20000000000");
     let sidecar = Sidecar::start(&text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":30000000000"));
--- a/crates/sidecar/tests/late_connects.rs
+++ b/crates/sidecar/tests/late_connects.rs
@@ -1,4 +1,4 @@
-//! Connects that come up after their time: sockets on loopback, and a clock that the test sets.
+//! Connects that complete after their deadline: sockets on loopback, and a clock that the test sets.
 
 use std::io::Read;
 use std::net::TcpListener;
@@ -10,8 +10,8 @@
 
 const HEAD: &[u8] = b"GET /view HTTP/1.1\r\nX-Txn: 1\r\n\r\n";
 
-/// Danger: a process that had no processor for long finds in one turn that a connect is up and that its time is over, and
-/// would send to what has been told to drain since, or for a client whose time is over.
+/// Danger: a process that got no CPU for long finds in one turn that a connect is complete and that its time is over.
+/// It would send to an endpoint that has begun to drain since, or for a client whose deadline has passed.
 #[test]
 fn a_connect_that_is_found_up_after_its_time_carries_nothing() {
     let (most, deadline) = (Span::from_millis(300), Span::from_millis(2000));
--- a/crates/sidecar/tests/restarts.rs
+++ b/crates/sidecar/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Many processes that start together while the list's service is no help.
+//! Many processes that start together while service discovery fails.
 
 mod stand_ins;
 
@@ -9,20 +9,20 @@
 
 use stand_ins::{Client, Endpoint, Sidecar, configuration, entry, list_of, ok, with_admin_endpoint};
 
-/// Processes that start together.
+/// Number of processes that start together.
 const TOGETHER: usize = 30;
-/// Nine in ten are to be ready within so long.
+/// Nine in ten must be ready within this time.
 const READY_IN: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Copy, Debug)]
 enum Service {
     Down,
     Hangs,
-    /// It has too many callers: it takes them in turn, and says so to each after a while.
+    /// Overloaded: it handles calls one at a time and rejects each after a delay.
     Busy,
 }
 
-/// An address where the list's service is like this.
+/// The address of a discovery service that behaves like this.
 fn service(how: Service) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -42,8 +42,8 @@
     at
 }
 
-/// Danger: a process that waits for its first list turns clients away for as long as the service is lost, and a release that
-/// waits for it stands.
+/// Danger: a process that waits for its first list rejects clients for as long as the discovery service is
+/// unavailable, and blocks a release that waits for it.
 #[test]
 fn nine_in_ten_that_start_together_are_ready_in_time_whatever_the_list_s_service_does() {
     let good = Endpoint::start(|_| ok("menu"));
@@ -64,7 +64,7 @@
                         std::thread::sleep(Duration::from_millis(20));
                     }
                     let ready = begun.elapsed();
-                    // By the list that it was started with.
+                    // From the list that it was started with.
                     let mut client = Client::connect(&sidecar);
                     client.view();
                     (listens, ready, client.status())
--- a/crates/sidecar/tests/trace.rs
+++ b/crates/sidecar/tests/trace.rs
@@ -1,4 +1,4 @@
-//! What the log and the metrics tell of a request, of an endpoint whose state changes, and of the calls to discovery.
+//! Log lines and metrics about requests, endpoint state changes and calls to service discovery.
 
 mod stand_ins;
 
@@ -13,7 +13,7 @@
     watch_line, with_admin_endpoint,
 };
 
-/// A sidecar that logs single requests, and its first watch.
+/// A sidecar that logs individual requests, and its first watch.
 fn traced(endpoints: &[&Endpoint]) -> (Sidecar, std::net::TcpStream) {
     let (at, watches) = start_discovery();
     let entries: Vec<_> =
@@ -101,7 +101,7 @@
     states.open();
     (0..8).for_each(|at| states.observe(at, EndpointState::Ready));
     assert_eq!(states.close(true, name).unwrap(), "8 endpoints, up: e0 e1 e2 e3 e4 and 3 more");
-    // The same again changes nothing.
+    // The same list again changes nothing.
     states.open();
     (0..8).for_each(|at| states.observe(at, EndpointState::Ready));
     assert_eq!(states.close(true, name), None);
