--- a/crates/sidecar/tests/daily/long.rs
+++ b/crates/sidecar/tests/daily/long.rs
@@ -14,7 +14,7 @@
 
 const LONG: usize = 32_000_000;
 
-/// An endpoint that does as it is told with each connection.
+/// An endpoint that runs the given function on each connection.
 fn raw(serve: impl Fn(TcpStream) + Send + Clone + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -36,7 +36,8 @@
     String::from_utf8(head).unwrap()
 }
 
-/// Made once. Danger: made anew in a slow build on a busy machine, it is what the other side waits for too long.
+/// Created once. Danger: created for each use in a slow build on a busy machine, it would make the other side time
+/// out.
 static BODY: LazyLock<Vec<u8>> =
     LazyLock::new(|| (0..251).map(|at| (at * 31 % 251) as u8).collect::<Vec<_>>().repeat(LONG / 251 + 1));
 
@@ -44,7 +45,7 @@
     &BODY[..bytes]
 }
 
-/// What a chunked body holds, and whether it has an end.
+/// Decodes a chunked body; also whether it is complete.
 fn unchunked(mut bytes: &[u8]) -> (Vec<u8>, bool) {
     let mut data = Vec::new();
     while let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") {
@@ -118,7 +119,7 @@
     client.write_all(VIEW).unwrap();
     assert!(head(&mut client).starts_with("HTTP/1.1 200 "));
     client.read_exact(&mut [0; 100]).unwrap();
-    // It has far from filled what is held of a message; the client's time, 3 s, does not end it either.
+    // It is far below what is buffered of a message; the client's deadline of 3 s does not end it either.
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
     while asked.elapsed() < Duration::from_millis(3500) {
         client.read_exact(&mut [0; 9]).unwrap();
@@ -144,7 +145,7 @@
         client.write_all(VIEW).unwrap();
         let head = head(&mut client);
         assert!(head.starts_with("HTTP/1.1 200 "), "{head}");
-        // The rest has not come, and this has.
+        // This part has arrived although the rest has not been sent.
         client.read_exact(&mut [0; 60_000]).unwrap();
         drop(go);
         let mut rest = Vec::new();
@@ -154,7 +155,7 @@
     }
 }
 
-/// An endpoint that reads each request whole, and tells its head and how much body came behind it; whether that had its end.
+/// An endpoint that reads each request completely and reports its head, its body, and whether the body was complete.
 fn reader() -> (SocketAddr, Receiver<(String, Vec<u8>, bool)>) {
     let (tell, told) = channel();
     let at = raw(move |mut stream| {
@@ -203,7 +204,7 @@
     let mut client = connect(&sidecar);
     let data = body(LONG);
     for chunked in [false, true, false] {
-        // Named with its host, as a client may.
+        // With an absolute URL, which a client may use.
         let order = ORDER.replace("/order/1", "http://menu.svc:80/order/1?day=2");
         if chunked {
             write!(client, "{order}Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n").unwrap();
@@ -239,7 +240,7 @@
         assert!(head(&mut client).starts_with("HTTP/1.1 200 "));
         assert!(told.recv().unwrap().2);
     }
-    // Each takes some and breaks: it never ran, and cannot be sent again.
+    // Each endpoint reads a part and fails: the request never ran, but cannot be sent again.
     let (tell, asked) = channel();
     let serve = move |mut stream: TcpStream| {
         tell.send(head(&mut stream)).unwrap();
@@ -250,7 +251,7 @@
     write!(client, "{ORDER}Content-Length: {LONG}\r\n\r\n").unwrap();
     let _ = client.write_all(body(LONG));
     let answer = head(&mut client);
-    // A client that is still sending may be cut off before it reads; it is told where it can be.
+    // A client that is still sending may be disconnected before it reads; it gets a response if possible.
     assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 503 "), "{answer}");
     let heads: Vec<String> = asked.try_iter().collect();
     assert_eq!(heads.len(), 1, "{heads:?} {answer}");
@@ -263,7 +264,7 @@
             head(&mut stream);
             let answer = ok(&"x".repeat(if long { 200_000 } else { 4 })).unwrap();
             stream.write_all(answer.as_bytes()).unwrap();
-            // What still comes is read, so that the answer is not lost on the way.
+            // Remaining data is read, so that the response is not lost in transit.
             let _ = std::io::copy(&mut stream, &mut std::io::sink());
         });
         let sidecar = Sidecar::start_with_endpoints(&[at]);
@@ -278,7 +279,8 @@
     }
 }
 
-/// With this connect timeout and no other time that a busy machine uses up: what is held against a client is its own.
+/// A sidecar whose only short time limit is the connect timeout, so that a client does not time out because the
+/// machine is busy.
 fn patient(at: SocketAddr) -> Sidecar {
     let text = configuration(start_discovery().0, 1024, &list_of(1, true, &[entry("e0", at, 0, "up")]));
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":300000000000");
@@ -288,7 +290,7 @@
     ))
 }
 
-/// Tries to leave before the sidecar's own time is over, which a busy machine may prevent.
+/// Attempts to disconnect before the sidecar's own timeout, which a busy machine may prevent.
 const TRIES: usize = 10;
 
 #[test]
@@ -303,7 +305,7 @@
         client.write_all(body(100_000)).unwrap();
         client
     };
-    // One that falls silent here is told so within 3 s, whatever else the machine has to do.
+    // A client that falls silent gets a response within 3 s, however busy the machine is.
     let falls_silent = |framing| {
         let mut client = begin(framing);
         let (asked, waited) = (Instant::now(), sidecar.waited());
@@ -312,17 +314,17 @@
         assert!(took < Duration::from_secs(3), "{took:?}");
         true
     };
-    // Whether it left before it was told that it had fallen silent.
+    // Whether it disconnected before it got the timeout response.
     let leaves = |framing| {
         let client = begin(framing);
-        // Halfway: one that has left before that is not sent at all.
+        // Halfway: a request whose client has disconnected before that is not sent at all.
         let (begun, gone) = (|| connections(None, at.port(), "01") > 0, Cell::new(false));
         let port = client.local_addr().unwrap().port();
         let there = || {
             gone.set(connections(Some(sidecar.at.port()), port, "01") == 0);
             gone.get() || begun()
         };
-        // Seen once never to begin, on a busy machine: what it waits for is told, if it does so again.
+        // Seen once never to begin on a busy machine; the message says what it waits for, should that happen again.
         wait_until_or("its write-out has begun", there, || {
             format!(
                 "{framing}\n{}{}",
@@ -338,7 +340,7 @@
             let mut in_time = false;
             for _ in 0..TRIES {
                 in_time = way(framing);
-                // Whatever came of it, it was begun once, and is not whole.
+                // Whatever the outcome, it was begun once and is not complete.
                 let (_, _, whole) = told.recv().unwrap();
                 assert!(!whole, "{framing}");
                 if in_time {
@@ -371,7 +373,7 @@
         slow(&order(id, &format!("Content-Length: {bytes}")), body(bytes).to_vec(), piece, every)
     };
     std::thread::scope(|scope| {
-        // A head that takes two seconds; a held body, and one that passes, at some 64 kB a second.
+        // A head that takes two seconds; a buffered body and a streamed one, at some 64 kB a second.
         let slow_head = scope.spawn(|| {
             let text = order("1", "Content-Length: 4") + "soup";
             slow(&text[..10], text.as_bytes()[10..].to_vec(), 20, 400)
@@ -422,7 +424,8 @@
         configuration(start_discovery().0, 1024, &known).replace("\"memory_mb\":192", "\"memory_mb\":32");
     let limits = limits.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":300000000000");
     let sidecar = Sidecar::start(&with_admin_endpoint(&limits));
-    // Danger: where all ask at once, how many are begun is up to time; on a busy machine 8 were. One after another all are.
+    // Danger: with simultaneous requests, timing decides how many responses begin; on a busy machine 8 did. One after
+    // another, all begin.
     let mut clients = Vec::new();
     let mut begun = 0;
     for number in 0..40 {
@@ -437,7 +440,7 @@
     let took = asked.elapsed().saturating_sub(sidecar.waited() - waited);
     assert!(took < Duration::from_millis(500), "{took:?}");
     assert!(sidecar.memory() < 24 << 20, "{} bytes", sidecar.memory());
-    // One that reads on gets all of its own.
+    // A client that keeps reading gets its complete response.
     let mut bytes = Vec::new();
     (&mut clients[0]).take(LONG as u64).read_to_end(&mut bytes).unwrap();
     assert!(bytes.len() < 100 || bytes == body(LONG));
--- a/crates/sidecar/tests/daily/main.rs
+++ b/crates/sidecar/tests/daily/main.rs
@@ -1,4 +1,4 @@
-//! The days of daily service, a file for each part.
+//! Daily operation: one file for each area.
 
 mod long;
 mod operator;
--- a/crates/sidecar/tests/daily/operator.rs
+++ b/crates/sidecar/tests/daily/operator.rs
@@ -1,4 +1,4 @@
-//! The second address, what it tells, and draining, on the loopback.
+//! The admin endpoint, its metrics, and draining, on the loopback.
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -10,19 +10,19 @@
     let endpoint = Endpoint::start(|_| ok("menu"));
     let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
     let asked = Instant::now();
-    // Far more callers that say nothing than are taken at once.
+    // Far more silent connections than are accepted at once.
     let mut silent: Vec<_> = (0..60).map(|_| sidecar.admin_connection()).collect();
     for line in
         ["reboot\n", "\n", "drain\ndrain\n", "dr\0ain\n", "GET /ready HTTP/1.1\r\n", &"x".repeat(5000)]
     {
         let mut caller = sidecar.admin_connection();
-        // A line too long may be answered before all of it is sent.
+        // A line that is too long may be answered before all of it is sent.
         let _ = caller.write_all(line.as_bytes());
         let mut answer = [0; 4];
         caller.read_exact(&mut answer).unwrap();
         assert_eq!(&answer, b"400 ", "{}", line.escape_default());
     }
-    // Half a line and an end to the sending: not obeyed.
+    // Half a line and a shutdown of the sending side: not executed.
     let mut caller = sidecar.admin_connection();
     caller.write_all(b"drain").unwrap();
     caller.shutdown(std::net::Shutdown::Write).unwrap();
@@ -31,7 +31,7 @@
     assert!(answer.starts_with("400 "), "{answer}");
     assert!(sidecar.admin_command("resume\r\n").starts_with("200 "));
     assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
-    // Those that say nothing are let go of, so none of them keeps a place.
+    // Silent connections are closed, so none of them occupies a place.
     silent.iter_mut().for_each(|caller| drop(caller.read_to_string(&mut String::new())));
     assert!(asked.elapsed() < Duration::from_secs(4), "{:?}", asked.elapsed());
     let mut client = Client::connect(&sidecar);
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_figures_hold_against_what_clients_and_endpoints_counted() {
-    // Every third request fails, every fifth is turned away once, and an order's answer may break off.
+    // Every third request fails, every fifth is rejected once, and an order's response may be cut off.
     let endpoint = Endpoint::start(|request| {
         let number = request.split("X-Txn: ").nth(1).and_then(|rest| rest.split("\r\n").next()).unwrap();
         match u32::from_str_radix(number, 16).unwrap() % 15 {
@@ -71,7 +71,7 @@
         };
         counted[number % 2][end] += 1;
     }
-    // What no method is asked for, and health checks, are no requests.
+    // Requests without a known method and health checks are not counted as requests.
     for text in ["GET /healthz HTTP/1.1\r\n\r\n", "GET /no HTTP/1.1\r\nX-Txn: 1\r\n\r\n"] {
         let mut client = Client::connect(&sidecar);
         client.send(text);
@@ -107,7 +107,7 @@
     assert_eq!(client.status(), "200");
     assert_eq!(sidecar.metric("sidecar_pending"), 0);
     drop(go);
-    // Until one of them has met the endpoint that is not there.
+    // Until one of them was sent to the unreachable endpoint.
     let asked = Instant::now();
     while sidecar.metric("sidecar_members_unavailable") == 0 {
         client.view();
@@ -133,7 +133,7 @@
     assert!(sidecar.admin_command("drain\n").starts_with("200 "));
     assert_eq!(health(), "503");
     assert!(sidecar.admin_command("ready\n").starts_with("400 not ready: drained"));
-    // It sends on until its connection is closed with an answer, then on new ones.
+    // It uses its connection until that is closed with a response, then new ones.
     let mut closed = 0;
     while told.elapsed() < Duration::from_millis(1500) {
         busy.view();
--- a/crates/sidecar/tests/daily/settings.rs
+++ b/crates/sidecar/tests/daily/settings.rs
@@ -1,4 +1,4 @@
-//! New settings at SIGHUP, on the loopback.
+//! Settings reloaded by SIGHUP, on the loopback.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 
 const VIEW: &str = "\"name\":\"view\",\"effect\":\"retryable\"";
 
-/// The configuration with another method, named so and with this effect.
+/// Adds a method with this name and effect to a configuration.
 fn with_method(text: &str, name: &str, effect: &str) -> String {
     let start = text.find("{\"name\":\"view\"").unwrap();
     let end = start + text[start..].find('}').unwrap() + 1;
@@ -16,7 +16,7 @@
     text.replacen(&text[start..end], &format!("{},{method}", &text[start..end]), 1)
 }
 
-/// Writes the file anew, tells the sidecar, and waits until it has taken it or turned it down.
+/// Rewrites the file, sends SIGHUP, and waits until the sidecar has applied or rejected it.
 fn reload(sidecar: &Sidecar, text: &str) -> &'static str {
     let counts =
         || ["sidecar_config_reloads", "sidecar_config_reload_errors"].map(|name| sidecar.metric(name));
@@ -48,7 +48,7 @@
 
 #[test]
 fn methods_come_go_and_change_while_open_requests_keep_theirs() {
-    // A request is answered once it is let go; the first attempt of each then breaks where it is to.
+    // A request is answered once the test releases it; the first attempt of each then fails where it should.
     let (go, wait) = std::sync::mpsc::channel::<bool>();
     let wait = std::sync::Arc::new(std::sync::Mutex::new(wait));
     let endpoint = Endpoint::start(move |request| match request.contains("Txn: open") {
@@ -60,13 +60,13 @@
     let more = with_method(&text, "soups", "retryable");
     assert_eq!(reload(&sidecar, &more), "taken");
     assert_eq!((asks(&sidecar, "GET", "soups"), asks(&sidecar, "GET", "view")), ("200".into(), "200".into()));
-    // Open while its method is dropped, and then stands for something else.
+    // Open while its method is dropped and then redefined.
     let mut open = Client::connect(&sidecar);
     open.send("GET /soups/1 HTTP/1.1\r\nX-Txn: open\r\nX-Remaining-Ms: 2500\r\n\r\n");
     while !endpoint.next().contains("Txn: open") {}
     assert_eq!(reload(&sidecar, &text), "taken");
     assert_eq!(asks(&sidecar, "GET", "soups"), "404");
-    // What has been counted of it stays.
+    // Its counters stay.
     assert_eq!(sidecar.metric("sidecar_completed{lane=\"soups\"}"), 1);
     let fewer = text.replace("\"mostWriteOuts\":3", "\"mostWriteOuts\":1");
     assert_eq!(reload(&sidecar, &with_method(&fewer, "soups", "fragile")), "taken");
@@ -74,12 +74,12 @@
         (asks(&sidecar, "GET", "soups"), asks(&sidecar, "POST", "soups")),
         ("405".into(), "200".into())
     );
-    // Its attempt breaks: it came as one that may be sent again, when three were allowed.
+    // Its attempt fails: it arrived as a retryable request when three attempts were allowed.
     go.send(true).unwrap();
     go.send(false).unwrap();
     assert_eq!(open.status(), "200");
     assert_eq!(sidecar.metric("sidecar_completed{lane=\"soups\"}"), 3);
-    // The same under the new rules may have run, and one attempt is all there is.
+    // Under the new rules the same request may have run, and only one attempt is allowed.
     open.send("POST /soups/1 HTTP/1.1\r\nX-Txn: open\r\nContent-Length: 0\r\n\r\n");
     go.send(true).unwrap();
     assert_eq!(open.status(), "502");
@@ -100,7 +100,7 @@
             (soups.into(), "200".into())
         );
     }
-    // Without it, it goes on as it was.
+    // Without the key, the shadow evaluation continues as before.
     assert_eq!(reload(&sidecar, &text.replacen(watch, "{", 1)), "taken");
     assert_eq!(asks(&sidecar, "GET", "view"), "200");
 }
@@ -110,7 +110,7 @@
     let endpoint = Endpoint::start(|_| ok("menu"));
     let (sidecar, text) = started(&endpoint);
     assert_eq!(reload(&sidecar, &text), "taken");
-    // All of these also name another list and drop a method, and neither is taken.
+    // All of these also name another discovery address and drop a method; neither is applied.
     let other = text
         .replace("\"name\":\"order\"", "\"name\":\"meal\"")
         .replace("\"discovery\":\"127", "\"discovery\":\"128");
--- a/crates/sidecar/tests/daily/upgrade.rs
+++ b/crates/sidecar/tests/daily/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two processes at one address, on the loopback.
+//! Hot restart: two processes at one address, on the loopback.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
     with_admin_endpoint,
 };
 
-/// A folder that all processes of one sidecar are given.
+/// A folder shared by all processes of one sidecar.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Under the same address as the one that serves.
+/// A configuration with the same address as the serving process.
 fn beside(first: &Sidecar, configuration: &str) -> String {
     configuration.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{}\"", first.at))
 }
@@ -60,9 +60,9 @@
         assert_eq!(new.at, old.at);
         let mut open = Client::connect(&old);
         open.order_as(&format!("open{round}"));
-        // While both serve, what comes falls to either, and each says that it is well.
+        // While both serve, connections go to either, and each passes its health check.
         let mut serves = |client: &mut Client| {
-            // A new connection may come between the last look at a backlog and its end.
+            // A new connection may arrive between the last accept and the close of the listener.
             let answer = if client.try_order() { client.answer() } else { String::new() };
             if answer.is_empty() {
                 turned_back += 1;
@@ -77,7 +77,7 @@
             serves(&mut kept);
             new.admin_command("ready\n").starts_with("200 ")
         });
-        // Right after the yes: the old one must know by then.
+        // Right after the new process reports ready: the old one must know by then.
         old.signal("-TERM");
         let told = Instant::now();
         while told.elapsed() < Duration::from_millis(1500) {
@@ -119,7 +119,7 @@
     client.view();
     assert_eq!(client.status(), "200");
     old.signal("-TERM");
-    // With nobody to serve on it leaves as ever: the health check says no, and it listens for a while.
+    // Without a successor it shuts down as usual: the health check fails, and it keeps listening for a while.
     let told = Instant::now();
     wait_for("a no", || {
         let mut client = Client::connect(&old);
@@ -140,7 +140,7 @@
     let old = folder.start(&text);
     let mut new = folder.start(&beside(&old, &text));
     wait_for("the new one is ready", || new.admin_command("ready\n").starts_with("200 "));
-    // Killed outright: nothing is handed over, and its files stay.
+    // Killed: nothing is handed over, and its files stay.
     drop(old);
     wait_for("its files are cleared away", || std::fs::read_dir(&folder.0).unwrap().count() <= 2);
     for _ in 0..20 {
@@ -148,7 +148,7 @@
         client.view();
         assert_eq!(client.status(), "200");
     }
-    // With nobody to serve on it leaves as ever.
+    // Without a successor it shuts down as usual.
     new.signal("-TERM");
     wait_for("a no", || {
         let mut client = Client::connect(&new);
@@ -164,7 +164,7 @@
     let folder = Folder::new("together");
     let text = with_admin_endpoint(&configuration(start_discovery_with(&known), 1024, &known));
     let first = folder.start(&text);
-    // Someone is there, so it does not leave at once.
+    // A client is connected, so it does not exit at once.
     let _stays = Client::connect(&first);
     let second = folder.start(&beside(&first, &text));
     for process in [&first, &second] {
@@ -172,7 +172,7 @@
     }
     first.signal("-TERM");
     wait_for("the first leaves", || first.admin_command("resume\n").starts_with("400 leaving"));
-    // At once, before the first looks again.
+    // At once, before the first process checks again.
     second.signal("-TERM");
     wait_for("a no, as nobody serves on", || {
         let mut client = Client::connect(&second);
--- a/crates/sidecar/tests/discovery_crowded.rs
+++ b/crates/sidecar/tests/discovery_crowded.rs
@@ -1,5 +1,5 @@
-//! Incident 28fe2c: new configurations in quick succession before a discovery service that is slow and crowded. Real
-//! processes on loopback, each told by SIGHUP; see `docs/incidents/2026-12-02-28fe2c-list-heard-late.md`.
+//! Incident 28fe2c: new configurations in quick succession with a slow and overloaded discovery service. Real
+//! processes on loopback, reloaded by SIGHUP; see `docs/incidents/2026-12-02-28fe2c-list-heard-late.md`.
 
 mod fakes;
 mod stand_ins;
@@ -11,19 +11,19 @@
 use fakes::discovery::{Capacity, Discovery, Outcome};
 use stand_ins::{Client, Endpoint, Sidecar, configuration, entry, list_of, ok};
 
-/// What discovery at a newly configured address has counts as told so long after the SIGHUP.
+/// Time after the SIGHUP at which what discovery at a newly configured address has counts as announced.
 const TOLD_AFTER_MOVE: Duration = Duration::from_millis(4000);
-/// From then on sending to a drained endpoint has to end within this, and the slack of the rule.
+/// From then on sending to a draining endpoint must end within this time, plus the rule's tolerance.
 const STOP_SENDING: Duration = Duration::from_millis(1000);
 const SLACK: Duration = Duration::from_millis(50);
-/// Between two requests of a client, and from one sidecar's series of SIGHUPs to the next one's.
+/// Interval between two requests of a client, and between the SIGHUP series of two sidecars.
 const REQUEST_EVERY: Duration = Duration::from_millis(25);
 const STAGGER: Duration = Duration::from_millis(400);
-/// When the SIGHUPs of a series come, from its first.
+/// Times of the SIGHUPs in a series, from its first.
 const SERIES: [u64; 4] = [0, 300, 700, 1600];
 const SIDECARS: u32 = 9;
 
-/// When requests reached an endpoint, and by which sidecar: the first digit of their path.
+/// When requests reached an endpoint, and from which sidecar: the first digit of their path.
 type Arrivals = Arc<Mutex<Vec<(Instant, usize)>>>;
 
 fn recording_endpoint() -> (Endpoint, Arrivals) {
@@ -47,7 +47,7 @@
     text.replace("\"rules\":{", &rules)
 }
 
-/// Sends requests to this sidecar until told to end.
+/// Sends requests to this sidecar until told to stop.
 fn send_requests(sidecar: &Sidecar, number: u32, over: &Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     let mut client = Client::connect(sidecar);
     let over = over.clone();
@@ -64,7 +64,7 @@
     })
 }
 
-/// Prints what became of the calls at each address, for who looks into a failure.
+/// Prints the outcomes of the calls at each address, for the analysis of a failure.
 fn print_calls(discovery: &Discovery) {
     let calls = discovery.calls();
     for address in 0..discovery.addresses.len() {
@@ -76,9 +76,9 @@
     }
 }
 
-/// Danger: each SIGHUP of a series makes a call that the next one throws away, and the service works through these all
-/// the same; calls turned away meanwhile come again ever later, and what the last address has is heard long after it
-/// counts as told. No request may reach an endpoint that drains from then on.
+/// Danger: each SIGHUP of a series makes a call that the next one discards, and the service works on all of them.
+/// Calls rejected meanwhile are retried at growing intervals, and what the last address has arrives long after it
+/// counts as announced. No request may reach a draining endpoint from then on.
 #[test]
 fn new_configurations_in_series_before_a_crowded_discovery_keep_the_drain() {
     let (steady, _) = recording_endpoint();
@@ -99,7 +99,7 @@
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> =
         sidecars.iter().zip(0..).map(|(sidecar, number)| send_requests(sidecar, number, &over)).collect();
-    // All have called at least once, in vain.
+    // All have made at least one failed call.
     stand_ins::wait_until("calls while it is down", || discovery.calls().len() >= SIDECARS as usize);
 
     discovery.retry_after(&list_of(2, true, &both("draining")));
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -1,4 +1,5 @@
-//! When many callers hear a list from one service that works through calls in turn: the schedule alone, in virtual time.
+//! When many callers get a list from a service that handles one call at a time: the call schedule alone, in virtual
+//! time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -7,23 +8,23 @@
 use appledyke_sidecar::net::list::schedule::{CALL_IN, CallEnd, Callers, Schedule};
 use oorandom::Rand64;
 
-/// What the service at a newly configured address has counts as told so long after the configuration.
+/// Time after a new configuration at which what the service at its address has counts as announced.
 const TOLD_AFTER_MOVE: Span = Span::from_millis(4000);
-/// What a service has counts as told so long after its return.
+/// Time after a service's return at which what it has counts as announced.
 const TOLD_AFTER: Span = Span::from_millis(6000);
-/// Longest that a call waits for its turn.
+/// Longest time that a call waits in the queue.
 const WAIT_MOST: Span = Span::from_millis(3000);
-/// A service that works through one call of each caller in so long has room for them.
+/// A service that can handle one call of each caller within this time has capacity for them.
 const ROOM: Span = Span::from_millis(2500);
 /// How long a call hangs before it is refused while the service is down.
 const DOWN_HANG: Span = Span::from_millis(2000);
 
-/// What the service can do.
+/// The service's capacity.
 #[derive(Clone, Copy, Debug)]
 struct Capacity {
-    /// How long it works on a call, also on one whose caller has gone.
+    /// Time spent on each call, even if its caller has disconnected.
     call_time: Span,
-    /// Most calls that wait for their turn; one more is refused at once.
+    /// Queue length; one more call is refused at once.
     queue_most: usize,
 }
 
@@ -33,13 +34,13 @@
     Move(usize),
     /// The service goes down: a caller's watch ends.
     Break(usize),
-    /// A caller makes its next call, if nothing has come between.
+    /// A caller makes its next call, unless it was rescheduled.
     Due(usize, u64),
-    /// The service has worked through the call whose turn it was.
+    /// The service has finished its current call.
     Worked,
-    /// A call has waited, or hung, for so long that it is refused.
+    /// A call has waited, or hung, until it is refused.
     Refused(u64),
-    /// A call has no answer in time, and is given up.
+    /// A call is not answered in time, and is given up.
     GiveUpReason(usize, u64, Moment),
 }
 
@@ -51,14 +52,14 @@
 
 struct Caller {
     schedule: Schedule,
-    /// The call that is out, and the number of the last thing that was put off.
+    /// The current call, and the number of the last scheduled event.
     call: Option<u64>,
     due: u64,
     heard: Option<Moment>,
     moved: Moment,
 }
 
-/// One service and those that call it.
+/// One service and its callers.
 struct World {
     now: Moment,
     capacity: Capacity,
@@ -99,7 +100,7 @@
         self.events.push(Reverse((at, event)));
     }
 
-    /// A caller's next call is put off until then.
+    /// Schedules a caller's next call.
     fn put_off(&mut self, caller: usize, until: Moment) {
         self.callers[caller].due += 1;
         let due = Event::Due(caller, self.callers[caller].due);
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The watch of a caller that has one ends.
+    /// Ends a caller's watch if it has one.
     fn watch_breaks(&mut self, caller: usize) {
         if self.callers[caller].heard.take().is_some() {
             let next = self.callers[caller].schedule.failed(self.now, self.now, CallEnd::Lost);
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The service takes up the next call, if it has nothing to do.
+    /// The service starts its next call if it is idle.
     fn work(&mut self) {
         if self.working.is_none() {
             self.working = self.queue.pop_front();
@@ -185,12 +186,12 @@
         }
     }
 
-    /// A call was turned away.
+    /// Handles a rejected call.
     fn failed(&mut self, call: Call) {
         self.end(call.caller, call.id, call.since, CallEnd::TurnedAway);
     }
 
-    /// A call has ended; its caller may have gone before.
+    /// Handles the end of a call; its caller may have given it up before.
     fn end(&mut self, caller: usize, id: u64, since: Moment, end: CallEnd) {
         if self.callers[caller].call == Some(id) {
             self.callers[caller].call = None;
@@ -199,7 +200,7 @@
         }
     }
 
-    /// How long after this moment of each the last of the callers has heard a list; none if one has not.
+    /// The longest time from the given moment of each caller until it got a list; `None` if one has not.
     fn latest(&self, from: impl Fn(&Caller) -> Moment) -> Option<Span> {
         let heard = self.callers.iter().map(|caller| Some(caller.heard?.since(from(caller))));
         heard.collect::<Option<Vec<_>>>()?.into_iter().max()
@@ -214,7 +215,7 @@
     span.map_or("never".to_string(), |span| format!("{:.2} s", span.secs()))
 }
 
-/// Danger: a service with room for all of its callers within the time is kept from it by calls that are thrown away.
+/// Danger: a service with enough capacity for all of its callers misses the time limit because of discarded calls.
 #[test]
 fn configurations_in_series_are_heard_in_time_by_all_callers_of_a_service_that_has_room_for_them() {
     let mut late = Vec::new();
@@ -244,7 +245,7 @@
                 report(worst),
                 made as f64 / 200.0 / callers as f64
             );
-            // Beyond that one call of each takes nearly all the time that there is: told, and not bounded.
+            // Beyond that, one call of each takes nearly all the time there is: reported, but not bounded.
             if broken > 0 && millis(call_time) * callers as f64 <= ROOM {
                 late.push((callers, call_time, queue_most, broken));
             }
@@ -253,7 +254,7 @@
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// Danger: after a long outage the waits between calls have grown, and the return is missed.
+/// Danger: after a long outage the delays between calls have grown, and the return is noticed too late.
 #[test]
 fn a_service_that_is_back_after_a_long_outage_is_heard_in_time_by_all_its_callers() {
     let mut late = Vec::new();
@@ -285,8 +286,8 @@
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// Danger: a large fleet whose watches break in one moment comes back to its service in step. What it can work through in a
-/// second is 50 calls, so the last of 267 hear it some six seconds after its return.
+/// Danger: a large fleet whose watches break at the same moment calls its service again in step. The service can
+/// handle 50 calls a second, so the last of 267 get the list some six seconds after its return.
 #[test]
 fn a_large_fleet_is_heard_by_its_service_as_fast_as_that_works() {
     let (callers, instances) = (267, 220.0);
--- a/crates/sidecar/tests/fakes/discovery.rs
+++ b/crates/sidecar/tests/fakes/discovery.rs
@@ -1,4 +1,4 @@
-//! A fake discovery service with little capacity: it works through calls one at a time, in turn.
+//! A fake discovery service with little capacity: it handles calls one at a time, in order.
 
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -10,27 +10,27 @@
 use crate::stand_ins::{OPEN, read_message};
 
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// Between two empty lines on a watch that has nothing to tell.
+/// Interval of the empty lines on a watch without changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// What the service can do.
+/// The service's capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// How long it works on a call, also on one whose caller has closed it meanwhile.
+    /// Time spent on each call, even if its caller has closed it meanwhile.
     pub call_time: Duration,
-    /// Most calls that wait for their turn; one more is refused at once.
+    /// Queue length; one more call is refused at once.
     pub queue_most: usize,
-    /// Longest that a call waits for its turn before it is refused.
+    /// Longest time in the queue before a call is refused.
     pub wait_most: Duration,
 }
 
-/// What became of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Answered,
     RefusedAtOnce,
     RefusedAfterWait,
-    /// The service was down: the call hung, and was refused then.
+    /// The service was down: the call hung and was then refused.
     Down,
 }
 
@@ -51,7 +51,7 @@
 
 struct State {
     capacity: Capacity,
-    /// While it is down, a call hangs for so long and is refused.
+    /// While the service is down: how long a call hangs before it is refused.
     down: Option<Duration>,
     list: String,
     queue: VecDeque<Waiting>,
@@ -72,7 +72,7 @@
 }
 
 impl Discovery {
-    /// A service at so many addresses that tells this list.
+    /// Starts a service at this number of addresses that sends this list.
     pub fn start(addresses: usize, capacity: Capacity, list: &str) -> Discovery {
         let state = State {
             capacity,
@@ -107,27 +107,27 @@
         Discovery { addresses, state }
     }
 
-    /// It is down from now on: its watches end, and each call hangs for so long and is refused.
+    /// Takes the service down: its watches end, and each call hangs for this time and is refused.
     pub fn go_down(&self, hang: Duration) {
         let mut state = self.state.lock().unwrap();
         state.down = Some(hang);
         state.watches.clear();
     }
 
-    /// It is back, with this list.
+    /// Brings the service back with this list.
     pub fn retry_after(&self, list: &str) {
         let mut state = self.state.lock().unwrap();
         state.down = None;
         state.list = list.to_string();
     }
 
-    /// All calls so far that have ended.
+    /// All calls that have ended so far.
     pub fn calls(&self) -> Vec<Call> {
         self.state.lock().unwrap().calls.clone()
     }
 }
 
-/// Takes a call: it waits for its turn, or is refused.
+/// Accepts a call: it is queued or refused.
 fn take(address: usize, stream: TcpStream, state: &Arc<Mutex<State>>, wake: &Sender<()>) {
     let waiting = Waiting { since: Instant::now(), address, stream };
     if read_message(&mut BufReader::new(&waiting.stream)).is_empty() {
@@ -154,7 +154,7 @@
     let _ = waiting.stream.write_all(REFUSAL);
 }
 
-/// Works through the calls that wait, one at a time.
+/// Handles the queued calls one at a time.
 fn work(state: &Mutex<State>, queued: &Receiver<()>) {
     while queued.recv().is_ok() {
         let (waiting, capacity) = {
--- a/crates/sidecar/tests/list_calls.rs
+++ b/crates/sidecar/tests/list_calls.rs
@@ -1,4 +1,4 @@
-//! When the list's service is called: sockets on loopback, and a clock that the test sets.
+//! When the discovery service is called: sockets on loopback, and a clock that the test sets.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read, Write};
@@ -15,15 +15,15 @@
 
 const OPEN: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const BEAT: &[u8] = b"1\r\n\n\r\n";
-/// A list that is not whole.
+/// The beginning of a list.
 const HALF: &[u8] = b"21\r\n{\"index\":7,\"snapshot\":true,\"endpo\r\n";
 /// When the service is back.
 const BACK: Span = Span::from_millis(20_000);
-/// In which it answers then.
+/// Within which it answers then.
 const ANSWERED: Span = Span::from_millis(1500);
-/// A change counts as told so long after.
+/// Time after which a change counts as announced.
 const TOLD_AFTER: Span = Span::from_millis(6000);
-/// The next call is made so long after the service's return at the latest.
+/// Latest time of the next call after the service's return.
 const CALLED_AGAIN: Span = Span::from_millis(4200);
 
 fn whole_list(index: u64) -> Vec<u8> {
@@ -31,36 +31,36 @@
     format!("{:x}\r\n{list}\r\n", list.len()).into_bytes()
 }
 
-/// Instances that follow the list: so few that all of them wait in turn, and many more.
+/// Instances that watch the list: few enough to all fit in the service's queue, and many more.
 const FEW: f64 = 8.0;
 const MANY: f64 = 1200.0;
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum How {
     Refused,
     Hung,
     Reset,
     Busy,
-    /// It waits so long for its turn, and is turned away.
+    /// It is rejected after this time in the queue.
     TurnedAway(Span),
     HalfHead,
     Head,
     HalfList,
-    /// A list of which a little comes at a time, and that never ends.
+    /// A list that arrives a little at a time and never ends.
     Trickle,
     Torn,
-    /// Beats, some of them late, and then silence.
+    /// Heartbeats, some of them late, and then silence.
     Beats,
-    /// The whole list, after so long.
+    /// The complete list after this time.
     Well(Span),
 }
 
-/// What becomes of calls that the service itself has not turned away.
+/// Faults other than a rejection by the service.
 const FAULTS: [How; 7] =
     [How::Refused, How::Hung, How::HalfHead, How::Head, How::HalfList, How::Trickle, How::Torn];
 
-/// What makes a call.
+/// What triggers a call.
 enum Begin {
     Watch,
     Due,
@@ -78,7 +78,7 @@
     script: VecDeque<(Moment, Piece)>,
 }
 
-/// One list before a service of its own.
+/// One `List` with its own fake service.
 struct World {
     list: List,
     turn: Turn,
@@ -87,14 +87,14 @@
     listener: Option<TcpListener>,
     calls: Vec<Call>,
     chance: Rand64,
-    /// When calls were made, and when a whole list was heard first at the service's return or after.
+    /// When calls were made, and when a complete list first arrived after the service's return.
     starts: Vec<Moment>,
     heard: Option<Moment>,
-    /// Calls that the list closed with something to come.
+    /// Calls that the list closed before the service had written everything.
     given_up: usize,
 }
 
-/// An address of this thread's own: a service that refuses calls leaves its port to nobody else.
+/// A loopback address for each thread, so that nobody else takes the port of a service that refuses calls.
 fn own_address() -> SocketAddr {
     static THREADS: AtomicU8 = AtomicU8::new(1);
     thread_local!(static THREAD: u8 = THREADS.fetch_add(1, Ordering::Relaxed));
@@ -107,7 +107,7 @@
 }
 
 impl World {
-    /// One of so many instances that follow the list.
+    /// One of this many instances that watch the list.
     fn new(seed: u64, instances: f64) -> World {
         let listener = TcpListener::bind(own_address()).unwrap();
         let at = listener.local_addr().unwrap();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The service is at another address from now on.
+    /// Moves the service to another address.
     fn has_new_address(&mut self) {
         let listener = TcpListener::bind(own_address()).unwrap();
         self.at = listener.local_addr().unwrap();
@@ -139,7 +139,7 @@
         most * self.chance.rand_float()
     }
 
-    /// What the service does with a call that comes now. A fault comes after a wait, as if its turn had come.
+    /// What the service does with a call that arrives now. A fault follows a wait, as after time in the queue.
     fn script(&mut self, how: How) -> VecDeque<(Moment, Piece)> {
         let now = self.turn.now;
         let at = now + self.span(Span::from_millis(2500));
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Takes up events until this is told by one: its token, and whether it failed the call.
+    /// Handles events until one satisfies the condition on its token and on whether it failed the call.
     fn events(
         &mut self,
         mut told: impl FnMut(&mio::event::Event, bool) -> bool,
@@ -205,7 +205,7 @@
         panic!("no such event");
     }
 
-    /// A call that may be made: the first, one that has fallen due, or one at another address.
+    /// A call that may be made: the first one, one that is due, or one at another address.
     fn call(&mut self, how: How, may: bool, begin: Begin) {
         match (how, &self.listener) {
             (How::Refused, Some(_)) => self.listener = None,
@@ -249,7 +249,7 @@
         self.calls.push(Call { stream, token: token.unwrap(), script });
     }
 
-    /// The service writes what is due, and it is read; or the list has closed the call.
+    /// The service writes what is due and the list reads it, unless the list has closed the call.
     fn write(&mut self) {
         let now = self.turn.now;
         let due = |call: &Call| call.script.front().is_some_and(|(at, _)| *at <= now);
@@ -283,7 +283,7 @@
         }
     }
 
-    /// A call was reset: the list hears of it, if it has not closed it itself.
+    /// A call was reset: the list is informed, unless it has closed the call itself.
     fn gone(&mut self, token: mio::Token) {
         let mut tries = 0;
         self.events(
@@ -295,7 +295,8 @@
         );
     }
 
-    /// Turns up to this moment. `how`: of a call that is made now; `may`: whether the budget allows it.
+    /// Runs turns up to this moment. `how` gives the outcome of a call made now; `may` says whether the budget allows
+    /// it.
     fn run(&mut self, until: Moment, mut how: impl FnMut(&mut World) -> How, mut may: impl FnMut() -> bool) {
         loop {
             let writes = self.calls.iter().filter_map(|call| Some(call.script.front()?.0));
@@ -318,26 +319,26 @@
     }
 }
 
-/// The latest over all seeds: of the first call after the service's return, and of when a list was heard.
+/// The latest over all seeds: of the first call after the service's return, and of the arrival of a list.
 #[derive(Debug, Default)]
 struct Latest {
     call: Span,
     heard: Span,
 }
 
-/// An outage of calls that fail like these, and a service that is back and well.
+/// An outage in which calls fail in these ways, followed by a service that works again.
 fn return_after(seeds: u64, outage: &[How], allowed: f64) -> Latest {
     let mut latest = Latest::default();
     for seed in 0..seeds {
         let mut world = World::new(seed, FEW);
         let mut luck = Rand64::new(u128::from(seed));
         let first = world.any(outage);
-        // The outage ends at any point between two calls.
+        // The outage ends at a random point between two calls.
         world.turn.now = moment(world.span(BACK * 0.6));
         world.call(first, luck.rand_float() < allowed, Begin::Watch);
         let back = moment(BACK);
         world.run(back, |world| world.any(outage), || luck.rand_float() < allowed);
-        // Danger: what was under way then never says any more, and looks as if it might.
+        // Danger: a call in progress at that point gets no more data, but looks as if it might.
         world.calls.iter_mut().for_each(|call| call.script.clear());
         let before = world.starts.len();
         world.run(
@@ -354,8 +355,8 @@
     latest
 }
 
-/// Danger: a change counts as told 6 s after the service had it and could be reached. Waits, connects and answers that are
-/// counted each from the end of the one before add up to more.
+/// Danger: a change counts as announced 6 s after the service had it and could be reached. Retry delays, connects and
+/// answers add up to more if each is timed from the end of the one before.
 #[test]
 fn whatever_calls_failed_before_a_change_is_heard_in_time_when_the_service_is_back() {
     for fault in FAULTS {
@@ -367,8 +368,9 @@
     assert!(latest.call <= CALLED_AGAIN, "{latest:?}");
 }
 
-/// Danger: among few callers a wait that grows with each call turned away, up to 5 s from that call's end, is longer than
-/// what it waits for may take. Each call here is turned away, at once or at its turn, until the service is back and well.
+/// Danger: with few callers, a retry delay that grows with each rejected call, up to 5 s from that call's end, is
+/// longer than the time allowed. Each call here is rejected, at once or after queueing, until the service works
+/// again.
 #[test]
 fn few_callers_that_were_turned_away_hear_a_change_in_time_when_the_service_is_back() {
     let whole_turn = How::TurnedAway(Span::from_millis(3000));
@@ -387,7 +389,7 @@
     assert!(mixed.call <= CALLED_AGAIN, "{mixed:?}");
 }
 
-/// Danger: a first list of which a little comes at a time, and that never ends, adds to all that its call took before.
+/// Danger: a first list that arrives a little at a time and never ends adds to the time that its call took before.
 #[test]
 fn the_next_call_comes_in_time_after_a_call_that_fails_in_any_way() {
     for how in FAULTS {
@@ -401,7 +403,7 @@
     }
 }
 
-/// Danger: a watch that beat until the service was lost is silent for long before it is given up.
+/// Danger: a watch with heartbeats until the service was lost is silent for long before it is given up.
 #[test]
 fn a_watch_that_beat_up_to_the_outage_or_late_is_called_anew_in_time() {
     let latest = return_after(600, &[&FAULTS[..], &[How::Beats; 7]].concat(), 1.0);
@@ -409,7 +411,7 @@
     assert!(latest.call <= CALLED_AGAIN, "{latest:?}");
 }
 
-/// Danger: a budget that spares the service would keep a drain from being heard in time.
+/// Danger: a call budget that protects the service could delay the news of a drain for too long.
 #[test]
 fn a_budget_of_calls_holds_none_back_for_too_long() {
     for allowed in [0.0, 0.3] {
@@ -419,8 +421,8 @@
     }
 }
 
-/// Danger: what the service at a new address has counts as told 4 s after the configuration that names it, also where calls
-/// have failed for long at the old one, and where a budget holds calls back.
+/// Danger: what the service at a new address has counts as announced 4 s after the configuration that names it, even
+/// if calls to the old address have failed for long or a budget holds calls back.
 #[test]
 fn a_list_that_moves_is_heard_in_time_whatever_failed_before_and_whatever_a_budget_allows() {
     for may in [true, false] {
@@ -443,8 +445,8 @@
     }
 }
 
-/// Danger: a service that turns calls away as they are made, with little room, is asked ever later, and what a new
-/// configuration's address has is heard after it counts as told.
+/// Danger: a service with little capacity that rejects calls at once is called at growing intervals, and what a newly
+/// configured address has arrives after it counts as announced.
 #[test]
 fn a_list_that_moves_is_heard_in_time_where_calls_are_turned_away_at_once_for_a_while() {
     let mut latest = Span::ZERO;
@@ -470,8 +472,8 @@
     assert!(latest <= Span::from_millis(4000), "{latest:?}");
 }
 
-/// Danger: a process that has just started and is told of a new address before it wanted a watch would call that seconds
-/// later, when the decisions come to it.
+/// Danger: a process that has just started and gets a new address before it wanted a watch would call that only
+/// seconds later, when the balancer decides to subscribe.
 #[test]
 fn a_new_address_is_called_also_before_a_watch_was_wanted() {
     for seed in 0..100 {
@@ -480,14 +482,14 @@
         world.call(How::Hung, true, Begin::Moved);
         world.run(moment(Span::from_millis(1300)), |_| How::Hung, || true);
         assert_eq!(world.starts.len(), 1, "seed {seed}");
-        // The wish that follows finds it made.
+        // The later request for a watch finds the call already made.
         assert!(!world.list.watch(|| true, &mut world.turn));
         assert_eq!(world.list.made, 1);
     }
 }
 
-/// Danger: what was written to a watch counts as told; in the turn of a new configuration it stands unread, and was dropped
-/// with its connection.
+/// Danger: data written to a watch counts as announced; in the turn of a new configuration it was still unread, and
+/// was dropped with the connection.
 #[test]
 fn what_a_watch_has_brought_is_heard_before_a_new_configuration_closes_it() {
     let drains = r#"{"name":"e1","address":"127.0.0.1:9","status":"draining"}"#;
@@ -498,7 +500,7 @@
         world.call(How::Hung, true, Begin::Watch);
         let mut stream = world.calls.pop().unwrap().stream;
         stream.write_all(&bytes).unwrap();
-        // Awaited without reading.
+        // Waits for the data without reading it.
         let mut events = mio::Events::with_capacity(8);
         while !events.iter().any(mio::event::Event::is_readable) {
             world.poll.poll(&mut events, Some(Duration::from_secs(5))).unwrap();
@@ -512,8 +514,8 @@
     }
 }
 
-/// Danger: each of a series of new configurations threw away the place of the call before in a slow service's queue, and what
-/// that had told of drains was heard only long after the last of them.
+/// Danger: each of a series of new configurations gave up the previous call's position in a slow service's queue, and
+/// drains that it would have reported arrived only long after the last configuration.
 #[test]
 fn a_call_that_waits_is_heard_also_once_its_address_has_been_replaced() {
     let mut world = World::new(1, FEW);
@@ -523,7 +525,7 @@
         world.has_new_address();
         world.call(How::Hung, true, Begin::Moved);
     };
-    // Two more addresses, the first of which is called; its call is younger, and is not kept beside the oldest.
+    // Two more addresses, the first of which is called; its call is younger than the oldest one and is not kept.
     move_on(&mut world);
     let until = world.turn.now + Span::from_millis(1300);
     world.run(until, |_| How::Hung, || true);
@@ -544,7 +546,7 @@
         heard
     };
     assert_eq!(heard(&mut world, &mut first, &[OPEN, &whole_list(7)].concat()), [7]);
-    // It is no watch: the version is still that of nothing, and its connection is closed.
+    // It does not become a watch: the version is still 0, and the connection is closed.
     assert_eq!(world.list.version(), 0);
     first.set_nonblocking(false).unwrap();
     while first.read(&mut [0; 512]).unwrap_or(0) > 0 {}
@@ -555,7 +557,7 @@
     assert_eq!(world.list.version(), 9);
 }
 
-/// Danger: each of a series of new configurations makes a call that the next one throws away.
+/// Danger: each of a series of new configurations makes a call that the next one discards.
 #[test]
 fn new_configurations_in_series_make_one_call_unless_they_go_on() {
     for seed in 0..100 {
@@ -571,7 +573,7 @@
         let until = world.turn.now + Span::from_millis(1000);
         world.run(until, |_| How::Hung, || true);
         assert_eq!(world.starts.len(), before + 1, "seed {seed}");
-        // A series that goes on puts the call off no longer than 1.3 s.
+        // A continuing series delays the call by no more than 1.3 s.
         let (begun, before) = (world.turn.now, world.starts.len());
         while world.starts.len() == before {
             world.has_new_address();
@@ -583,8 +585,8 @@
     }
 }
 
-/// Danger: more callers are more load on a service that has too many: three calls at a time of each kept it from answering
-/// any. There is one, it keeps its turn for as long as the service lets calls wait, and waits between them grow.
+/// Danger: three concurrent calls of each caller kept an overloaded service from answering any. So there is one call,
+/// which keeps its position for as long as the service lets calls wait, and the delays between calls grow.
 #[test]
 fn a_service_with_too_many_callers_has_one_call_of_each_at_a_time() {
     let turn = Span::from_millis(3000);
@@ -604,11 +606,13 @@
     }
 }
 
-/// Danger: a service that comes back is met by all at once. All have begun at one moment here, the worst there is.
+/// Danger: a returning service gets calls from everyone at once. Here all have started at the same moment, the worst
+/// case.
 #[test]
 fn twelve_hundred_that_wait_do_not_call_in_step() {
     let (whole, bucket) = (60_000, 100);
-    // Those that are turned away, all after as long, are in step at first; their waits grow, and so there is no bound then.
+    // Callers that are rejected after the same time are synchronized at first; as their delays grow, there is no
+    // bound for them.
     let turned_away = How::TurnedAway(Span::from_millis(3000));
     for (how, early_most) in [(How::Refused, 8.0), (How::Hung, 8.0), (turned_away, f64::MAX)] {
         let mut calls = vec![0u32; whole / bucket];
--- a/crates/sidecar/tests/sockets.rs
+++ b/crates/sidecar/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The sidecar on real sockets, among stand-ins on the loopback.
+//! The sidecar on real sockets, with fake peers on the loopback.
 
 mod stand_ins;
 
@@ -34,7 +34,7 @@
         let left = request.lines().find_map(|line| line.strip_prefix("X-Remaining-Ms: ")).unwrap();
         assert!((500..=2000).contains(&left.parse::<u32>().unwrap()), "{left}");
     }
-    // Two at once: the second is read while the first is still out, and waits.
+    // Two at once: the second is read while the first is in flight, and waits.
     client.view();
     client.view();
     assert_eq!((client.status(), client.status()), ("200".to_string(), "200".to_string()));
@@ -74,7 +74,7 @@
         client.send(b"\xff\xfe\r\n\r\n");
         assert_eq!(client.status(), "400", "{name}");
     }
-    // Far more time than there is, and in nanoseconds more than a number holds.
+    // Far more time than allowed; in nanoseconds it overflows a u64.
     let mut client = Client::connect(&sidecar);
     client.send("GET /view HTTP/1.1\r\nX-Txn: 1\r\nX-Remaining-Ms: 18446744073710\r\n\r\n");
     assert_eq!(client.status(), "200");
@@ -88,7 +88,7 @@
     let sidecar = Sidecar::start_with_endpoints(&[]);
     let mut clients: Vec<_> = (0..3).map(|_| Client::connect(&sidecar)).collect();
     let connected = Instant::now();
-    // One says nothing, one half a request, and one a little all the time.
+    // One sends nothing, one half a request, and one a little at a time.
     clients[1].send("POST /order HTTP/1.1\r\nContent-Le");
     for byte in "GET /view HTT".bytes().take_while(|_| connected.elapsed() < Duration::from_millis(2000)) {
         clients[2].send([byte]);
@@ -142,7 +142,7 @@
     }
 }
 
-/// An endpoint that fails as `how` says, in one cell, and one that serves, in another.
+/// An endpoint in one cell that fails as `how` says, and a working one in another.
 fn beside_a_good_one(how: &'static str) -> (Sidecar, Endpoint, Endpoint) {
     let bad = Endpoint::start(move |_| if how == "break" { None } else { Some(how.to_string()) });
     let good = Endpoint::start(|_| ok("menu"));
@@ -167,7 +167,7 @@
         }
         assert_eq!(statuses.pop().as_deref(), Some("502"), "{how}");
         assert!(statuses.iter().all(|status| status == "200"), "{how}: {statuses:?}");
-        // Harmless to repeat: it goes to the other.
+        // Safe to repeat: it is sent to the other.
         let mut client = Client::connect(&sidecar);
         client.view();
         assert_eq!(client.status(), "200", "{how}");
@@ -204,7 +204,7 @@
         assert!(answer.starts_with("HTTP/1.1 404 No Such Dish") && answer.ends_with("soup"), "{answer}");
     }
     assert_eq!(endpoints.iter().flat_map(|endpoint| endpoint.requests.try_iter()).count(), 40);
-    // Nor do others pay for it.
+    // Other requests are not affected either.
     for _ in 0..20 {
         client.view();
         assert_eq!(client.status(), "200");
@@ -213,7 +213,7 @@
 
 #[test]
 fn an_idle_connection_that_has_ended_is_not_used_again() {
-    // It ends each connection after an answer, and does not say so.
+    // It closes each connection after a response without announcing it.
     let endpoint =
         Endpoint::start(|_| Some("HTTP/1.1 200 OK\r\nX: close\r\nContent-Length: 0\r\n\r\n".to_string()));
     let sidecar = Sidecar::start_with_endpoints(&[endpoint.at]);
@@ -237,7 +237,7 @@
                 while !stand_ins::read_message(&mut BufReader::new(&stream)).is_empty() {
                     stream.write_all(ok("menu").unwrap().as_bytes()).unwrap();
                     std::thread::sleep(Duration::from_millis(1));
-                    // A second copy, or what was meant for somebody else.
+                    // A second copy, or a response meant for somebody else.
                     let _ = stream.write_all(ok("late").unwrap().as_bytes());
                     let _ = tell.send(());
                 }
@@ -249,7 +249,7 @@
         client.view();
         let answer = client.answer();
         assert!(answer.ends_with("menu"), "{answer}");
-        // Danger: on a busy machine the second copy is written after any wait that is counted in milliseconds.
+        // Danger: on a busy machine the second copy may be written later than any delay in milliseconds.
         written.recv_timeout(Duration::from_secs(10)).expect("a second copy is written");
     }
 }
@@ -311,7 +311,7 @@
         assert_eq!(client.status(), "200");
     }
     assert!(empty.end().success() && told.elapsed() < Duration::from_millis(1200), "{:?}", told.elapsed());
-    // Clients have no other place to go yet.
+    // Clients have no other address to use yet.
     late.view();
     assert_eq!(late.status(), "200");
     assert!([&mut busy, &mut idle, &mut late, &mut new].into_iter().all(Client::closed));
@@ -328,7 +328,7 @@
         }
         ok("menu")
     });
-    // Room for eleven connections, of which clients may take eight.
+    // Room for eleven connections, of which clients may use eight.
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
     let sidecar = Sidecar::start(&configuration(start_discovery().0, 27, &known));
     let mut idle: Vec<_> = (0..8).map(|_| Client::connect(&sidecar)).collect();
@@ -336,21 +336,21 @@
         client.order();
         assert_eq!(client.status(), "200");
     }
-    // So do those that never end a request, next, once it should have come.
+    // So do those that never complete a request, once its time is over.
     let mut endless: Vec<_> = (0..9).map(|_| Client::connect(&sidecar)).collect();
     endless.iter_mut().for_each(|client| client.send("GET /view HT"));
     std::thread::sleep(Duration::from_millis(1100));
     let mut busy: Vec<_> = (0..8).map(|_| Client::connect(&sidecar)).collect();
     busy.iter_mut().for_each(Client::view);
-    // One comes in before it is known that room is needed, the others stay outside.
+    // One is accepted before it is known that room is needed; the others stay in the backlog.
     let mut waiting: Vec<_> = (0..3).map(|_| Client::connect(&sidecar)).collect();
     waiting.iter_mut().for_each(Client::order);
     assert!(idle.iter_mut().all(Client::closed));
-    // Half a request is told to come again.
+    // A client with half a request is told to retry.
     assert!(endless.iter_mut().all(|client| client.status() == "503" && client.closed()));
     std::thread::sleep(Duration::from_millis(300));
     assert!(sidecar.cpu() < 0.2, "{} s", sidecar.cpu());
-    // Answered, each of them; which are rejected is decided elsewhere.
+    // Each is answered; which ones are rejected is the balancer's decision.
     let mut answered = |client: &mut Client| assert!(["200", "503"].contains(&client.status().as_str()));
     busy.iter_mut().for_each(&mut answered);
     drop(busy);
@@ -385,7 +385,7 @@
     unsaid.iter_mut().for_each(|client| client.send(format!("{head}{}", "x".repeat(65_000))));
     let request = "GET /view HTTP/1.1\r\nX-Txn: 1\r\n\r\n".repeat(100);
     let mut unread: Vec<_> = (0..4).map(|_| Client::connect(&sidecar)).collect();
-    // More than the machine's own buffers would take: the sidecar stops reading.
+    // More than the kernel buffers hold, so that the sidecar stops reading.
     assert!(unread.iter_mut().all(|client| client.flood(&request, 64 << 20) < 64 << 20));
     assert!((6 << 20..32 << 20).contains(&sidecar.memory()), "{} bytes", sidecar.memory());
 }
@@ -411,7 +411,7 @@
         &mut garbled,
         &list_of(42, false, &["{\"name\":\"e0\",\"status\":\"upside down\"}".to_string()]),
     );
-    // What could not be read changes nothing, and is asked for again.
+    // A malformed list changes nothing, and is requested again.
     let (call, mut watch) = watches.recv().unwrap();
     assert!(call.contains("since=41 "), "{call}");
     assert_eq!(served_by(), "old");
@@ -424,12 +424,12 @@
         assert!(told.elapsed() < Duration::from_secs(1));
     }
     assert!((0..5).all(|_| served_by() == "new"));
-    // Started anew: what was open to the process before is not used again.
+    // Restarted: connections to the previous process are not reused.
     let restarted = entry("e1", new.at, 1, "up").replace("\"since_ms\":0", "\"since_ms\":1700000000000");
     while new.requests.try_recv().is_ok() {}
     watch_line(&mut watch, &list_of(44, false, &[restarted]));
     assert_eq!(new.next(), "end");
-    // Silent from now on, past its beat: dead.
+    // Silent from now on, for longer than its heartbeat: considered dead.
     let silent = Instant::now();
     let (call, _watch) = watches.recv().unwrap();
     assert!(call.contains("since=44 "), "{call}");
@@ -441,7 +441,7 @@
     let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
     let ((before, watches), (after, moved)) = (start_discovery(), start_discovery());
     let known = list_of(41, true, &[entry("e0", old.at, 0, "up")]);
-    // The variable of the start says as before, whatever the file says anew.
+    // The environment variable from the start is unchanged, whatever the file says now.
     let sidecar = Sidecar::start_with(
         &configuration(before, 1024, &known),
         &[("BALANCER_DISCOVERY", &before.to_string())],
@@ -458,7 +458,7 @@
     assert_eq!(served_by(), "old");
     std::fs::write(&sidecar.file, configuration(after, 1024, "null")).unwrap();
     sidecar.signal("-HUP");
-    // Another service, with versions of its own.
+    // Another service, with its own versions.
     let (call, mut watch) = moved.recv_timeout(Duration::from_secs(1)).unwrap();
     assert!(call.contains("since=0 "), "{call}");
     assert_eq!(served_by(), "old");
@@ -503,7 +503,7 @@
     }
 }
 
-/// A sidecar that follows a list before one endpoint, and the watch on that list.
+/// A sidecar with one endpoint, and its watch.
 fn following(endpoint: &Endpoint) -> (Sidecar, std::net::TcpStream) {
     let (at, watches) = start_discovery();
     let known = list_of(1, true, &[entry("e0", endpoint.at, 0, "up")]);
@@ -525,7 +525,7 @@
     let nobody = nobody();
     let long: Vec<_> = (0..8000).map(|at| entry(&format!("long-{at}"), nobody, at, "draining")).collect();
     let lists = [
-        // Empty; stale; an id twice, with two addresses; an address twice, under two ids; far too long.
+        // Empty; outdated; the same id with two addresses; the same address under two ids; far too long.
         list_of(5, true, &[]),
         list_of(3, true, &[entry("gone", nobody, 0, "up"), entry("e0", one.at, 0, "up")]),
         list_of(6, true, &[entry("e1", nobody, 0, "up"), entry("e1", other.at, 0, "up")]),
@@ -536,7 +536,7 @@
     for (list, body) in lists.iter().zip(served) {
         watch_line(&mut watch, list);
         if body.is_empty() {
-            // With no endpoint a request is rejected, with a time to come back, as soon as the list has come.
+            // Without endpoints a request is rejected with a Retry-After as soon as the list has arrived.
             let mut client = Client::connect(&sidecar);
             let rejected = |_| {
                 client.view();
@@ -548,7 +548,7 @@
             until_served_by(&sidecar, body);
         }
     }
-    // Torn in the middle of a line, in pieces of one chunk each.
+    // Cut off in the middle of a line, in pieces of one chunk each.
     let torn = list_of(9, true, &[entry("e5", one.at, 0, "up")]);
     let (front, back) = torn.split_at(torn.len() / 2);
     write!(watch, "{:x}\r\n{front}\r\n", front.len()).unwrap();
@@ -572,14 +572,14 @@
         let end = if cut == "in a chunk" { "" } else { "\r\n" };
         let size = if end.is_empty() { line.len() } else { part.len() };
         write!(watch, "{size:x}\r\n{part}{end}").unwrap();
-        // Nothing more comes, and the connection stays open.
+        // Nothing more arrives, and the connection stays open.
         let (_, mut next) = watches.recv().unwrap();
         let mut client = Client::connect(&sidecar);
         for _ in 0..20 {
             client.view();
             assert!(client.answer().ends_with("other"), "{cut}");
         }
-        // What was not whole is taken from the whole list only; here the endpoint is back.
+        // What was incomplete is taken from the complete list only; there the endpoint is back.
         let back = list_of(41, true, &[entry("e0", one.at, 0, "up"), entry("e1", other.at, 1, "up")]);
         next.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
         watch_line(&mut next, &back);
@@ -599,7 +599,7 @@
         flood.push_str(&list_of(2 + index as u32, false, &[entry(&name, nobody, 0, status)]));
         flood.push('\n');
     }
-    // At the end none of those is there, and the first endpoint has moved.
+    // At the end none of those is listed, and the first endpoint has moved.
     flood.push_str(&list_of(4000, true, &[entry("e0", other.at, 0, "up")]));
     watch_line(&mut watch, &flood);
     until_served_by(&sidecar, "other");
@@ -616,7 +616,8 @@
     let endpoint = Endpoint::start(|_| ok("menu"));
     let (sidecar, mut watch) = following(&endpoint);
     until_served_by(&sidecar, "menu");
-    // Danger: a connection to the process before would take one from its successor, and pass for one to it.
+    // Danger: a connection to the previous process would use up one of its successor's, and be taken for one to the
+    // successor.
     let changes = [entry("e0", endpoint.at, 0, "removed"), entry("e9", endpoint.at, 1, "up")];
     watch_line(&mut watch, &list_of(2, false, &changes));
     let mut client = Client::connect(&sidecar);
@@ -633,7 +634,7 @@
 #[test]
 fn an_endpoint_with_room_for_one_connection_serves_all_that_it_may() {
     use std::sync::atomic::{AtomicUsize, Ordering};
-    // Whoever comes while another request is inside finds no room.
+    // A request that arrives while another is in progress finds no room.
     let inside = std::sync::Arc::new(AtomicUsize::new(0));
     let endpoint = Endpoint::start(move |_| {
         let others = inside.fetch_add(1, Ordering::SeqCst);
@@ -655,7 +656,7 @@
             served += usize::from(status == "200");
         }
     }
-    // Whoever is alone is served, and nobody is left without an answer.
+    // A request that is alone is served, and every request is answered.
     assert!(served >= 1);
     for _ in 0..200 {
         clients[0].view();
@@ -666,7 +667,7 @@
     panic!("one client alone is never served");
 }
 
-/// Endpoints that report to probes what they hold, of which one holds much.
+/// Endpoints that report their load to probes, one of them with a high load.
 fn before_reporting(changes: &[(&str, &str)], more: &str) -> (Endpoint, Endpoint, String) {
     let reporting = |row: &'static str| {
         Endpoint::start(move |request| if request.starts_with("GET /load") { ok(row) } else { ok("menu") })
@@ -725,7 +726,7 @@
 
 #[test]
 fn a_watch_carries_out_nothing() {
-    // Watched settings that allow one attempt a request, beside real ones that send again after a refusal.
+    // Shadow settings that allow one attempt per request, with real ones that retry after a rejection.
     let full = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     let endpoint =
         Endpoint::start(
