--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -506,12 +506,12 @@
                             events.push(FleetEvent::DrainAnswer { refused });
                         }
                     }
-                    Ok(Some(Frame::ReportAnswer(told))) => {
-                        let actions = self.member.on_answer(turn.now, told);
+                    Ok(Some(Frame::ReportAnswer(answer))) => {
+                        let actions = self.member.on_answer(turn.now, answer);
                         events.extend(self.execute(actions, turn));
                     }
-                    Ok(Some(Frame::CodedReportAnswer(told, coded))) => {
-                        let actions = self.member.on_coded_answer(turn.now, told, &coded);
+                    Ok(Some(Frame::CodedReportAnswer(answer, observations))) => {
+                        let actions = self.member.on_coded_answer(turn.now, answer, &observations);
                         events.extend(self.execute(actions, turn));
                     }
                     // Danger: the member has taken note of the frames before this one and will not report them again,
--- a/crates/sidecar/src/sidecar.rs
+++ b/crates/sidecar/src/sidecar.rs
@@ -454,7 +454,7 @@
             Due::Accept => self.accept(),
             Due::Away => self.advance_drain(),
             Due::Others => self.update_siblings(),
-            Due::Fleet => self.fleet_due(),
+            Due::Fleet => self.fleet_timer(),
             Due::Operators => self.accept_operators(),
             Due::Settings => self.reload_config(),
             Due::Operator(key) => self.operators.iter_mut().for_each(|o| o.timed_out(key, turn)),
--- a/crates/sidecar/src/sidecar/process.rs
+++ b/crates/sidecar/src/sidecar/process.rs
@@ -401,7 +401,7 @@
         self.handle_fleet_events(events);
     }
 
-    pub(super) fn fleet_due(&mut self) {
+    pub(super) fn fleet_timer(&mut self) {
         self.update_fleet_report();
         let Sidecar { fleet, turn, .. } = self;
         let events = fleet.as_mut().map(|fleet| fleet.on_timer(turn)).unwrap_or_default();
--- a/crates/sidecar/tests/crossings/descriptors.rs
+++ b/crates/sidecar/tests/crossings/descriptors.rs
@@ -18,12 +18,12 @@
 
 const HEALTH: &str = "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n";
 /// Longer than a connection is protected from being closed for room before its request is complete.
-const SAFE_FOR: Duration = Duration::from_millis(1050);
+const PROTECTED_FOR: Duration = Duration::from_millis(1050);
 /// Number of idle clients in most tests.
 const CROWD: usize = 8;
 /// Client connections in a process with the soft limit `LIMIT`, including one that is accepted before another is
 /// closed.
-const PLACES: usize = 23;
+const CLIENT_PLACES: usize = 23;
 const LIMIT: u64 = 64;
 /// More clients than could pass through these places within the test's timeout at one second for each filling.
 const LONG_CROWD: usize = 400;
@@ -33,7 +33,7 @@
 /// Attempts to write without a longer pause, which a busy machine may prevent.
 const TRIES: usize = 20;
 /// How long a new silent connection is protected while others wait to be accepted.
-const SAFE_SILENT_FOR: Duration = Duration::from_millis(100);
+const SILENT_PROTECTED_FOR: Duration = Duration::from_millis(100);
 
 /// The state in which idle clients keep their connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,7 +47,7 @@
 }
 
 /// A client that has been answered and is idle.
-fn resting(sidecar: &Sidecar) -> Client {
+fn idle_client(sidecar: &Sidecar) -> Client {
     let mut client = Client::connect(sidecar);
     client.send(HEALTH);
     assert_eq!(client.status(), "200");
@@ -56,10 +56,10 @@
 
 /// Accepted idle clients that may be closed to make room.
 fn crowd(sidecar: &Sidecar, idle: Idle) -> Vec<Client> {
-    let mut crowd: Vec<_> = (0..CROWD).map(|_| resting(sidecar)).collect();
+    let mut crowd: Vec<_> = (0..CROWD).map(|_| idle_client(sidecar)).collect();
     if idle == Idle::HalfHead {
         // No event to wait for: the protection simply has to expire.
-        std::thread::sleep(SAFE_FOR);
+        std::thread::sleep(PROTECTED_FOR);
         crowd.iter_mut().for_each(|client| client.send("GET /view/1 HT"));
     }
     crowd
@@ -69,19 +69,19 @@
 fn leave_free(sidecar: &Sidecar, crowd: &mut Vec<Client>, descriptors: u64) {
     wait_until("none lies free below the last", || {
         sidecar.limit_free_descriptors(descriptors) || {
-            crowd.push(resting(sidecar));
+            crowd.push(idle_client(sidecar));
             false
         }
     });
 }
 
 /// How many of these were closed: without a response, except for those with half a head, which are told to retry.
-fn gone(crowd: &mut [Client], idle: Idle) -> usize {
+fn closed_count(crowd: &mut [Client], idle: Idle) -> usize {
     let ended: Vec<_> = crowd.iter_mut().zip(0..).filter(|(client, _)| !client.is_idle()).collect();
     let each = ended.into_iter().map(|(client, place)| {
         if idle == Idle::HalfHead && place < CROWD {
             let answer = client.answer();
-            assert!(comes_again(&answer), "it is told {answer}");
+            assert!(is_retryable_rejection(&answer), "it is told {answer}");
         }
         assert!(client.closed(), "it is told something");
     });
@@ -89,14 +89,14 @@
 }
 
 /// Whether this response says that the request was not processed, when to retry, and that the connection closes.
-fn comes_again(answer: &str) -> bool {
+fn is_retryable_rejection(answer: &str) -> bool {
     let says = |line| answer.contains(line);
     answer.starts_with("HTTP/1.1 503 ") && says("Retry-After: ") && says("Connection: close")
 }
 
 /// A fake discovery service that closes each call at once until it is switched on. From then on calls are passed to
 /// the test.
-fn service() -> (SocketAddr, Arc<AtomicBool>, Receiver<TcpStream>) {
+fn switchable_discovery() -> (SocketAddr, Arc<AtomicBool>, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let up = Arc::new(AtomicBool::new(false));
@@ -117,14 +117,14 @@
 
 /// A configuration with these endpoints in the known list and an admin endpoint; the discovery service is down.
 fn settings(endpoints: &[SocketAddr]) -> (String, Arc<AtomicBool>, Receiver<TcpStream>) {
-    let (at, up, calls) = service();
+    let (at, up, calls) = switchable_discovery();
     let entries: Vec<_> =
         endpoints.iter().zip(0..).map(|(at, cell)| entry(&format!("e{cell}"), *at, cell, "up")).collect();
     (with_admin_endpoint(&configuration(at, 1024, &list_of(1, true, &entries))), up, calls)
 }
 
 /// Runs the test for each idle state with 0, 1 and 2 free descriptors.
-fn each(mut play: impl FnMut(Idle, u64)) {
+fn for_each_case(mut play: impl FnMut(Idle, u64)) {
     for idle in [Idle::Rests, Idle::HalfHead] {
         (0..=2).for_each(|free| play(idle, free));
     }
@@ -179,7 +179,7 @@
     let (text, ..) = settings(&[endpoint.at]);
     let sidecar = Sidecar::start_within(&text, 24);
     let crowd: Vec<_> = (0..20).map(|_| Client::connect(&sidecar)).collect();
-    drop(resting(&sidecar));
+    drop(idle_client(&sidecar));
     // A new client is protected, also from a request that needs a connection: until the crowd may be closed the
     // request may be told to retry. Danger: a client that has been answered is not protected, and on a busy machine
     // it was closed for another before it sent the next request.
@@ -187,7 +187,7 @@
         let came = Instant::now();
         let mut client = Client::connect(&sidecar);
         let sent = client.try_order();
-        let late = came.elapsed() >= SAFE_SILENT_FOR;
+        let late = came.elapsed() >= SILENT_PROTECTED_FOR;
         let answer = if sent { client.answer() } else { String::new() };
         let answered = answer.ends_with("menu") || answer.starts_with("HTTP/1.1 503 ");
         assert!(answered || answer.is_empty() && late, "{answer}");
@@ -212,7 +212,7 @@
 }
 
 /// A crowd of clients that send half a head each and then pause.
-fn half_heads(sidecar: &Sidecar) -> Vec<Client> {
+fn crowd_of_half_heads(sidecar: &Sidecar) -> Vec<Client> {
     let half_head = |_| {
         let mut client = Client::connect(sidecar);
         client.send("GET /view/1 HT");
@@ -227,14 +227,14 @@
 fn the_health_check_does_not_wait_for_long_behind_a_crowd_of_half_heads() {
     let (text, ..) = settings(&[]);
     let sidecar = Sidecar::start_within(&text, LIMIT);
-    let mut crowd = half_heads(&sidecar);
+    let mut crowd = crowd_of_half_heads(&sidecar);
     let mut check = Client::connect(&sidecar);
     check.send(HEALTH);
     assert_eq!(check.status(), "200");
     // Clients closed for it were told to retry. The last ones may have timed out meanwhile.
     let told = crowd.iter_mut().filter(|client| !client.is_idle()).map(|client| client.answer());
-    let (come_again, others): (Vec<_>, Vec<_>) = told.partition(|answer| comes_again(answer));
-    assert!(come_again.len() >= LONG_CROWD - PLACES, "{}", come_again.len());
+    let (come_again, others): (Vec<_>, Vec<_>) = told.partition(|answer| is_retryable_rejection(answer));
+    assert!(come_again.len() >= LONG_CROWD - CLIENT_PLACES, "{}", come_again.len());
     assert!(others.iter().all(|answer| answer.starts_with("HTTP/1.1 408 ")), "{others:?}");
 }
 
@@ -269,7 +269,7 @@
         let mut slow = TcpStream::connect(sidecar.at).unwrap();
         slow.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         let (mut crowd, pause) = std::thread::scope(|scope| {
-            let crowd = scope.spawn(|| half_heads(&sidecar));
+            let crowd = scope.spawn(|| crowd_of_half_heads(&sidecar));
             let (mut wrote, mut pause) = (Instant::now(), Duration::ZERO);
             for byte in b"GET /view/1 HTTP/1.1\r\nX-Txn: 1\r\n\r\n" {
                 // A client rejected meanwhile reads that below.
@@ -282,7 +282,7 @@
         });
         let answer = read_message(&mut BufReader::new(&slow));
         let turned_away = crowd.iter_mut().filter(|client| !client.is_idle()).count();
-        if pause < PAUSE && turned_away > PLACES {
+        if pause < PAUSE && turned_away > CLIENT_PLACES {
             return assert!(answer.ends_with("menu"), "{answer}");
         }
     }
@@ -292,8 +292,8 @@
 /// Danger: an admin connection that found no descriptor causes no further event, and waited for the next connection.
 #[test]
 fn an_operator_is_answered_when_no_descriptor_is_free() {
-    each(|idle, free| {
-        let (sidecar, _watch) = watching(&[]);
+    for_each_case(|idle, free| {
+        let (sidecar, _watch) = start_with_watch(&[]);
         let mut crowd = crowd(&sidecar, idle);
         leave_free(&sidecar, &mut crowd, free);
         let mut callers: Vec<_> = (0..2).map(|_| sidecar.admin_connection()).collect();
@@ -304,15 +304,15 @@
             assert!(answer.ends_with("EOF\n"), "{idle:?}, {free} free: {answer}");
         }
         // One for each, and one more for the check whether another waits.
-        assert!(gone(&mut crowd, idle) <= 3, "{idle:?}, {free} free");
+        assert!(closed_count(&mut crowd, idle) <= 3, "{idle:?}, {free} free");
     });
 }
 
 /// Danger: a process without free descriptors answered its health check only once idle clients had timed out.
 #[test]
 fn the_health_check_is_answered_when_no_descriptor_is_free() {
-    each(|idle, free| {
-        let (sidecar, _watch) = watching(&[]);
+    for_each_case(|idle, free| {
+        let (sidecar, _watch) = start_with_watch(&[]);
         let mut crowd = crowd(&sidecar, idle);
         leave_free(&sidecar, &mut crowd, free);
         let mut checks: Vec<_> = (0..2).map(|_| Client::connect(&sidecar)).collect();
@@ -321,7 +321,7 @@
             assert_eq!(check.status(), "200", "{idle:?}, {free} free");
         }
         // One for each, and one more for the check whether another waits.
-        assert!(gone(&mut crowd, idle) <= 3, "{idle:?}, {free} free");
+        assert!(closed_count(&mut crowd, idle) <= 3, "{idle:?}, {free} free");
     });
 }
 
@@ -329,14 +329,14 @@
 /// the call was never made while clients held all descriptors.
 #[test]
 fn the_list_is_called_when_no_descriptor_is_free() {
-    each(|idle, free| {
+    for_each_case(|idle, free| {
         let (text, up, calls) = settings(&[]);
         let sidecar = Sidecar::start(&text);
         let mut crowd = crowd(&sidecar, idle);
         leave_free(&sidecar, &mut crowd, free);
         up.store(true, Ordering::SeqCst);
         let mut watch = calls.recv_timeout(Duration::from_secs(5)).expect("it is called");
-        let gone = gone(&mut crowd, idle);
+        let gone = closed_count(&mut crowd, idle);
         // One may have been closed for a call that was pending before.
         assert!(gone <= 2, "{idle:?}, {free} free: {gone} gone");
         watch.write_all(OPEN).unwrap();
@@ -346,10 +346,10 @@
 /// Danger: a request whose endpoint connection could not be opened was rejected while other clients were idle.
 #[test]
 fn a_request_is_sent_when_no_descriptor_is_free() {
-    each(|idle, free| {
+    for_each_case(|idle, free| {
         let endpoint = Endpoint::start(|_| ok("menu"));
-        let (sidecar, _watch) = watching(&[endpoint.at]);
-        let mut client = resting(&sidecar);
+        let (sidecar, _watch) = start_with_watch(&[endpoint.at]);
+        let mut client = idle_client(&sidecar);
         let mut crowd = crowd(&sidecar, idle);
         // It is not the one that has been idle for longest.
         client.send(HEALTH);
@@ -383,7 +383,7 @@
 
 /// A sidecar with an open watch, and the stream that keeps it open. Requests stay in flight for as long as a test may
 /// take.
-fn watching(endpoints: &[SocketAddr]) -> (Sidecar, TcpStream) {
+fn start_with_watch(endpoints: &[SocketAddr]) -> (Sidecar, TcpStream) {
     let (text, up, calls) = settings(endpoints);
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":200000000000");
     let text = text.replace("\"deadlineNs\":3000000000", "\"deadlineNs\":300000000000");
@@ -402,7 +402,7 @@
 }
 
 /// Starts clients with requests in flight until no descriptor is free below the highest socket.
-fn held(sidecar: &Sidecar, endpoints: &[&Endpoint]) -> Vec<Client> {
+fn fill_with_requests(sidecar: &Sidecar, endpoints: &[&Endpoint]) -> Vec<Client> {
     let mut held = Vec::new();
     while held.is_empty() || sidecar.descriptors().1 > 0 {
         let mut client = Client::connect(sidecar);
@@ -419,9 +419,9 @@
 fn an_idle_connection_to_an_endpoint_goes_for_one_to_another() {
     let hold = Hold::default();
     let (one, other) = (hold.endpoint("one"), hold.endpoint("other"));
-    let (sidecar, _watch) = watching(&[one.at, other.at]);
+    let (sidecar, _watch) = start_with_watch(&[one.at, other.at]);
     let mut client = Client::connect(&sidecar);
-    let mut held = held(&sidecar, &[&one, &other]);
+    let mut held = fill_with_requests(&sidecar, &[&one, &other]);
     client.view();
     let first = client.answer();
     assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
@@ -438,8 +438,8 @@
 /// Danger: a reload requested while no file could be opened was never done.
 #[test]
 fn settings_are_read_again_when_no_descriptor_is_free() {
-    each(|idle, free| {
-        let (sidecar, _watch) = watching(&[]);
+    for_each_case(|idle, free| {
+        let (sidecar, _watch) = start_with_watch(&[]);
         let mut crowd = crowd(&sidecar, idle);
         let (at, calls) = start_discovery();
         let other = with_admin_endpoint(&configuration(at, 1024, "null"));
@@ -457,8 +457,8 @@
 fn who_waits_outside_is_taken_once_a_descriptor_comes_free_and_nothing_spins() {
     let hold = Hold::default();
     let endpoint = hold.endpoint("menu");
-    let (sidecar, _watch) = watching(&[endpoint.at]);
-    let mut busy = held(&sidecar, &[&endpoint]);
+    let (sidecar, _watch) = start_with_watch(&[endpoint.at]);
+    let mut busy = fill_with_requests(&sidecar, &[&endpoint]);
     assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
     let mut operator = sidecar.admin_connection();
     operator.write_all(b"show-stat\n").unwrap();
@@ -485,8 +485,8 @@
 fn who_leaves_while_it_waits_outside_behind_more_than_the_machine_takes_is_sent_nothing() {
     let hold = Hold::default();
     let endpoint = hold.endpoint("menu");
-    let (sidecar, _watch) = watching(&[endpoint.at]);
-    let mut busy = held(&sidecar, &[&endpoint]);
+    let (sidecar, _watch) = start_with_watch(&[endpoint.at]);
+    let mut busy = fill_with_requests(&sidecar, &[&endpoint]);
     assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
     let mut leaves = Client::connect(&sidecar);
     assert!(leaves.flood("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n", 1_000_000) >= 300_000);
@@ -509,8 +509,8 @@
 fn a_request_that_waits_outside_tells_no_more_time_than_is_left() {
     let hold = Hold::default();
     let endpoint = hold.endpoint("menu");
-    let (sidecar, _watch) = watching(&[endpoint.at]);
-    let mut busy = held(&sidecar, &[&endpoint]);
+    let (sidecar, _watch) = start_with_watch(&[endpoint.at]);
+    let mut busy = fill_with_requests(&sidecar, &[&endpoint]);
     assert!(sidecar.limit_free_descriptors(0), "{:?}", sidecar.descriptors());
     let mut waits = Client::connect(&sidecar);
     waits.send("GET /view/1 HTTP/1.1\r\nX-Txn: late\r\nX-Remaining-Ms: 2900\r\n\r\n");
@@ -538,7 +538,7 @@
     let old = Sidecar::start_with(&text, &variables);
     wait_until("it is ready", || old.admin_command("ready\n").starts_with("200 "));
     let mut crowd = crowd(&old, Idle::Rests);
-    let mut check = resting(&old);
+    let mut check = idle_client(&old);
     let beside = format!("\"listen\":\"{}\"", old.at);
     let new = Sidecar::start_with(&text.replace("\"listen\":\"127.0.0.1:0\"", &beside), &variables);
     wait_until("the new one is ready", || new.admin_command("ready\n").starts_with("200 "));
--- a/crates/sidecar/tests/crossings/edges.rs
+++ b/crates/sidecar/tests/crossings/edges.rs
@@ -35,7 +35,7 @@
 }
 
 /// Resets a connection of the sidecar behind some last bytes, while the process is stopped.
-fn reset_behind(sidecar: &Sidecar, mut stream: TcpStream, bytes: &str) {
+fn reset_after(sidecar: &Sidecar, mut stream: TcpStream, bytes: &str) {
     let (port, to) = (stream.peer_addr().unwrap().port(), stream.local_addr().unwrap().port());
     sidecar.in_one_turn(|| {
         stream.write_all(bytes.as_bytes()).unwrap();
@@ -56,7 +56,7 @@
 }
 
 /// Reads up to the end of the client's connection; also whether it ended without a reset.
-fn all_of(client: &mut TcpStream) -> (String, bool) {
+fn read_to_end(client: &mut TcpStream) -> (String, bool) {
     let mut bytes = Vec::new();
     let ended = client.read_to_end(&mut bytes).is_ok();
     (String::from_utf8(bytes).unwrap(), ended)
@@ -81,8 +81,8 @@
         // More than is buffered, so it is streamed.
         write!(stream, "{NO_LENGTH}{}", "x".repeat(100_000)).unwrap();
         client.read_exact(&mut [0; 90_000]).unwrap();
-        reset_behind(&sidecar, stream, "yyyy");
-        let (rest, ended) = all_of(&mut client);
+        reset_after(&sidecar, stream, "yyyy");
+        let (rest, ended) = read_to_end(&mut client);
         let seems_whole = ended && (version == "1.0" || rest.ends_with("0\r\n\r\n"));
         assert!(!seems_whole, "{version}: {} bytes", rest.len());
     }
@@ -105,7 +105,7 @@
             "endpoint" => drop(stream),
             _ => sidecar.signal("-KILL"),
         }
-        assert!(!all_of(&mut client).1, "{how}: it ends as a whole answer does");
+        assert!(!read_to_end(&mut client).1, "{how}: it ends as a whole answer does");
     }
 }
 
@@ -137,9 +137,9 @@
             // It is buffered for as long as its end is awaited; what arrives after that is streamed.
             write!(stream, "{NO_LENGTH}me").unwrap();
             std::thread::sleep(Duration::from_millis(700));
-            reset_behind(&sidecar, stream, "n");
+            reset_after(&sidecar, stream, "n");
         } else {
-            reset_behind(&sidecar, stream, &format!("{NO_LENGTH}me"));
+            reset_after(&sidecar, stream, &format!("{NO_LENGTH}me"));
         }
         let answer = client.answer();
         assert!(answer.ends_with("menu"), "late {late}: {answer}");
@@ -267,7 +267,7 @@
     let _ = client.write_all("GET /view/1 HTTP/1.1\r\nX-Txn: 77\r\n\r\n".repeat(20_000).as_bytes());
     stream.write_all(ok(&body).unwrap().as_bytes()).unwrap();
     sidecar.wait_pending(0);
-    let (answer, ended) = all_of(&mut client);
+    let (answer, ended) = read_to_end(&mut client);
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with(&body), "{} bytes", answer.len());
     assert!(ended);
     // Data read behind it is not processed.
--- a/crates/sidecar/tests/crossings/retries.rs
+++ b/crates/sidecar/tests/crossings/retries.rs
@@ -12,7 +12,7 @@
 };
 
 /// A sidecar with these endpoints, configured so that `view` is unsafe to repeat.
-fn unsafe_before(endpoints: &[(&str, std::net::SocketAddr)]) -> Sidecar {
+fn start_with_unsafe_view(endpoints: &[(&str, std::net::SocketAddr)]) -> Sidecar {
     let entries: Vec<_> = endpoints.iter().map(|(name, at)| entry(name, *at, 0, "up")).collect();
     let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &list_of(1, true, &entries)));
     Sidecar::start(&text.replace("\"effect\":\"retryable\"", "\"effect\":\"fragile\""))
@@ -35,7 +35,7 @@
     ] {
         // The connection closes without a response, or after one that announces it.
         let both = [(); 2].map(|()| Endpoint::start(move |_| (!how.is_empty()).then(|| how.to_string())));
-        let sidecar = unsafe_before(&[("e0", both[0].at), ("e1", both[1].at)]);
+        let sidecar = start_with_unsafe_view(&[("e0", both[0].at), ("e1", both[1].at)]);
         let mut client = Client::connect(&sidecar);
         post(&mut client, "once");
         assert_eq!(client.status(), "502", "{how}");
@@ -49,7 +49,7 @@
     // A request rejected by the endpoint never ran, and is retried.
     let turned = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     let (away, good) = (Endpoint::start(move |_| Some(turned.to_string())), Endpoint::start(|_| ok("menu")));
-    let sidecar = unsafe_before(&[("e0", away.at), ("e1", good.at)]);
+    let sidecar = start_with_unsafe_view(&[("e0", away.at), ("e1", good.at)]);
     let mut client = Client::connect(&sidecar);
     for id in ["a", "b", "c", "d"] {
         post(&mut client, id);
@@ -58,7 +58,7 @@
 }
 
 /// An endpoint that answers its first request, closes the connection when told to, and serves all later requests.
-fn ends_when_told() -> (std::net::SocketAddr, Sender<()>, std::sync::mpsc::Receiver<String>) {
+fn closable_endpoint() -> (std::net::SocketAddr, Sender<()>, std::sync::mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let ((tell, requests), (go, may)) = (channel(), channel());
@@ -83,8 +83,8 @@
 /// Danger: after a request was written to a connection that its endpoint had closed, it is unknown whether it ran.
 #[test]
 fn an_idle_connection_that_ends_in_the_turn_of_a_request_is_not_used() {
-    let (at, go, requests) = ends_when_told();
-    let sidecar = unsafe_before(&[("e0", at)]);
+    let (at, go, requests) = closable_endpoint();
+    let sidecar = start_with_unsafe_view(&[("e0", at)]);
     let mut client = Client::connect(&sidecar);
     post(&mut client, "first");
     assert_eq!(client.status(), "200");
--- a/crates/sidecar/tests/daily/long.rs
+++ b/crates/sidecar/tests/daily/long.rs
@@ -281,7 +281,7 @@
 
 /// A sidecar whose only short time limit is the connect timeout, so that a client does not time out because the
 /// machine is busy.
-fn patient(at: SocketAddr) -> Sidecar {
+fn start_without_timeouts(at: SocketAddr) -> Sidecar {
     let text = configuration(start_discovery().0, 1024, &list_of(1, true, &[entry("e0", at, 0, "up")]));
     let text = text.replace("\"connectTimeoutNs\":200000000", "\"connectTimeoutNs\":300000000000");
     let text = text.replace("\"latencyBudgetNs\":2000000000", "\"latencyBudgetNs\":2000000000000");
@@ -296,7 +296,7 @@
 #[test]
 fn a_client_that_leaves_halfway_or_falls_silent_never_has_its_request_run() {
     let (at, told) = reader();
-    let sidecar = patient(at);
+    let sidecar = start_without_timeouts(at);
     let begin = |framing: &str| {
         wait_until("none is left of before", || connections(None, at.port(), "01") == 0);
         let mut client = connect(&sidecar);
--- a/crates/sidecar/tests/discovery_crowded.rs
+++ b/crates/sidecar/tests/discovery_crowded.rs
@@ -102,7 +102,7 @@
     // All have made at least one failed call.
     stand_ins::wait_until("calls while it is down", || discovery.calls().len() >= SIDECARS as usize);
 
-    discovery.retry_after(&list_of(2, true, &both("draining")));
+    discovery.go_up(&list_of(2, true, &both("draining")));
     let begun = Instant::now();
     let mut signals: Vec<(Duration, u32, usize)> = Vec::new();
     for number in 0..SIDECARS {
--- a/crates/sidecar/tests/discovery_schedule.rs
+++ b/crates/sidecar/tests/discovery_schedule.rs
@@ -41,7 +41,7 @@
     /// A call has waited, or hung, until it is refused.
     Refused(u64),
     /// A call is not answered in time, and is given up.
-    GiveUpReason(usize, u64, Moment),
+    GiveUp(usize, u64, Moment),
 }
 
 struct Call {
@@ -123,7 +123,7 @@
                 Event::Due(..) => {}
                 Event::Worked => self.worked(),
                 Event::Refused(id) => self.refuse(id),
-                Event::GiveUpReason(caller, id, since) => self.end(caller, id, since, CallEnd::Lost),
+                Event::GiveUp(caller, id, since) => self.end(caller, id, since, CallEnd::Lost),
             }
         }
     }
@@ -142,7 +142,7 @@
         self.callers[caller].schedule.called();
         self.callers[caller].call = Some(call.id);
         let id = call.id;
-        self.at(self.now + CALL_IN, Event::GiveUpReason(caller, id, self.now));
+        self.at(self.now + CALL_IN, Event::GiveUp(caller, id, self.now));
         if self.down_at <= self.now && self.now < self.back_at {
             self.hanging.push(call);
             self.at(self.now + DOWN_HANG, Event::Refused(id));
--- a/crates/sidecar/tests/fakes/discovery.rs
+++ b/crates/sidecar/tests/fakes/discovery.rs
@@ -115,7 +115,7 @@
     }
 
     /// Brings the service back with this list.
-    pub fn retry_after(&self, list: &str) {
+    pub fn go_up(&self, list: &str) {
         let mut state = self.state.lock().unwrap();
         state.down = None;
         state.list = list.to_string();
--- a/crates/sidecar/tests/restarts.rs
+++ b/crates/sidecar/tests/restarts.rs
@@ -10,7 +10,7 @@
 use stand_ins::{Client, Endpoint, Sidecar, configuration, entry, list_of, ok, with_admin_endpoint};
 
 /// Number of processes that start together.
-const TOGETHER: usize = 30;
+const PROCESSES: usize = 30;
 /// Nine in ten must be ready within this time.
 const READY_IN: Duration = Duration::from_secs(10);
 
@@ -54,7 +54,7 @@
             let text = text.replace("\"automatic\"", &format!("\"{mode}\""));
             let text = text.replace("\"rules\":{", "\"rules\":{\"askWithinNs\":10000000000,");
             let text = Arc::new(text);
-            let starts = (0..TOGETHER).map(|_| {
+            let starts = (0..PROCESSES).map(|_| {
                 let text = text.clone();
                 std::thread::spawn(move || {
                     let begun = Instant::now();
@@ -76,7 +76,7 @@
             let (listens, ready) = (starts.last().unwrap().0, starts.iter().map(|start| start.1));
             let in_time = ready.clone().filter(|ready| *ready < READY_IN).count();
             println!("{how:?}, {mode}: all listen after {listens:?}, and are ready after {:?}", ready.max());
-            assert!(in_time * 10 >= TOGETHER * 9, "{how:?}, {mode}: {in_time} of {TOGETHER} in time");
+            assert!(in_time * 10 >= PROCESSES * 9, "{how:?}, {mode}: {in_time} of {PROCESSES} in time");
             assert!(starts.iter().all(|start| start.2 == "200"), "{how:?}, {mode}: {starts:?}");
         }
     }
