--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,13 +1,13 @@
-//! The sidecar's parts, for its program, and for other programs of this project that check settings as it does or hold
-//! connections as it does. Nothing is decided here.
+//! The sidecar's modules, for its own binary and for other programs of this project that validate settings or manage
+//! connections the same way. No load-balancing decisions are made here.
 
-pub mod figures;
+pub mod config;
 pub mod fleet;
 pub mod handover;
-pub mod launch;
 pub mod logger;
+pub mod metrics;
 pub mod net;
 pub mod presence;
+pub mod shadow;
 pub mod sidecar;
 pub mod trace;
-pub mod watch;
--- a/crates/sidecar/src/net/clients.rs
+++ b/crates/sidecar/src/net/clients.rs
@@ -932,7 +932,7 @@
 
     #[test]
     fn cost_label_is_parsed_and_an_invalid_one_is_ignored() {
-        let terms = crate::launch::plain_terms("view", &[]);
+        let terms = crate::config::plain_terms("view", &[]);
         for (labels, wanted) in [
             ("X-Labels: size=3, costGuessNs=12000000\r\n", Some(Span::from_millis(12))),
             ("X-Labels: costGuessNs=-1\r\n", None),
@@ -971,7 +971,7 @@
         }
         clients.slots.get_mut(key).unwrap().connection.input.clear();
         assert!(matches!(clients.timed_out(key, &mut turn), ClientEvent::InputPending));
-        let terms = crate::launch::plain_terms("view", &[]);
+        let terms = crate::config::plain_terms("view", &[]);
         assert!(matches!(clients.ready(key, &terms, &mut turn), ClientEvent::Nothing));
         assert!(turn.deadlines.next().is_some_and(|at| at.since(turn.now) <= DRAIN_IDLE_TIMEOUT));
     }
@@ -997,7 +997,7 @@
             clients.accept(&mut turn);
         }
         let (key, _) = clients.slots.iter().next().unwrap();
-        let terms = crate::launch::plain_terms("view", &[]);
+        let terms = crate::config::plain_terms("view", &[]);
         let (mut events, mut answers) = (mio::Events::with_capacity(8), String::new());
         let mut again = false;
         while answers.matches("HTTP/1.1 404 ").count() < REQUESTS {
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -19,7 +19,7 @@
 use super::http;
 use super::slots::{Key, Peer, Slots};
 use super::{DESCRIPTOR_RETRY, Turn};
-use crate::figures::Discovery;
+use crate::metrics::DiscoveryMetrics;
 
 /// The maximum size of a list in bytes: enough for a complete list of many thousand endpoints.
 const MAX_LIST_BYTES: usize = 4 << 20;
@@ -75,7 +75,7 @@
     pub lacks_descriptor: bool,
     schedule: Schedule,
     /// Counters of how calls ended, for the metrics.
-    call_counts: Discovery,
+    call_counts: DiscoveryMetrics,
     /// When a list or a heartbeat last arrived; before the first one, when a watch was first wanted.
     last_heard: Option<Moment>,
     /// The last version received from this address.
@@ -97,7 +97,7 @@
             deadline: None,
             lacks_descriptor: false,
             schedule: Schedule::new(callers, seed),
-            call_counts: Discovery::default(),
+            call_counts: DiscoveryMetrics::default(),
             last_heard: None,
             version,
             salvaged: Vec::new(),
@@ -110,9 +110,9 @@
     }
 
     /// The discovery metrics.
-    pub fn figures(&self, now: Moment) -> Discovery {
+    pub fn figures(&self, now: Moment) -> DiscoveryMetrics {
         let silent_ms = self.last_heard.map_or(0, |at| now.since(at).nanos() / 1_000_000);
-        Discovery { calls: self.calls_made, version: self.version, silent_ms, ..self.call_counts }
+        DiscoveryMetrics { calls: self.calls_made, version: self.version, silent_ms, ..self.call_counts }
     }
 
     /// Sets who else calls the same service.
@@ -305,7 +305,7 @@
         self.close(turn);
         match end {
             CallEnd::Rejected => self.call_counts.turned_away += 1,
-            CallEnd::Truncated => self.call_counts.torn += 1,
+            CallEnd::Truncated => self.call_counts.truncated += 1,
             CallEnd::Lost => self.call_counts.lost += 1,
         }
         let next = self.schedule.call_failed(since, turn.now, end);
--- a/crates/sidecar/src/net/servers.rs
+++ b/crates/sidecar/src/net/servers.rs
@@ -12,7 +12,7 @@
 use super::deadlines::Due;
 use super::http::{self, Frame, Length, ReadState};
 use super::slots::{Key, Peer, Slots};
-use crate::figures::End;
+use crate::metrics::RequestEnd;
 
 /// The share of the endpoints' idle timeout after which this side closes an idle connection, well before they do.
 const IDLE_TIMEOUT_SHARE: f64 = 0.75;
@@ -65,7 +65,7 @@
     client: Key,
     method: usize,
     /// How the request is counted once the response is complete.
-    end: End,
+    end: RequestEnd,
     body: Body,
     keep: bool,
 }
@@ -506,7 +506,7 @@
         key: Key,
         frame: Frame,
         body: Body,
-        (client, method, end): (Key, usize, End),
+        (client, method, end): (Key, usize, RequestEnd),
     ) {
         let Some(link) = self.links.get_mut(key) else { return };
         link.connection.consume(frame.end);
@@ -514,7 +514,7 @@
     }
 
     /// The client that this connection's response is streamed to, the method of its request, and how that is counted.
-    pub fn forwarding_to(&self, key: Key) -> Option<(Key, usize, End)> {
+    pub fn forwarding_to(&self, key: Key) -> Option<(Key, usize, RequestEnd)> {
         let forwarding = self.links.get(key)?.forwarding.as_ref()?;
         Some((forwarding.client, forwarding.method, forwarding.end))
     }
@@ -721,7 +721,12 @@
                     break ended;
                 }
             };
-            servers.begin_forwarding(key, ended.answer.unwrap(), ended.long.unwrap(), (key, 0, End::Served));
+            servers.begin_forwarding(
+                key,
+                ended.answer.unwrap(),
+                ended.long.unwrap(),
+                (key, 0, RequestEnd::Served),
+            );
             servers.forget(0, &mut turn);
             servers.set_address(0, successor.unwrap_or(listener.local_addr().unwrap()), None, &mut turn);
             std::io::Write::write_all(&mut peer, &[b'x'; 69_000]).unwrap();
--- a/crates/sidecar/tests/crossings/retries.rs
+++ b/crates/sidecar/tests/crossings/retries.rs
@@ -1,4 +1,5 @@
-//! Attempts that end, and what can cross with that: what may have run and is unsafe to repeat goes out once.
+//! Attempts that end, and the events that can coincide with that: a request that may have run and is unsafe to repeat
+//! is sent once.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -6,13 +7,14 @@
 use std::time::Duration;
 
 use crate::stand_ins::{
-    Client, Endpoint, Sidecar, asked, configuration, connections, entry, list, list_of, message, ok, until,
+    Client, Endpoint, Sidecar, configuration, connections, entry, list_of, ok, read_message, start_discovery,
+    wait_until, with_admin_endpoint,
 };
 
-/// Where `view` is unsafe to repeat.
-fn unsafe_before(endpoints: &[(&str, std::net::SocketAddr)]) -> Sidecar {
+/// A sidecar with these endpoints, configured so that `view` is unsafe to repeat.
+fn start_with_unsafe_view(endpoints: &[(&str, std::net::SocketAddr)]) -> Sidecar {
     let entries: Vec<_> = endpoints.iter().map(|(name, at)| entry(name, *at, 0, "up")).collect();
-    let text = asked(&configuration(list().0, 1024, &list_of(1, true, &entries)));
+    let text = with_admin_endpoint(&configuration(start_discovery().0, 1024, &list_of(1, true, &entries)));
     Sidecar::start(&text.replace("\"effect\":\"retryable\"", "\"effect\":\"fragile\""))
 }
 
@@ -20,7 +22,7 @@
     client.send(format!("POST /view/1 HTTP/1.1\r\nX-Txn: {id}\r\nContent-Length: 2\r\n\r\nso"));
 }
 
-/// Danger: an unsafe request that is sent again after it may have run has its effect twice.
+/// Danger: an unsafe request that is retried after it may have run has its effect twice.
 #[test]
 fn what_is_unsafe_to_repeat_goes_out_once_however_its_attempt_ends() {
     for how in [
@@ -31,9 +33,9 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nme",
         "SMTP\r\n\r\n",
     ] {
-        // Without a word, or after one that says so, the connection ends.
+        // The connection closes without a response, or after one that announces it.
         let both = [(); 2].map(|()| Endpoint::start(move |_| (!how.is_empty()).then(|| how.to_string())));
-        let sidecar = unsafe_before(&[("e0", both[0].at), ("e1", both[1].at)]);
+        let sidecar = start_with_unsafe_view(&[("e0", both[0].at), ("e1", both[1].at)]);
         let mut client = Client::connect(&sidecar);
         post(&mut client, "once");
         assert_eq!(client.status(), "502", "{how}");
@@ -44,10 +46,10 @@
             .count();
         assert_eq!(sent, 1, "{how}");
     }
-    // Turned away, it never ran, and goes on.
+    // A request rejected by the endpoint never ran, and is retried.
     let turned = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
     let (away, good) = (Endpoint::start(move |_| Some(turned.to_string())), Endpoint::start(|_| ok("menu")));
-    let sidecar = unsafe_before(&[("e0", away.at), ("e1", good.at)]);
+    let sidecar = start_with_unsafe_view(&[("e0", away.at), ("e1", good.at)]);
     let mut client = Client::connect(&sidecar);
     for id in ["a", "b", "c", "d"] {
         post(&mut client, id);
@@ -55,14 +57,14 @@
     }
 }
 
-/// An endpoint that answers its first request, then ends the connection when told to, and serves all that come after.
-fn ends_when_told() -> (std::net::SocketAddr, Sender<()>, std::sync::mpsc::Receiver<String>) {
+/// An endpoint that answers its first request, closes the connection when told to, and serves all later requests.
+fn closable_endpoint() -> (std::net::SocketAddr, Sender<()>, std::sync::mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let ((tell, requests), (go, may)) = (channel(), channel());
     std::thread::spawn(move || {
         let serve = |stream: &mut TcpStream| {
-            let request = message(&mut std::io::BufReader::new(&*stream));
+            let request = read_message(&mut std::io::BufReader::new(&*stream));
             let there = !request.is_empty();
             let _ = tell.send(request);
             there && stream.write_all(ok("menu").unwrap().as_bytes()).is_ok()
@@ -78,26 +80,26 @@
     (at, go, requests)
 }
 
-/// Danger: written to a connection that its endpoint has ended, a request may have run for all that can be told.
+/// Danger: after a request was written to a connection that its endpoint had closed, it is unknown whether it ran.
 #[test]
 fn an_idle_connection_that_ends_in_the_turn_of_a_request_is_not_used() {
-    let (at, go, requests) = ends_when_told();
-    let sidecar = unsafe_before(&[("e0", at)]);
+    let (at, go, requests) = closable_endpoint();
+    let sidecar = start_with_unsafe_view(&[("e0", at)]);
     let mut client = Client::connect(&sidecar);
     post(&mut client, "first");
     assert_eq!(client.status(), "200");
-    until("it is idle", || connections(None, at.port(), "01") == 1);
+    wait_until("it is idle", || connections(None, at.port(), "01") == 1);
     sidecar.in_one_turn(|| {
         post(&mut client, "second");
         go.send(()).unwrap();
-        until("the idle one has ended", || connections(None, at.port(), "01") == 0);
+        wait_until("the idle one has ended", || connections(None, at.port(), "01") == 0);
     });
     assert_eq!(client.status(), "200");
     assert_eq!(requests.try_iter().filter(|request| !request.is_empty()).count(), 2);
 }
 
-/// The deadline, the endpoint's answer and more from the client, all in one turn: one whole answer, and the next is its
-/// own.
+/// The deadline, the endpoint's response and more data from the client, all in one turn: the client gets one complete
+/// response, and the next request gets its own.
 #[test]
 fn an_answer_in_the_turn_of_its_deadline_is_given_once() {
     let (go, wait) = channel::<()>();
@@ -111,19 +113,19 @@
         }
         ok("next")
     });
-    let sidecar = Sidecar::asked_before(&[endpoint.at]);
+    let sidecar = Sidecar::start_with_admin_endpoint(&[endpoint.at]);
     let mut client = Client::connect(&sidecar);
     client.send("GET /view/1 HTTP/1.1\r\nX-Txn: late\r\nX-Remaining-Ms: 600\r\n\r\n");
     assert!(endpoint.next().contains("Txn: late"));
     sidecar.in_one_turn(|| {
         go.send(()).unwrap();
         written.recv().unwrap();
-        // Past its deadline before the process goes on.
+        // Past its deadline before the process continues.
         std::thread::sleep(Duration::from_millis(700));
         client.view();
     });
     let (first, second) = (client.answer(), client.answer());
     assert!(first.ends_with("late") || first.starts_with("HTTP/1.1 503 "), "{first}");
     assert!(second.ends_with("next"), "{second}");
-    sidecar.until_open(0);
+    sidecar.wait_pending(0);
 }
