--- a/crates/fleet/src/allocator.rs
+++ b/crates/fleet/src/allocator.rs
@@ -29,10 +29,10 @@
 #[derive(Clone, Debug)]
 struct HolderState {
     /// When its last report was answered: any grant that it may act on was requested by then.
-    answered: Moment,
-    uses: BTreeMap<Resource, (Usage, f64)>,
+    answered_at: Moment,
+    usages: BTreeMap<Resource, (Usage, f64)>,
     /// The log position that it reports to act on, and since when, by resource.
-    acts: BTreeMap<Resource, (LogPosition, Moment)>,
+    acting_on: BTreeMap<Resource, (LogPosition, Moment)>,
     /// When it reported that it ends, or an operator confirmed that it has ended.
     ended: Option<Moment>,
 }
@@ -42,7 +42,7 @@
     since: Moment,
     generation: u64,
     holder_states: BTreeMap<Holder, HolderState>,
-    divided: BTreeMap<Resource, Moment>,
+    changed_at: BTreeMap<Resource, Moment>,
     proposed: BTreeMap<Resource, (ShareChange, Moment)>,
 }
 
@@ -53,32 +53,32 @@
             since: now,
             generation,
             holder_states: BTreeMap::new(),
-            divided: BTreeMap::new(),
+            changed_at: BTreeMap::new(),
             proposed: BTreeMap::new(),
         }
     }
 
     /// Records a holder's report, which is answered now.
-    pub fn record_report(&mut self, now: Moment, holder: &Holder, uses: &[(Resource, Usage)], ends: bool) {
+    pub fn record_report(&mut self, now: Moment, holder: &Holder, usages: &[(Resource, Usage)], ends: bool) {
         let state = self.holder_states.entry(holder.clone()).or_insert_with(|| HolderState {
-            answered: now,
-            uses: BTreeMap::new(),
-            acts: BTreeMap::new(),
+            answered_at: now,
+            usages: BTreeMap::new(),
+            acting_on: BTreeMap::new(),
             ended: None,
         });
-        state.answered = now;
+        state.answered_at = now;
         if ends {
             state.ended.get_or_insert(now);
         }
-        for (of, told) in uses {
-            let before = state.uses.get(of).map_or(0.0, |(_, wants)| *wants);
-            let wants = told.wanted as f64;
-            let jumps = wants >= before * DEMAND_JUMP_FACTOR;
-            let wants = if jumps { wants } else { before + DEMAND_SMOOTHING * (wants - before) };
-            state.uses.insert(*of, (*told, wants));
-            let acts = state.acts.entry(*of).or_insert((told.acting_on, now));
-            if acts.0 != told.acting_on {
-                *acts = (told.acting_on, now);
+        for (resource, usage) in usages {
+            let before = state.usages.get(resource).map_or(0.0, |(_, demand)| *demand);
+            let demand = usage.wanted as f64;
+            let jumps = demand >= before * DEMAND_JUMP_FACTOR;
+            let demand = if jumps { demand } else { before + DEMAND_SMOOTHING * (demand - before) };
+            state.usages.insert(*resource, (*usage, demand));
+            let acting_on = state.acting_on.entry(*resource).or_insert((usage.acting_on, now));
+            if acting_on.0 != usage.acting_on {
+                *acting_on = (usage.acting_on, now);
             }
         }
     }
@@ -92,12 +92,12 @@
     pub fn grants_for(&self, holder: &Holder, budgets: &Budgets, applied: Index) -> Vec<Grant> {
         let lease_ms = LEASE.nanos() / 1_000_000;
         let grant = |budget: &Budget| {
-            let (part, index) = match budgets.share(budget.resource, holder) {
-                Some(part) => (part.granted, part.since),
+            let (share, index) = match budgets.share(budget.resource, holder) {
+                Some(share) => (share.granted, share.since),
                 None => (0, applied),
             };
             let since = LogPosition { generation: self.generation, index };
-            Grant { budget: *budget, share: part, since, lease_ms }
+            Grant { budget: *budget, share, since, lease_ms }
         };
         budgets.configured().map(grant).collect()
     }
@@ -107,29 +107,29 @@
         &self,
         now: Moment,
         budget: Option<&Budget>,
-        of: Resource,
+        resource: Resource,
         holder: &Holder,
-        part: &Share,
+        share: &Share,
     ) -> bool {
         let window =
             Span::from_millis(budget.map_or(0, |budget| budget.window_ms)) * (1.0 + 2.0 * MAX_CLOCK_DRIFT);
         let state = self.holder_states.get(holder);
-        let acted = state
-            .and_then(|state| state.acts.get(&of))
-            .filter(|(stamp, _)| stamp.generation == self.generation && stamp.index >= part.since);
+        let acting_since = state
+            .and_then(|state| state.acting_on.get(&resource))
+            .filter(|(stamp, _)| stamp.generation == self.generation && stamp.index >= share.since);
         let ended = state.and_then(|state| state.ended);
-        if of.is_concurrency_limit() {
+        if resource.is_concurrency_limit() {
             // Danger: a stopped process keeps its connections and requests, however long ago its lease expired.
-            let gave_back = acted.is_some()
-                && state.and_then(|state| state.uses.get(&of)).is_some_and(|(told, _)| {
-                    told.held <= part.granted + budget.map_or(0, |budget| budget.standalone_share)
+            let gave_back = acting_since.is_some()
+                && state.and_then(|state| state.usages.get(&resource)).is_some_and(|(usage, _)| {
+                    usage.held <= share.granted + budget.map_or(0, |budget| budget.standalone_share)
                 });
             return gave_back || ended.is_some();
         }
         // What the holder spent before still counts in windows that end later, so one window has to pass in addition.
-        let lease_end = state.map_or(self.since, |state| state.answered.max(self.since))
+        let lease_end = state.map_or(self.since, |state| state.answered_at.max(self.since))
             + LEASE * (1.0 + MAX_CLOCK_DRIFT);
-        acted.is_some_and(|(_, at)| now >= *at + window)
+        acting_since.is_some_and(|(_, at)| now >= *at + window)
             || ended.is_some_and(|at| now >= at + window)
             || now >= lease_end + window
     }
@@ -137,72 +137,74 @@
     /// The changes to propose now.
     pub fn proposals(&mut self, now: Moment, budgets: &Budgets) -> Vec<ShareChange> {
         let mut changes = Vec::new();
-        for of in Resource::ALL {
-            let budget = budgets.budget(of).copied();
-            let waits = self.proposed.get(&of).is_some_and(|(_, at)| now.since(*at) < RETRY_AFTER);
-            let due = self.divided.get(&of).is_none_or(|at| now.since(*at) >= MIN_CHANGE_INTERVAL);
-            if !due || budget.is_none() && budgets.shares(of).next().is_none() {
+        for resource in Resource::ALL {
+            let budget = budgets.budget(resource).copied();
+            let waits = self.proposed.get(&resource).is_some_and(|(_, at)| now.since(*at) < RETRY_AFTER);
+            let due = self.changed_at.get(&resource).is_none_or(|at| now.since(*at) >= MIN_CHANGE_INTERVAL);
+            if !due || budget.is_none() && budgets.shares(resource).next().is_none() {
                 continue;
             }
             let released: Vec<(Holder, Index)> = budgets
-                .shares(of)
-                .filter(|(holder, part)| {
-                    part.reserved > part.granted && self.is_released(now, budget.as_ref(), of, holder, part)
+                .shares(resource)
+                .filter(|(holder, share)| {
+                    share.reserved > share.granted
+                        && self.is_released(now, budget.as_ref(), resource, holder, share)
                 })
-                .map(|(holder, part)| (holder.clone(), part.since))
+                .map(|(holder, share)| (holder.clone(), share.since))
                 .collect();
             let change = if released.is_empty() {
-                ShareChange::Grant(of, self.division(now, of, budget.as_ref(), budgets))
+                ShareChange::Grant(resource, self.changes_for(now, resource, budget.as_ref(), budgets))
             } else {
-                ShareChange::Release(of, released)
+                ShareChange::Release(resource, released)
             };
             let empty = matches!(&change, ShareChange::Grant(_, sets) if sets.is_empty());
-            let same = self.proposed.get(&of).is_some_and(|(before, _)| *before == change);
+            let same = self.proposed.get(&resource).is_some_and(|(before, _)| *before == change);
             if empty || waits && same {
                 continue;
             }
-            self.divided.insert(of, now);
-            self.proposed.insert(of, (change.clone(), now));
+            self.changed_at.insert(resource, now);
+            self.proposed.insert(resource, (change.clone(), now));
             changes.push(change);
         }
         // Holders whose lease has expired and that have no shares are forgotten.
-        let holds = |holder: &Holder| Resource::ALL.iter().any(|of| budgets.share(*of, holder).is_some());
-        self.holder_states.retain(|holder, state| now.since(state.answered) <= LEASE || holds(holder));
+        let holds =
+            |holder: &Holder| Resource::ALL.iter().any(|resource| budgets.share(*resource, holder).is_some());
+        self.holder_states.retain(|holder, state| now.since(state.answered_at) <= LEASE || holds(holder));
         changes
     }
 
     /// The shares to change, the lowered ones first.
-    fn division(
+    fn changes_for(
         &self,
         now: Moment,
-        of: Resource,
+        resource: Resource,
         budget: Option<&Budget>,
         budgets: &Budgets,
     ) -> Vec<(Holder, u64)> {
-        let granted = |holder: &Holder| budgets.share(of, holder).map_or(0, |part| part.granted);
-        let here = |state: &HolderState| state.ended.is_none() && now.since(state.answered) <= LEASE;
+        let granted = |holder: &Holder| budgets.share(resource, holder).map_or(0, |share| share.granted);
+        let is_present = |state: &HolderState| state.ended.is_none() && now.since(state.answered_at) <= LEASE;
         // Sorted by holder.
-        let wants: Vec<(&Holder, f64)> = self
+        let demands: Vec<(&Holder, f64)> = self
             .holder_states
             .iter()
-            .filter(|(_, state)| budget.is_some() && here(state))
+            .filter(|(_, state)| budget.is_some() && is_present(state))
             .map(|(holder, state)| {
                 let alone = budget.map_or(0, |budget| budget.standalone_share) as f64;
-                let wants = state.uses.get(&of).map_or(0.0, |(_, wants)| *wants);
-                (holder, (wants - alone).max(0.0))
+                let demand = state.usages.get(&resource).map_or(0.0, |(_, demand)| *demand);
+                (holder, (demand - alone).max(0.0))
             })
             .collect();
-        let targets = budget.map(|budget| targets(budget, &wants)).unwrap_or_default();
+        let targets = budget.map(|budget| targets(budget, &demands)).unwrap_or_default();
         let mut lowered = Vec::new();
         let mut raised = Vec::new();
         // Holders that exceed their target by too little to be lowered for that alone, and what new holders lack of their
         // minimum shares.
-        let (mut above, mut missing_min_shares) = (Vec::new(), 0);
+        let (mut above_target, mut missing_min_shares) = (Vec::new(), 0);
         // Danger: a new leader has no reports yet, and must not take shares back before a lease of its own has passed.
         let knows_all_holders = now.since(self.since) > LEASE;
-        for (holder, part) in budgets.shares(of) {
-            let absent = wants.binary_search_by(|(other, _)| (*other).cmp(holder)).is_err();
-            if absent && part.granted > 0 && (knows_all_holders || self.holder_states.contains_key(holder)) {
+        for (holder, share) in budgets.shares(resource) {
+            let absent = demands.binary_search_by(|(other, _)| (*other).cmp(holder)).is_err();
+            if absent && share.granted > 0 && (knows_all_holders || self.holder_states.contains_key(holder)) {
                 lowered.push((holder.clone(), 0));
             }
         }
@@ -212,56 +214,59 @@
         {
             return lowered;
         }
-        let mut room = budgets.available(of);
-        if of.is_concurrency_limit() {
+        let mut available = budgets.available(resource);
+        if resource.is_concurrency_limit() {
             // Danger: what was held before a restore is still held, but only the holders know of it.
             let unknown = self.holder_states.iter().filter_map(|(holder, state)| {
-                let held = state.uses.get(&of)?.0.held;
+                let held = state.usages.get(&resource)?.0.held;
                 Some(held.saturating_sub(
-                    budgets.share(of, holder).map_or(0, |part| part.reserved) + budget?.standalone_share,
+                    budgets.share(resource, holder).map_or(0, |share| share.reserved)
+                        + budget?.standalone_share,
                 ))
             });
-            room = room.saturating_sub(unknown.sum());
+            available = available.saturating_sub(unknown.sum());
         }
         let least = budget.map_or(1, |budget| budget.min_share);
-        let counted = |holder: &Holder| budgets.share(of, holder).map_or(0, |part| part.reserved);
-        let first = |holder: &Holder, target: u64| least.min(target).saturating_sub(counted(holder));
+        let reserved = |holder: &Holder| budgets.share(resource, holder).map_or(0, |share| share.reserved);
+        let first = |holder: &Holder, target: u64| least.min(target).saturating_sub(reserved(holder));
         // Missing minimum shares take precedence over larger shares of others.
         let mut firsts: u64 =
-            wants.iter().zip(&targets).map(|((holder, _), target)| first(holder, *target)).sum();
-        for ((holder, _), target) in wants.iter().zip(&targets) {
+            demands.iter().zip(&targets).map(|((holder, _), target)| first(holder, *target)).sum();
+        for ((holder, _), target) in demands.iter().zip(&targets) {
             let before = granted(holder);
             let difference = before.abs_diff(*target);
             // Danger: a share that follows every small change of demand oscillates, and what is being moved is unused.
             let small = (difference as f64) <= CHANGE_THRESHOLD * before as f64 && before >= least;
             if difference == 0 || small {
                 if *target < before {
-                    above.push(((*holder).clone(), *target, difference));
+                    above_target.push(((*holder).clone(), *target, difference));
                 }
                 continue;
             }
             if *target < before {
                 lowered.push(((*holder).clone(), *target));
             } else {
-                let (counted, first) = (counted(holder), first(holder, *target));
+                let (reserved, first) = (reserved(holder), first(holder, *target));
                 firsts -= first;
-                let more =
-                    target.saturating_sub(counted).min(first.min(room).max(room.saturating_sub(firsts)));
-                let reached = counted.min(*target) + more;
+                let more = target
+                    .saturating_sub(reserved)
+                    .min(first.min(available).max(available.saturating_sub(firsts)));
+                let reached = reserved.min(*target) + more;
                 missing_min_shares += least.min(*target).saturating_sub(reached);
                 if reached > before {
-                    room -= more;
+                    available -= more;
                     raised.push(((*holder).clone(), reached));
                 }
             }
         }
         // Danger: if all holders exceed their targets slightly, none by enough to be lowered, a new holder would wait forever.
-        let being_released: u64 = budgets.shares(of).map(|(_, part)| part.reserved - part.granted).sum();
-        let (kept, comes) = (budget.map_or(0, reserve), room + being_released);
+        let being_released: u64 =
+            budgets.shares(resource).map(|(_, share)| share.reserved - share.granted).sum();
+        let (kept, comes) = (budget.map_or(0, reserve), available + being_released);
         let wanted = missing_min_shares + if comes < kept / 2 { kept } else { 0 };
         let mut wanted = wanted.saturating_sub(comes);
-        above.sort_by(|one, other| other.2.cmp(&one.2).then_with(|| one.0.cmp(&other.0)));
-        for (holder, target, difference) in above {
+        above_target.sort_by(|one, other| other.2.cmp(&one.2).then_with(|| one.0.cmp(&other.0)));
+        for (holder, target, difference) in above_target {
             if wanted == 0 {
                 break;
             }
@@ -281,36 +286,37 @@
 
 /// The target share of each holder: first the minimum shares, then max-min fair up to the demand, and the rest in proportion
 /// to the demand. The sum never exceeds the divisible quota.
-fn targets(budget: &Budget, wants: &[(&Holder, f64)]) -> Vec<u64> {
-    let count = wants.len() as u64;
+fn targets(budget: &Budget, demands: &[(&Holder, f64)]) -> Vec<u64> {
+    let count = demands.len() as u64;
     if count == 0 {
         return Vec::new();
     }
-    let divided = budget.divisible() - reserve(budget);
-    if budget.min_share * count > divided {
+    let divisible = budget.divisible() - reserve(budget);
+    if budget.min_share * count > divisible {
         // More holders than minimum shares: the first by name get one each, the others only have their standalone share.
-        let have = (divided / budget.min_share) as usize;
-        return (0..wants.len()).map(|at| if at < have { budget.min_share } else { 0 }).collect();
+        let have = (divisible / budget.min_share) as usize;
+        return (0..demands.len()).map(|at| if at < have { budget.min_share } else { 0 }).collect();
     }
-    let mut left = divided - budget.min_share * count;
+    let mut left = divisible - budget.min_share * count;
     // Above the minimum share: up to the demand, by max-min fairness.
-    let wished: Vec<f64> =
-        wants.iter().map(|(_, wants)| (wants - budget.min_share as f64).max(0.0)).collect();
-    let mut order: Vec<usize> = (0..wants.len()).collect();
-    order.sort_by(|one, other| wished[*one].total_cmp(&wished[*other]).then(one.cmp(other)));
-    let mut parts = vec![budget.min_share; wants.len()];
+    let excess_demand: Vec<f64> =
+        demands.iter().map(|(_, demand)| (demand - budget.min_share as f64).max(0.0)).collect();
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by(|one, other| excess_demand[*one].total_cmp(&excess_demand[*other]).then(one.cmp(other)));
+    let mut shares = vec![budget.min_share; demands.len()];
     for (done, at) in order.iter().enumerate() {
-        let fair = left / (wants.len() - done) as u64;
-        let gets = (wished[*at].ceil() as u64).min(fair);
-        parts[*at] += gets;
+        let fair = left / (demands.len() - done) as u64;
+        let gets = (excess_demand[*at].ceil() as u64).min(fair);
+        shares[*at] += gets;
         left -= gets;
     }
-    let sum: f64 = wished.iter().sum();
+    let sum: f64 = excess_demand.iter().sum();
     if sum > 0.0 && left > 0 {
-        let spread: Vec<u64> = wished.iter().map(|wish| (left as f64 * wish / sum) as u64).collect();
-        parts.iter_mut().zip(spread).for_each(|(part, more)| *part += more);
+        let spread: Vec<u64> =
+            excess_demand.iter().map(|excess| (left as f64 * excess / sum) as u64).collect();
+        shares.iter_mut().zip(spread).for_each(|(share, more)| *share += more);
     }
-    parts
+    shares
 }
 
 #[cfg(test)]
@@ -338,11 +344,11 @@
         }
     }
 
-    /// A leader, holders that act on what they are told at each beat, and a log that applies at once.
+    /// A leader, holders that apply its answers at each heartbeat, and a log that applies proposals at once.
     struct World {
         budgets: Budgets,
-        divider: Allocator,
-        acts: BTreeMap<Holder, LogPosition>,
+        allocator: Allocator,
+        acting_on: BTreeMap<Holder, LogPosition>,
         index: Index,
         now: u64,
         entries: u64,
@@ -352,24 +358,24 @@
         fn new(budget: Budget) -> World {
             let mut budgets = Budgets::default();
             budgets.configure(&[budget]);
-            let divider = Allocator::new(at(0), 0);
-            World { budgets, divider, acts: BTreeMap::new(), index: 0, now: 0, entries: 0 }
+            let allocator = Allocator::new(at(0), 0);
+            World { budgets, allocator, acting_on: BTreeMap::new(), index: 0, now: 0, entries: 0 }
         }
 
-        /// Beats of half a second for this long, each holder wanting so much in a window.
-        fn run(&mut self, ms: u64, wants: &[(Holder, u64)]) {
+        /// Runs heartbeats of half a second for this long, with this demand of each holder per window.
+        fn run(&mut self, ms: u64, demands: &[(Holder, u64)]) {
             for _ in 0..ms / 100 {
                 self.now += 100;
-                for (number, (holder, wants)) in wants.iter().enumerate() {
+                for (number, (holder, demand)) in demands.iter().enumerate() {
                     if (self.now / 100 + number as u64).is_multiple_of(5) {
-                        let acts = self.acts.get(holder).copied().unwrap_or_default();
-                        let told = Usage { acting_on: acts, wanted: *wants, held: 0 };
-                        self.divider.record_report(at(self.now), holder, &[(OF, told)], false);
-                        let grant = self.divider.grants_for(holder, &self.budgets, self.index)[0];
-                        self.acts.insert(holder.clone(), grant.since);
+                        let acting_on = self.acting_on.get(holder).copied().unwrap_or_default();
+                        let usage = Usage { acting_on, wanted: *demand, held: 0 };
+                        self.allocator.record_report(at(self.now), holder, &[(OF, usage)], false);
+                        let grant = self.allocator.grants_for(holder, &self.budgets, self.index)[0];
+                        self.acting_on.insert(holder.clone(), grant.since);
                     }
                 }
-                for change in self.divider.proposals(at(self.now), &self.budgets) {
+                for change in self.allocator.proposals(at(self.now), &self.budgets) {
                     self.index += 1;
                     self.entries += 1;
                     self.budgets.apply(self.index, &change);
@@ -378,39 +384,39 @@
         }
 
         fn granted(&self, holder: &Holder) -> u64 {
-            self.budgets.share(OF, holder).map_or(0, |part| part.granted)
+            self.budgets.share(OF, holder).map_or(0, |share| share.granted)
         }
     }
 
     #[test]
-    fn parts_follow_demand_and_stand_still_with_it() {
+    fn shares_follow_demand_and_stay_constant_with_it() {
         let budget = flow(1000, 20);
         let mut world = World::new(budget);
-        let mut wants: Vec<_> = (0..10).map(|number| (holder(number), 20)).collect();
-        world.run(5000, &wants);
-        // One gets hot: it has nearly all that it wants within three seconds, though others hold what is spread.
-        wants[3].1 = 600;
-        world.run(3000, &wants);
+        let mut demands: Vec<_> = (0..10).map(|number| (holder(number), 20)).collect();
+        world.run(5000, &demands);
+        // The load of one rises: it gets nearly all of its demand within three seconds, although others hold the rest.
+        demands[3].1 = 600;
+        world.run(3000, &demands);
         assert!(world.granted(&holder(3)) >= 590, "{}", world.granted(&holder(3)));
         assert!(world.granted(&holder(4)) >= 20);
-        world.run(3000, &wants);
+        world.run(3000, &demands);
         let before = world.entries;
-        world.run(10_000, &wants);
+        world.run(10_000, &demands);
         assert_eq!(world.entries, before, "parts swing while demand stands still");
     }
 
     #[test]
-    fn what_is_wanted_above_the_whole_is_used_to_nineteen_parts_of_twenty() {
+    fn demand_above_the_quota_uses_at_least_95_percent_of_it() {
         for count in [12, 300, 1000] {
             let budget = flow(10 * count as u64 * 4, count as u64);
             let mut world = World::new(budget);
-            // A spread of one to ten, above the whole together.
-            let wants: Vec<_> =
+            // Demands from one to ten times, together above the quota.
+            let demands: Vec<_> =
                 (0..count).map(|number| (holder(number), 10 + 90 * (number as u64 % 10) / 9)).collect();
-            world.run(4000, &wants);
-            let used: u64 = wants
+            world.run(4000, &demands);
+            let used: u64 = demands
                 .iter()
-                .map(|(holder, wants)| (world.granted(holder) + budget.standalone_share).min(*wants))
+                .map(|(holder, demand)| (world.granted(holder) + budget.standalone_share).min(*demand))
                 .sum();
             let share = used as f64 / budget.quota as f64;
             assert!((0.95..=1.0).contains(&share), "{count}: {share}");
@@ -418,22 +424,22 @@
     }
 
     #[test]
-    fn newcomers_have_their_least_though_all_others_stand_within_what_is_damped() {
+    fn new_holders_get_their_minimum_share_though_all_others_are_within_the_change_threshold() {
         let mut world = World::new(Budget { min_share: 2, ..flow(3000, 400) });
-        let wants: Vec<_> = (0..330).map(|number| (holder(number), 20)).collect();
-        world.run(5000, &wants[..300]);
-        world.run(4000, &wants);
-        let short = wants.iter().filter(|(holder, _)| world.granted(holder) < 2).count();
+        let demands: Vec<_> = (0..330).map(|number| (holder(number), 20)).collect();
+        world.run(5000, &demands[..300]);
+        world.run(4000, &demands);
+        let short = demands.iter().filter(|(holder, _)| world.granted(holder) < 2).count();
         assert_eq!(short, 0);
         // They reach the level of the others, and then nothing changes any more.
-        world.run(10_000, &wants);
+        world.run(10_000, &demands);
         let before = world.entries;
-        world.run(10_000, &wants);
+        world.run(10_000, &demands);
         assert_eq!(world.entries, before, "parts swing while demand stands still");
     }
 
     #[test]
-    fn who_is_lost_keeps_its_part_idle_for_a_lease_and_a_window_and_no_longer() {
+    fn the_share_of_a_lost_holder_is_unused_for_a_lease_and_a_window_and_no_longer() {
         let mut world = World::new(flow(100, 4));
         let both = [(holder(0), 500), (holder(1), 500)];
         world.run(5000, &both);
@@ -441,19 +447,19 @@
         assert!(held > 30);
         // It stops reporting: for a lease by its clock, and a window after, its share is given to nobody else.
         world.run(3900, &both[1..]);
-        assert!(world.budgets.share(OF, &holder(0)).is_some_and(|part| part.reserved == held));
+        assert!(world.budgets.share(OF, &holder(0)).is_some_and(|share| share.reserved == held));
         world.run(1500, &both[1..]);
         assert_eq!(world.budgets.share(OF, &holder(0)), None);
         assert!(world.granted(&holder(1)) > 70, "{}", world.granted(&holder(1)));
     }
 
     #[test]
-    fn a_new_leader_takes_nothing_back_from_one_that_it_has_not_heard_yet() {
+    fn a_new_leader_takes_nothing_back_from_a_holder_without_a_report() {
         let mut world = World::new(flow(100, 4));
         let both = [(holder(0), 500), (holder(1), 500)];
         world.run(5000, &both);
         let held = world.granted(&holder(0));
-        world.divider = Allocator::new(at(world.now), 0);
+        world.allocator = Allocator::new(at(world.now), 0);
         world.run(2900, &both[1..]);
         assert_eq!(world.granted(&holder(0)), held);
         world.run(1500, &both);
@@ -461,47 +467,48 @@
     }
 
     #[test]
-    fn a_stock_is_freed_by_its_holders_word_and_never_by_time() {
-        let of = Resource::Connections;
-        let budget = Budget { resource: of, window_ms: 0, ..flow(20, 2) };
+    fn a_concurrency_limit_is_freed_by_its_holders_report_and_never_by_time() {
+        let resource = Resource::Connections;
+        let budget = Budget { resource, window_ms: 0, ..flow(20, 2) };
         let mut budgets = Budgets::default();
         budgets.configure(&[budget]);
-        budgets.apply(1, &ShareChange::Grant(of, vec![(holder(0), 10)]));
-        budgets.apply(2, &ShareChange::Grant(of, vec![(holder(0), 4)]));
-        let mut divider = Allocator::new(at(0), 0);
-        let told =
-            |held| [(of, Usage { acting_on: LogPosition { generation: 0, index: 2 }, wanted: 4, held })];
-        divider.record_report(at(100), &holder(0), &told(9), false);
-        let releases = |divider: &mut Allocator, ms| {
-            divider
+        budgets.apply(1, &ShareChange::Grant(resource, vec![(holder(0), 10)]));
+        budgets.apply(2, &ShareChange::Grant(resource, vec![(holder(0), 4)]));
+        let mut allocator = Allocator::new(at(0), 0);
+        let usage = |held| {
+            [(resource, Usage { acting_on: LogPosition { generation: 0, index: 2 }, wanted: 4, held })]
+        };
+        allocator.record_report(at(100), &holder(0), &usage(9), false);
+        let releases = |allocator: &mut Allocator, ms| {
+            allocator
                 .proposals(at(ms), &budgets)
                 .iter()
                 .any(|change| matches!(change, ShareChange::Release(..)))
         };
-        assert!(!releases(&mut divider, 400));
+        assert!(!releases(&mut allocator, 400));
         // Even much later: the process may be stopped, and still hold all nine.
-        assert!(!releases(&mut divider, 60_000) && !releases(&mut divider, 1_000_000));
-        divider.record_report(at(1_000_100), &holder(0), &told(4), false);
-        assert!(releases(&mut divider, 1_000_400));
+        assert!(!releases(&mut allocator, 60_000) && !releases(&mut allocator, 1_000_000));
+        allocator.record_report(at(1_000_100), &holder(0), &usage(4), false);
+        assert!(releases(&mut allocator, 1_000_400));
         // Or when an operator confirms that its process has ended.
-        let mut divider = Allocator::new(at(0), 0);
-        divider.mark_ended(at(10), &holder(0));
-        assert!(releases(&mut divider, 300));
+        let mut allocator = Allocator::new(at(0), 0);
+        allocator.mark_ended(at(10), &holder(0));
+        assert!(releases(&mut allocator, 300));
     }
 
     #[test]
-    fn least_parts_come_first_and_sums_are_never_above() {
+    fn minimum_shares_come_first_and_sums_never_exceed_the_quota() {
         let budget = flow(100, 10);
-        let wants = |list: &[u64]| -> Vec<(Holder, f64)> {
-            list.iter().enumerate().map(|(at, wants)| (holder(at), *wants as f64)).collect()
+        let demands = |list: &[u64]| -> Vec<(Holder, f64)> {
+            list.iter().enumerate().map(|(at, demand)| (holder(at), *demand as f64)).collect()
         };
         for list in [&[0, 0, 0][..], &[1000, 0, 3], &[5; 40], &[1, 2, 3, 4, 5, 6, 7, 8, 9, 1000], &[90]] {
-            let wants = wants(list);
-            let rows: Vec<_> = wants.iter().map(|(holder, wants)| (holder, *wants)).collect();
-            let parts = targets(&budget, &rows);
-            assert!(parts.iter().sum::<u64>() <= budget.divisible(), "{list:?}: {parts:?}");
+            let demands = demands(list);
+            let rows: Vec<_> = demands.iter().map(|(holder, demand)| (holder, *demand)).collect();
+            let shares = targets(&budget, &rows);
+            assert!(shares.iter().sum::<u64>() <= budget.divisible(), "{list:?}: {shares:?}");
             let fits = budget.min_share * list.len() as u64 <= 80;
-            assert!(!fits || parts.iter().all(|part| *part >= budget.min_share), "{list:?}: {parts:?}");
+            assert!(!fits || shares.iter().all(|share| *share >= budget.min_share), "{list:?}: {shares:?}");
         }
     }
 }
--- a/crates/fleet/src/budgets.rs
+++ b/crates/fleet/src/budgets.rs
@@ -309,7 +309,7 @@
     }
 
     #[test]
-    fn faulty_budgets_are_refused_by_key_with_what_would_do() {
+    fn invalid_budgets_are_refused_with_the_key_and_what_is_expected() {
         let good = flow(100, 2, 10);
         assert_eq!(check(&[good, Budget { resource: Resource::InFlight, window_ms: 0, ..good }]), Ok(()));
         for (budget, said) in [
@@ -334,7 +334,7 @@
     }
 
     #[test]
-    fn a_part_is_raised_into_room_only_and_counts_until_it_is_released() {
+    fn a_share_is_raised_only_into_what_is_available_and_is_reserved_until_released() {
         let of = Resource::Attempts;
         let mut budgets = Budgets::default();
         budgets.configure(&[flow(100, 2, 10)]);
@@ -374,7 +374,7 @@
     }
 
     #[test]
-    fn no_random_history_counts_more_than_was_ever_to_be_divided() {
+    fn no_random_history_reserves_more_than_was_ever_divisible() {
         for seed in 0..400 {
             let mut chance = Rand64::new(seed);
             let of = Resource::Attempts;
--- a/crates/fleet/src/drains.rs
+++ b/crates/fleet/src/drains.rs
@@ -260,7 +260,7 @@
     }
 
     #[test]
-    fn shares_round_to_the_safe_side_and_faulty_ones_are_named() {
+    fn fractions_round_to_the_safe_side_and_invalid_ones_are_named() {
         let share = |share| Some(Amount::Share(share));
         assert_eq!(group(share(0.25), None).max_out_of(7), 1);
         assert_eq!(group(None, share(0.75)).max_out_of(7), 1);
@@ -281,7 +281,7 @@
     }
 
     #[test]
-    fn what_failed_by_itself_counts_like_what_was_sent_out() {
+    fn failed_members_count_like_drained_ones() {
         let groups = [group(Some(Amount::Number(1)), None)];
         let mut members: BTreeMap<_, _> =
             (0..3).map(|at| (format!("s{at}"), member("a", MemberStatus::Serving))).collect();
@@ -306,7 +306,7 @@
     }
 
     #[test]
-    fn an_answer_after_it_was_given_up_sends_nobody_out() {
+    fn an_answer_after_the_request_was_given_up_drains_nobody() {
         let at = |ms: u64| Moment::from_nanos(ms * 1_000_000);
         let mut asker = DrainRequests::default();
         assert_eq!((asker.request(at(0)), asker.request(at(10)), asker.settled()), (1, 1, 0));
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -285,7 +285,7 @@
     }
 
     #[test]
-    fn each_record_counts_once_by_writer_incarnation_and_sequence() {
+    fn each_observation_counts_once_by_writer_incarnation_and_sequence() {
         let mut evidence = EvidenceStore::default();
         assert_eq!(evidence.record(at(1000), 0, 7, 1, &[seen(1, 5), seen(2, 5)]), 2);
         // Repeated because the answer was lost; and from an earlier incarnation, which has ended.
@@ -316,7 +316,7 @@
     }
 
     #[test]
-    fn who_returns_hears_the_latest_of_each_endpoint_and_no_more_than_its_bound() {
+    fn a_catch_up_has_the_latest_of_each_endpoint_up_to_a_limit() {
         let mut evidence = EvidenceStore::default();
         for sequence in 1..=100 {
             evidence.record(at(1000), 0, 7, 1, &[seen(sequence, sequence as u32 % 5)]);
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -152,9 +152,13 @@
 }
 
 /// The Kullback-Leibler divergence of a fraction from a probability, in nats.
-fn divergence(fraction: f64, chance: f64) -> f64 {
+fn divergence(fraction: f64, probability: f64) -> f64 {
     let part = |a: f64, b: f64| if a > 0.0 { a * (a / b).ln() } else { 0.0 };
-    if chance >= 1.0 { 0.0 } else { part(fraction, chance) + part(1.0 - fraction, 1.0 - chance) }
+    if probability >= 1.0 {
+        0.0
+    } else {
+        part(fraction, probability) + part(1.0 - fraction, 1.0 - probability)
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -188,7 +192,7 @@
     }
 
     #[test]
-    fn too_few_reqs_are_not_known_and_an_outage_is_not_the_candidates() {
+    fn too_few_requests_are_undecided_and_an_outage_is_not_blamed_on_the_new_version() {
         let (well, bad) = (figures(990, 10, 5), figures(800, 200, 5));
         assert_eq!(must().judge(&figures(99, 0, 0), &well, &well), Verdict::Undecided);
         assert_eq!(must().judge(&well, &well, &well), Verdict::Healthy);
@@ -196,7 +200,7 @@
         let Verdict::Worse(why) = must().judge(&bad, &well, &well) else { panic!() };
         assert_eq!(why, "20.0% of 1000 reqs not served, against 1.0% of 1000 of those not moved");
         assert!(matches!(must().judge(&bad, &bad, &well), Verdict::Outage(_)));
-        // The last of all have only what was before to be held against.
+        // The last targets can only be compared with the baseline.
         assert!(matches!(must().judge(&bad, &RequestCounts::default(), &well), Verdict::Outage(_)));
         let slow = figures(1000, 0, 300);
         let Verdict::Worse(why) = must().judge(&slow, &well, &well) else { panic!() };
@@ -204,10 +208,10 @@
     }
 
     #[test]
-    fn chance_alone_makes_nothing_worse() {
-        let mut chance = Rand64::new(7);
+    fn random_variation_alone_gives_no_verdict_of_worse() {
+        let mut probability = Rand64::new(7);
         let mut draw = |reqs: u64, fraction: f64| {
-            let failed = (0..reqs).filter(|_| chance.rand_float() < fraction).count() as u64;
+            let failed = (0..reqs).filter(|_| probability.rand_float() < fraction).count() as u64;
             figures(reqs - failed, failed, 0)
         };
         let (mut found, mut blamed) = (0, 0);
--- a/crates/fleet/src/limits.rs
+++ b/crates/fleet/src/limits.rs
@@ -219,7 +219,7 @@
     }
 
     #[test]
-    fn a_flow_is_spent_within_its_part_and_after_its_lease_within_what_it_has_alone() {
+    fn a_rate_limit_allows_the_share_and_after_the_lease_the_standalone_share() {
         let of = Resource::Attempts;
         let mut limits = Limits::default();
         assert!((0..1000).all(|_| limits.try_spend(at(0), of, true)), "without a budget there is no limit");
@@ -236,7 +236,7 @@
     }
 
     #[test]
-    fn a_grant_from_before_what_it_acts_on_is_dropped() {
+    fn a_grant_earlier_than_the_active_one_is_ignored() {
         let of = Resource::Attempts;
         let mut limits = Limits::default();
         limits.apply_grants(at(0), &[grant(of, 10, 9)]);
@@ -248,7 +248,7 @@
     }
 
     #[test]
-    fn a_stock_is_held_up_to_its_part_and_says_what_it_holds() {
+    fn a_concurrency_limit_allows_the_share_and_reports_what_is_held() {
         let of = Resource::Connections;
         let mut limits = Limits::default();
         limits.apply_grants(at(0), &[grant(of, 3, 5)]);
@@ -263,7 +263,7 @@
     }
 
     #[test]
-    fn what_its_file_limits_is_limited_before_any_daemon_is_heard() {
+    fn limits_of_its_own_file_hold_before_any_daemon_answers() {
         let of = Resource::Retries;
         let mut limits = Limits::new(&BTreeMap::from([(of, (2, 1000))]));
         assert_eq!((0..9).filter(|_| limits.try_spend(at(0), of, true)).count(), 2);
--- a/crates/fleet/src/liveness.rs
+++ b/crates/fleet/src/liveness.rs
@@ -286,7 +286,7 @@
     }
 
     #[test]
-    fn silence_is_told_after_a_lease_and_a_new_leader_waits_for_one_of_its_own() {
+    fn silence_is_proposed_after_a_lease_and_a_new_leader_waits_for_its_own() {
         let (mut fleet, mut tracker) = (Fleet::default(), MemberTracker::new(at(0), TIMEOUTS));
         tracker.record_report(at(10), &report("a", 1, 1, MemberStatus::Serving), &fleet);
         let joins = tracker.proposals(at(10), &fleet);
@@ -317,7 +317,7 @@
     }
 
     #[test]
-    fn who_is_heard_and_not_agreed_on_yet_may_hold_something() {
+    fn a_member_that_reports_but_is_not_in_the_state_yet_may_use_an_endpoint() {
         let (mut fleet, mut tracker) = (Fleet::default(), MemberTracker::new(at(0), TIMEOUTS));
         fleet.apply(1, &Command::Endpoint { name: "e1".into(), out: true, force: None, missing: vec![] });
         tracker.record_report(at(10), &report("a", 1, 1, MemberStatus::Joining), &fleet);
@@ -325,7 +325,7 @@
     }
 
     #[test]
-    fn a_member_of_more_groups_than_are_kept_is_proposed_once() {
+    fn a_member_of_more_groups_than_the_limit_is_proposed_once() {
         let (mut fleet, mut tracker) = (Fleet::default(), MemberTracker::new(at(0), TIMEOUTS));
         let many = Report {
             groups: (0..20).map(|at| at.to_string()).collect(),
@@ -339,7 +339,7 @@
     }
 
     #[test]
-    fn one_that_said_it_leaves_is_gone_after_a_lease() {
+    fn a_member_that_reported_to_leave_is_gone_after_a_lease() {
         let (mut fleet, mut tracker) = (Fleet::default(), MemberTracker::new(at(0), TIMEOUTS));
         tracker.record_report(at(0), &report("a", 1, 1, MemberStatus::Leaving), &fleet);
         let leaves = tracker.proposals(at(1), &fleet);
@@ -357,7 +357,7 @@
     }
 
     #[test]
-    fn two_processes_of_one_name_are_told_apart_or_both_told() {
+    fn two_processes_of_one_name_are_distinguished_or_both_informed() {
         let (mut fleet, mut tracker) = (Fleet::default(), MemberTracker::new(at(0), TIMEOUTS));
         let mut say = |ms, incarnation, process| {
             let found = tracker.record_report(
@@ -372,10 +372,10 @@
         assert_eq!(say(0, 5, 1), (false, false));
         assert_eq!(say(100, 5, 2), (true, false));
         assert_eq!(say(200, 5, 1), (true, false));
-        // One has gone; after a lease the other is alone.
+        // One has ended; after a lease the other is the only one.
         assert_eq!(say(1100, 5, 1), (true, false));
         assert_eq!(say(1300, 5, 1), (false, false));
-        // A restart: the later incarnation holds, the earlier one is told.
+        // A restart: the later incarnation counts, the earlier one is informed.
         assert_eq!(
             (say(1400, 6, 3), say(1500, 5, 1), say(1600, 6, 3)),
             ((false, false), (false, true), (false, false))
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -570,7 +570,7 @@
     }
 
     #[test]
-    fn a_lease_is_counted_from_before_it_asked() {
+    fn a_lease_is_counted_from_before_the_report() {
         use crate::budgets::{Budget, LogPosition, Resource};
         use crate::limits::Grant;
         let mut member = member();
@@ -607,7 +607,7 @@
     }
 
     #[test]
-    fn a_word_that_was_held_back_on_its_way_sends_nobody_out() {
+    fn a_delayed_order_to_drain_is_ignored() {
         let mut member = member();
         on(&mut member, BEAT);
         let mut report_number = |ms: u64| match &member.on_timer(at(ms))[..] {
@@ -651,7 +651,7 @@
     }
 
     #[test]
-    fn it_goes_on_to_the_next_daemon_and_follows_the_leader() {
+    fn a_member_tries_the_next_daemon_and_follows_the_leader() {
         let mut member = member();
         assert_eq!(member.on_timer(at(0)), []);
         let first = dialed(&member.on_timer(at(BEAT)));
@@ -676,7 +676,7 @@
     }
 
     #[test]
-    fn a_daemon_that_knows_no_leader_for_long_is_left_for_another() {
+    fn a_daemon_without_a_leader_for_long_is_left_for_another() {
         let mut member = member();
         on(&mut member, BEAT);
         let mut now = 2 * BEAT;
@@ -696,7 +696,7 @@
     }
 
     #[test]
-    fn with_all_daemons_away_the_tries_get_rarer() {
+    fn with_all_daemons_unreachable_the_tries_back_off() {
         let mut member = member();
         let (mut tries, mut now) = (Vec::new(), 0);
         while now < 300 * BEAT {
@@ -711,7 +711,7 @@
     }
 
     #[test]
-    fn settings_go_forwards_only_and_a_faulty_version_is_not_asked_for_again() {
+    fn settings_only_go_to_later_versions_and_an_invalid_one_is_not_requested_again() {
         let mut member = member();
         on(&mut member, BEAT);
         let tell = |member: &mut Member, version| {
@@ -733,7 +733,7 @@
     }
 
     #[test]
-    fn what_it_has_seen_is_told_until_it_is_answered_and_again_to_another_daemon() {
+    fn observations_are_sent_until_acknowledged_and_again_to_another_daemon() {
         let mut member = member();
         on(&mut member, BEAT);
         (0..100).for_each(|endpoint| member.record_attempt(at(BEAT), endpoint, 1, 0, 0.5));
@@ -762,7 +762,7 @@
     }
 
     #[test]
-    fn others_records_count_once_and_who_was_stopped_catches_up() {
+    fn observations_of_others_count_once_and_a_stopped_member_catches_up() {
         let mut member = member();
         on(&mut member, BEAT);
         let seen =
@@ -784,7 +784,7 @@
     }
 
     #[test]
-    fn twins_and_followers_are_told_of_once() {
+    fn duplicate_and_later_processes_are_logged_once() {
         let mut member = member();
         on(&mut member, BEAT);
         let duplicate_process =
--- a/crates/fleet/src/messages.rs
+++ b/crates/fleet/src/messages.rs
@@ -393,7 +393,7 @@
         if !self.greeted {
             match frame {
                 Frame::Hello { .. } | Frame::Rejected(_) => self.greeted = true,
-                _ => return Err("no greeting came first".to_string()),
+                _ => return Err("the first frame is not a hello".to_string()),
             }
         }
         Ok(Some(frame))
@@ -412,7 +412,7 @@
         }
         Frame::Hello { version, fleet: named, who } if named == fleet => Ok((who.clone(), own.min(*version))),
         Frame::Hello { fleet: named, .. } => Err(format!("this is fleet {fleet}, not {named}")),
-        _ => Err("no greeting came first".to_string()),
+        _ => Err("the first frame is not a hello".to_string()),
     }
 }
 
@@ -474,7 +474,7 @@
     }
 
     #[test]
-    fn frames_come_whole_however_they_are_cut() {
+    fn frames_are_read_whole_however_the_bytes_are_split() {
         let mut bytes = Vec::new();
         frames().iter().for_each(|frame| assert!(frame.write(&mut bytes)));
         for size in 1..bytes.len() {
@@ -490,7 +490,7 @@
     }
 
     #[test]
-    fn what_is_foreign_oversized_or_no_frame_is_told() {
+    fn foreign_oversized_and_invalid_frames_are_errors() {
         let read = |bytes: &[u8]| {
             let mut incoming = FrameReader::default();
             incoming.push(bytes);
@@ -500,7 +500,7 @@
         assert!(read(&[4, 0, 0, 0, 99, 99, 99, 99]).unwrap_err().contains("cannot be read"));
         let mut bytes = Vec::new();
         Frame::Request { number: 1, ask: OperatorRequest::Status }.write(&mut bytes);
-        assert_eq!(read(&bytes).unwrap_err(), "no greeting came first");
+        assert_eq!(read(&bytes).unwrap_err(), "the first frame is not a hello");
         let other = Frame::hello("brno", Initiator::Operator);
         assert_eq!(check_hello(&other, "zilina", VERSION).unwrap_err(), "this is fleet zilina, not brno");
         let newer = Frame::Hello { version: 9, fleet: "zilina".into(), who: Initiator::Operator };
@@ -518,7 +518,7 @@
     }
 
     #[test]
-    fn no_bytes_can_do_harm() {
+    fn no_bytes_cause_a_panic() {
         let mut chance = oorandom::Rand64::new(5);
         let mut whole = Vec::new();
         assert!(frames().iter().all(|frame| frame.write(&mut whole)));
--- a/crates/fleet/src/release_runner.rs
+++ b/crates/fleet/src/release_runner.rs
@@ -314,7 +314,7 @@
                 }
                 Stage::Drained if exceeds(plan.return_timeout_ms) => {
                     let why = format!(
-                        "no agent beside {target} has begun its action after {} ms",
+                        "no agent beside {target} has started its action after {} ms",
                         plan.return_timeout_ms
                     );
                     return vec![Step::Halt(why, false)];
--- a/crates/fleet/src/releases.rs
+++ b/crates/fleet/src/releases.rs
@@ -164,7 +164,7 @@
                 }
             }
             None if self.target_kind == TargetKind::Endpoints => {
-                return Err("action: expected one, as nobody tells which version an endpoint has".to_string());
+                return Err("action: expected one, as endpoints do not report their version".to_string());
             }
             None => {}
         }
@@ -193,7 +193,7 @@
         };
         let size = of.len();
         if size == 0 {
-            return Err(format!("group: nobody is in {}", self.group));
+            return Err(format!("group: {} has no members", self.group));
         }
         if let Some(unknown) = self.order.iter().find(|name| !of.contains(name)) {
             return Err(format!("order: {unknown} is not in {}", self.group));
@@ -202,7 +202,7 @@
             return Err(format!("mostOut: {} of {size} would be all; {} would do", self.max_out, size - 1));
         }
         match group.max_out_of(size).min(self.max_out as usize) {
-            0 => Err(format!("group: {} lets none of {size} go out", self.group)),
+            0 => Err(format!("group: the limits of {} allow none of {size} to be out", self.group)),
             most => Ok((of, most)),
         }
     }
@@ -663,7 +663,7 @@
             let over = self.0.iter().find(|(_, release)| release.is_ended()).map(|(name, _)| name.clone());
             match over {
                 Some(over) => self.0.remove(&over),
-                None => return faulty(format!("there are {MAX_RELEASES} releases under way already")),
+                None => return faulty(format!("there are {MAX_RELEASES} active releases already")),
             };
         }
         let order = if plan.order.is_empty() { of } else { plan.order.clone() };
@@ -760,9 +760,9 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             ReleaseError::Unknown(name) => write!(f, "there is no release {name}"),
-            ReleaseError::Ended => write!(f, "it has ended"),
+            ReleaseError::Ended => write!(f, "the release has ended"),
             ReleaseError::InProgress(target) => write!(f, "under way still: {target}; halt it first"),
-            ReleaseError::Stale => write!(f, "something else has come first"),
+            ReleaseError::Stale => write!(f, "the release has changed since"),
             ReleaseError::Invalid(what) => write!(f, "{what}"),
             ReleaseError::OutLimitReached(why) => write!(f, "{why}"),
         }
--- a/crates/fleet/src/scopes.rs
+++ b/crates/fleet/src/scopes.rs
@@ -164,7 +164,7 @@
         match self {
             ScopeLimit::Scopes => write!(f, "there are {MAX_SCOPES} scopes with settings: remove one first"),
             ScopeLimit::Bytes => {
-                write!(f, "the settings of all scopes would have more than {MAX_SCOPED_BYTES} bytes")
+                write!(f, "the settings of all scopes would exceed {MAX_SCOPED_BYTES} bytes")
             }
         }
     }
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -124,17 +124,21 @@
         match self {
             Refusal::VersionMismatch(version) => write!(f, "version {version} holds, another was expected"),
             Refusal::UnknownVersion(version) => {
-                write!(f, "version {version} is not known, or not kept any more")
+                write!(f, "version {version} is unknown or no longer kept")
             }
             Refusal::LimitExceeded => write!(f, "a text is too long, or there are too many members"),
-            Refusal::NotGone => write!(f, "no such member, or it is there still"),
+            Refusal::NotGone => write!(f, "there is no such member, or it is still present"),
             Refusal::OutLimitReached(why) => write!(f, "{why}"),
             Refusal::Release(why) => write!(f, "{why}"),
             Refusal::ScopeLimit(why) => write!(f, "{why}"),
-            Refusal::GlobalOnly => write!(f, "budgets and groups are put for all, not for a scope"),
-            Refusal::GlobalNotRemovable => write!(f, "what is put for all is put anew, not removed"),
-            Refusal::NothingToRemove => write!(f, "nothing is put for this scope"),
-            Refusal::Superseded(incarnation) => write!(f, "incarnation {incarnation} has followed this one"),
+            Refusal::GlobalOnly => {
+                write!(f, "budgets and groups can only be written for the whole fleet, not for a scope")
+            }
+            Refusal::GlobalNotRemovable => {
+                write!(f, "settings for the whole fleet can be replaced, but not removed")
+            }
+            Refusal::NothingToRemove => write!(f, "this scope has no settings"),
+            Refusal::Superseded(incarnation) => write!(f, "incarnation {incarnation} has replaced this one"),
         }
     }
 }
@@ -597,7 +601,7 @@
     }
 
     #[test]
-    fn settings_are_put_by_version_once_each_and_go_back_forwards() {
+    fn writes_check_the_version_apply_once_and_roll_back_as_a_new_version() {
         let mut fleet = Fleet::default();
         assert_eq!(fleet.apply(1, &put(1, Some(number(0)), "a")), Answer::Committed(number(1)));
         assert_eq!(
@@ -631,7 +635,7 @@
     }
 
     #[test]
-    fn a_later_incarnation_follows_an_earlier_one_and_never_the_other_way() {
+    fn a_later_incarnation_replaces_an_earlier_one_and_never_the_reverse() {
         let mut fleet = Fleet::default();
         let stands =
             |incarnation, status| Command::Member { name: "s1".into(), incarnation, status, groups: vec![] };
@@ -652,7 +656,7 @@
     }
 
     #[test]
-    fn a_permission_that_was_given_up_is_none_for_another_ask() {
+    fn a_permission_that_was_given_up_does_not_count_for_another_request() {
         let mut fleet = Fleet::default();
         let most_out = Some(drains::Amount::Number(1));
         let group = Group { name: "a".into(), max_out: most_out, min_serving: None, endpoints: vec![] };
@@ -672,7 +676,7 @@
     }
 
     #[test]
-    fn copies_agree_by_bytes_and_digest_and_differ_where_one_entry_does() {
+    fn replicas_have_equal_bytes_and_digests_unless_an_entry_differs() {
         let (mut one, mut other) = (Fleet::default(), Fleet::default());
         for index in 1..50 {
             let command = put(index, None, &index.to_string());
@@ -690,7 +694,7 @@
     }
 
     #[test]
-    fn what_is_restored_is_later_than_all_that_came_before() {
+    fn a_restored_state_has_a_later_version_than_any_before() {
         let mut fleet = Fleet::default();
         fleet.apply(1, &put(1, None, "a"));
         let backup = fleet.clone();
--- a/crates/fleet/tests/belongs.rs
+++ b/crates/fleet/tests/belongs.rs
@@ -1,4 +1,4 @@
-//! A member that belongs to a part of the fleet, and daemons of two versions.
+//! A member with a locality, and daemons of two protocol versions.
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
@@ -37,7 +37,7 @@
     Member::new(at(0), setup, 1)
 }
 
-/// Its connection comes up, and speaks this.
+/// Connects the member with this protocol version.
 fn up(member: &mut Member, beats: u64, speaks: u16) -> Vec<HostAction> {
     assert!(matches!(member.on_timer(at(beats))[..], [HostAction::Dial(_)]));
     member.on_connected(at(beats), speaks)
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn what_it_belongs_to_is_said_first_and_only_where_both_speak_of_it() {
+fn the_locality_is_sent_first_and_only_if_both_ends_support_it() {
     let mut scoped = member(Some(locality()));
     let done = up(&mut scoped, 2, VERSION);
     assert!(
         matches!(&done[..], [HostAction::SendLocality(said), HostAction::SendReport(_)] if *said == locality()),
         "{done:?}"
     );
-    // Again to each daemon: each keeps it for its connection.
+    // It is sent again to each daemon, which keeps it for the connection.
     scoped.on_disconnected(at(3));
     assert!(matches!(
         up(&mut scoped, 5, VERSION)[..],
@@ -78,10 +78,10 @@
     assert!(matches!(up(&mut member(None), 2, VERSION)[..], [HostAction::SendReport(_)]));
 }
 
-/// Danger: a daemon that knows no scopes tells what is put for all, with a version that is later than that of the scopes. With
-/// that it would never hear of what holds for it.
+/// Danger: a daemon without support for scopes sends the settings for the whole fleet, whose version may be later than that of
+/// the scopes. A member that kept this version would never get the settings of its scopes.
 #[test]
-fn what_a_daemon_without_scopes_told_is_asked_for_anew() {
+fn settings_from_a_daemon_without_scopes_are_requested_again() {
     let mut member = member(Some(locality()));
     up(&mut member, 2, VERSION);
     assert_eq!(member.on_answer(at(2), told(5)).len(), 1);
@@ -94,10 +94,10 @@
     member.set_active_version(version(7));
     assert!(member.is_unscoped());
     member.on_disconnected(at(6));
-    // Over a connection that knows scopes: of the same version, but another text.
+    // Over a connection with support for scopes: the same version, but another text.
     let done = up(&mut member, 8, VERSION);
     assert_eq!(reported(&done), Some((Version::default(), Version::default())));
-    // A daemon that is behind takes it nowhere.
+    // A lagging daemon does not take it back.
     assert_eq!(member.on_answer(at(8), told(6)), []);
     assert!(member.is_unscoped());
     assert_eq!(
@@ -110,9 +110,9 @@
     assert_eq!(reported(&member.on_timer(at(9))[..]), Some((version(7), version(7))));
 }
 
-/// Danger: a connection may last for weeks, and a daemon be taken for an older one by an accident.
+/// Danger: a connection may last for weeks, and a daemon may have been mistaken for an older one.
 #[test]
-fn with_a_daemon_without_scopes_it_stays_a_minute_and_without_a_locality_for_good() {
+fn a_connection_without_scopes_lasts_a_minute_and_without_a_locality_forever() {
     for (locality, speaks, leaves) in [
         (Some(locality()), MIN_VERSION, true),
         (Some(locality()), VERSION, false),
--- a/crates/fleet/tests/evidence_coding.rs
+++ b/crates/fleet/tests/evidence_coding.rs
@@ -1,5 +1,5 @@
-//! Records over one connection by dictionaries: what an answer takes, that it comes back as it was, and that one that is wrong
-//! costs nothing else.
+//! Dictionary coding of observations: the size of answers, the round trip, and that an invalid batch has no effect on the rest
+//! of its answer.
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
@@ -23,7 +23,7 @@
     RelayedObservation { writer, incarnation: 1_764_652_800_123_456_789, observation: seen }
 }
 
-/// A beat of a service: each of its other members has a record, of one of its endpoints.
+/// One heartbeat of a service: an observation by each other member, of one of its endpoints.
 fn beat(chance: &mut Rand64, members: u32, sequence: u64) -> Vec<RelayedObservation> {
     let mark = |of: u32| of.wrapping_mul(0x9e37_79b9) ^ 0x5bd1_e995;
     let endpoint = |chance: &mut Rand64| mark(1000 + chance.rand_range(0..u64::from(members)) as u32);
@@ -47,10 +47,10 @@
     }
 }
 
-/// Danger: with a record a member a beat what is said again with each record is most of what a sidecar hears of control: its
-/// writer's name and incarnation, and the endpoint's and method's names.
+/// Danger: with one observation per member and heartbeat, what each one repeats would be most of the control traffic to a
+/// sidecar: the writer's name and incarnation, and the names of endpoint and method.
 #[test]
-fn a_record_takes_eleven_bytes_once_its_names_are_known() {
+fn an_observation_takes_eleven_bytes_once_its_names_are_known() {
     let (mut chance, mut encoder) = (Rand64::new(1), Encoder::default());
     let size = |told, coded| bytes(&Frame::CodedReportAnswer(told, coded)).len();
     let none = size(ReportAnswer::default(), CodedRecords::default());
@@ -62,9 +62,10 @@
         let (coded, rest) = encoder.encode(all);
         assert!(rest.is_empty() && coded.records.len() == 59);
         let own = size(ReportAnswer::default(), coded) - none;
-        // As it was: writer 5, incarnation 9, sequence 2, age 2, endpoint 5, method 5, outcome 1, part 4, a few of them one less.
+        // Uncoded: writer 5, incarnation 9, sequence 2, age 2, endpoint 5, method 5, outcome 1, fraction 4, a few of them one
+        // less.
         assert!(plain > 59 * 32, "{plain}");
-        // The first answer says all names that it needs.
+        // The first answer contains all names that it refers to.
         assert!(own < plain * 6 / 5, "{own} of {plain}");
         if sequence > 7050 {
             assert_eq!(own, 59 * 11);
@@ -72,9 +73,9 @@
     }
 }
 
-/// Danger: what the receiver acts on must not hang on how it came.
+/// Danger: what the receiver acts on must not depend on the encoding.
 #[test]
-fn over_random_answers_what_was_told_is_what_is_heard() {
+fn random_answers_are_decoded_as_they_were_encoded() {
     for seed in 0..300 {
         let mut chance = Rand64::new(seed);
         let (mut encoder, mut decoder) = (Encoder::default(), Decoder::default());
@@ -84,7 +85,7 @@
             let count = chance.rand_range(0..90);
             let all: Vec<RelayedObservation> = (0..count)
                 .map(|_| {
-                    // Sequences and incarnations go any way: the daemon's order is not what this rests on.
+                    // Sequences and incarnations are in any order: the coding does not rely on the daemon's order.
                     let seen = Observation {
                         sequence: if chance.rand_range(0..20) == 0 {
                             chance.rand_u64()
@@ -118,13 +119,14 @@
     }
 }
 
-/// Danger: members that were replaced fill a connection of weeks, and all records behind go as they are for good.
+/// Danger: over weeks, replaced members would fill a connection's dictionaries, and all later observations would be sent
+/// uncoded forever.
 #[test]
-fn dictionaries_that_are_full_begin_anew_after_a_while() {
+fn full_dictionaries_are_reset_after_a_while() {
     let (mut encoder, mut decoder) = (Encoder::default(), Decoder::default());
     let mut left = Vec::new();
     for answer in 0..4000_u64 {
-        // Each writer has ended after an answer of its own, and one stays.
+        // Each writer ends after one answer, except one that stays.
         let all = vec![passed(7, answer, 5), passed(1000 + answer.min(2000) as u32, answer, 5)];
         let (coded, rest) = encoder.encode(all.clone());
         let mut heard = decoder.decode(&coded).unwrap();
@@ -132,7 +134,7 @@
         assert_eq!(heard, all);
         left.push(rest.len());
     }
-    // Full at 256, anew at 1,024; and again, until the one that came last stays.
+    // Full at 256, reset at 1,024, and again, until the last writer stays.
     let full = left.iter().position(|rest| *rest > 0).unwrap();
     let anew = full + left[full..].iter().position(|rest| *rest == 0).unwrap();
     assert_eq!((full, anew), (255, 1024));
@@ -145,7 +147,7 @@
     coded
 }
 
-/// Each way in which an answer can be wrong, what is said of it, and how it is made so.
+/// Each kind of invalid batch, and the expected error.
 fn faults() -> Vec<(CodedRecords, &'static str)> {
     let with = |change: &dyn Fn(&mut CodedRecords)| {
         let mut coded = good();
@@ -165,22 +167,22 @@
 }
 
 #[test]
-fn each_fault_is_named_and_nothing_is_known_until_dictionaries_begin_anew() {
+fn each_error_is_named_and_nothing_is_decoded_until_the_dictionaries_are_reset() {
     for (faulty, said) in faults() {
         let mut decoder = Decoder::default();
         assert_eq!(decoder.decode(&faulty), Err(said.to_string()));
-        // Danger: what it had learnt before the fault is not what the other end takes for known.
+        // Danger: what it knew before the error is not what the other end assumes.
         let next = CodedRecords { known: 5, ..CodedRecords::default() };
         assert_eq!(decoder.decode(&next).unwrap_err(), "evidence: 5 entries are taken for known, and 0 are");
         assert_eq!(decoder.decode(&good()).unwrap().len(), 3);
         assert_eq!(decoder.decode(&next), Ok(vec![]));
     }
-    // Entries that are known already count, too.
+    // Entries that are already known count too.
     let mut decoder = Decoder::default();
     decoder.decode(&good()).unwrap();
     let more = CodedRecords { known: 5, names: vec![9; 254], ..CodedRecords::default() };
     assert_eq!(decoder.decode(&more).unwrap_err(), "evidence: 257 names, more than 256");
-    // The most that there may be.
+    // The maximum number of entries.
     let names: Vec<u32> = (0..MAX_ENTRIES as u32).collect();
     let record = CodedRecord {
         writer: 0,
@@ -240,9 +242,10 @@
     rows.flatten().collect()
 }
 
-/// Danger: settings, grants and releases come in the same answer, and a daemon's fault in the one would keep a member from them.
+/// Danger: settings, grants and releases are in the same answer, and an invalid batch of observations must not keep a member
+/// from them.
 #[test]
-fn a_fault_costs_a_member_only_that_answers_records_until_it_is_told_anew() {
+fn an_invalid_batch_costs_a_member_only_that_answers_observations() {
     for (faulty, said) in faults() {
         let mut member = member();
         assert_eq!(member.on_coded_answer(at(1001), told(), &CodedRecords::default()), []);
@@ -262,16 +265,16 @@
         assert!(member.is_connected());
         let report = reported(&mut member, 2300);
         assert!(report.wants_catch_up, "{said}");
-        // The daemon begins anew for one that catches up, and nothing has been lost but time.
+        // The daemon resets the dictionaries for a member that catches up, and only time is lost.
         let done = member.on_coded_answer(at(2301), ReportAnswer { observations: rest, ..told() }, &good());
         assert_eq!(heard(&done), [(1, 5), (2, 6), (1, 7), (3, 8)]);
         assert!(!reported(&mut member, 3000).wants_catch_up);
     }
 }
 
-/// Danger: another connection's daemon has told nothing, whatever the last one had.
+/// Danger: the daemon of a new connection has sent no entries, whatever the last one had.
 #[test]
-fn dictionaries_are_of_one_connection() {
+fn dictionaries_belong_to_one_connection() {
     let mut member = member();
     assert_eq!(heard(&member.on_coded_answer(at(1001), told(), &good())).len(), 3);
     member.on_disconnected(at(1100));
@@ -280,16 +283,16 @@
     let next = CodedRecords { known: 5, ..CodedRecords::default() };
     let said = "evidence: 5 entries are taken for known, and 0 are".to_string();
     assert_eq!(member.on_coded_answer(at(3001), told(), &next), [HostAction::AnswerError(said)]);
-    // What is told again counts once.
+    // Repeated observations count once.
     assert_eq!(member.on_coded_answer(at(3002), told(), &good()), []);
-    // One that has ended takes nothing.
+    // A closed connection accepts nothing.
     member.on_disconnected(at(3100));
     assert_eq!(member.on_coded_answer(at(3101), told(), &good()), []);
 }
 
-/// Danger: a member that ends by what a daemon says takes its traffic with it.
+/// Danger: a member that crashes because of a daemon's answer would take its traffic with it.
 #[test]
-fn no_answer_can_do_harm() {
+fn no_answer_causes_a_panic() {
     let mut chance = Rand64::new(9);
     let good = bytes(&Frame::CodedReportAnswer(told(), good()));
     let (mut taken, mut refused) = (0, 0);
@@ -297,7 +300,7 @@
         let mut all = bytes(&Frame::hello("zilina", Initiator::Operator));
         let mut answer = good.clone();
         for _ in 0..1 + chance.rand_range(0..3) {
-            // Behind the length.
+            // After the length.
             let at = 4 + chance.rand_range(0..answer.len() as u64 - 4) as usize;
             answer[at] = chance.rand_u64() as u8;
         }
--- a/crates/fleet/tests/evidence_scopes.rs
+++ b/crates/fleet/tests/evidence_scopes.rs
@@ -1,4 +1,4 @@
-//! Evidence by service: who hears whose, and that a busy service costs others nothing.
+//! Evidence by service: who gets whose observations, and that a busy service does not displace those of others.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     (from..=to).map(|sequence| seen(sequence, sequence as u32)).collect()
 }
 
-/// All that a reader hears, by writer and sequence, so many at a time.
+/// All that a reader gets, by writer and sequence, a limited number at a time.
 fn heard(
     evidence: &EvidenceStore,
     now: u64,
@@ -43,9 +43,9 @@
     }
 }
 
-/// Danger: names of another service's endpoints say nothing, and crowd out those that do.
+/// Danger: observations of another service's endpoints are useless to a reader, and would displace useful ones.
 #[test]
-fn who_has_a_service_hears_its_own_and_of_no_service_and_who_has_none_hears_all() {
+fn readers_get_their_own_service_and_no_service_and_readers_without_one_get_all() {
     let mut evidence = EvidenceStore::default();
     for (writer, service) in [(1, MENU), (2, CART), (3, 0), (4, MENU)] {
         assert_eq!(evidence.record(at(1000), service, writer, 1, &run(1, 2)), 2);
@@ -58,19 +58,19 @@
         let all = [(1, 1), (1, 2), (2, 1), (2, 2), (3, 1), (3, 2), (4, 1), (4, 2)];
         assert_eq!(of(0, most), all);
     }
-    // Nobody hears its own.
+    // Readers do not get their own observations.
     assert_eq!(evidence.read_new(at(1000), MENU, 1, &mut Cursor::default(), 100).len(), 4);
     let caught = |service, most| evidence.catch_up(at(1000), service, READER, &mut Cursor::default(), most);
     let writers = |service, most| caught(service, most).iter().map(|p| p.writer).collect::<Vec<_>>();
     assert_eq!(writers(CART, 100), [2, 2, 3, 3]);
     assert_eq!(writers(0, 100), [1, 1, 2, 2, 3, 3, 4, 4]);
-    // The latest, where it can't be all.
+    // The latest ones, if not all fit.
     assert_eq!(writers(CART, 3), [2, 3, 3]);
 }
 
-/// Danger: a service with many records a second would leave nothing of the others' for who returns.
+/// Danger: a service with many observations per second would leave none of the others for members that reconnect.
 #[test]
-fn a_busy_service_pushes_out_only_its_own() {
+fn a_busy_service_displaces_only_its_own_observations() {
     let mut evidence = EvidenceStore::default();
     for service in 1..=200 {
         evidence.record(at(1000), service, service, 1, &run(1, 16));
@@ -84,7 +84,7 @@
     }
     let busy = heard(&evidence, 1040, 777, &mut Cursor::default(), 100);
     assert_eq!((busy.len(), busy.last()), (MAX_RECORDS_PER_SERVICE, Some(&(777, 40_000))));
-    // Two that are busy share what is there, and a third that begins finds room.
+    // Two busy services share the space, and a third one that begins finds room.
     let mut evidence = EvidenceStore::default();
     for service in [MENU, CART, 0] {
         evidence.record(at(1000), service, service + 1, 1, &run(1, 30_000));
@@ -96,14 +96,14 @@
         evidence.count() == MAX_RECORDS && counts.0.min(counts.1) > MAX_RECORDS_PER_SERVICE / 2,
         "{counts:?}"
     );
-    // As in a fleet without services: those without one may fill all.
+    // As in a fleet without services: members without one may fill all.
     let mut evidence = EvidenceStore::default();
     evidence.record(at(1000), 0, 1, 1, &run(1, 30_000));
     assert_eq!(evidence.count(), MAX_RECORDS);
 }
 
 #[test]
-fn what_is_old_goes_from_all_services_also_where_nobody_tells_any_more() {
+fn expired_observations_are_removed_even_from_services_without_reports() {
     let mut evidence = EvidenceStore::default();
     for service in 0..100 {
         evidence.record(at(1000), service, service + 1, 1, &run(1, 10));
@@ -114,9 +114,9 @@
     assert_eq!(evidence.count(), 1);
 }
 
-/// Danger: a cursor that goes past what was not looked at loses it for good.
+/// Danger: a cursor that skips unread observations would lose them for good.
 #[test]
-fn over_random_histories_each_record_is_told_once_in_its_order_and_none_is_lost() {
+fn over_random_histories_each_observation_is_read_once_in_order() {
     for seed in 0..200 {
         let mut chance = Rand64::new(seed);
         let mut evidence = EvidenceStore::default();
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn who_catches_up_goes_on_from_there() {
+fn a_reader_continues_after_its_catch_up() {
     let mut evidence = EvidenceStore::default();
     evidence.record(at(1000), MENU, 1, 1, &run(1, 10));
     evidence.record(at(1000), CART, 2, 1, &run(1, 10));
--- a/crates/fleet/tests/lost_leader.rs
+++ b/crates/fleet/tests/lost_leader.rs
@@ -1,4 +1,4 @@
-//! A member whose leader is lost, among daemons that don't know that yet.
+//! A member whose leader was killed, while the other daemons still name it as the leader.
 
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
@@ -28,7 +28,7 @@
     Member::new(at(0), setup, 4)
 }
 
-/// What the world does with a member until a moment: the killed one refuses, the others name a leader.
+/// A member and its daemons: a killed daemon refuses connections, the others name a leader.
 struct World {
     member: Member,
     now: u64,
@@ -84,10 +84,10 @@
     world
 }
 
-/// Danger: each follower names the killed leader until the next election is over, and a member that goes to it at each word
-/// dials it some ten times a second, as all the others do.
+/// Danger: each follower names the killed leader until the next election is over. A member that followed each such hint would
+/// dial it some ten times a second, as would all the others.
 #[test]
-fn a_killed_leader_that_others_still_name_is_dialed_once_in_two_beats() {
+fn a_killed_leader_that_others_still_name_is_dialed_once_in_two_heartbeats() {
     for leader in 1..=3 {
         let mut world = begun(leader);
         world.connected = None;
@@ -99,13 +99,13 @@
         assert!((1..=3).contains(&times.len()), "leader {leader}: {:?}", world.dials);
         assert!(times.iter().all(|at| at - from >= 2 * BEAT), "leader {leader}: {:?}", world.dials);
         assert!(world.dials.len() <= 7, "leader {leader}: {:?}", world.dials);
-        // It is answered meanwhile: settings come from any of them.
+        // Meanwhile other daemons answer it: settings come from any of them.
         assert!(world.member.has_recent_answer(at(world.now)));
     }
 }
 
 #[test]
-fn whoever_leads_next_is_gone_to_with_the_first_word_of_it() {
+fn the_next_leader_is_dialed_on_the_first_hint() {
     let mut world = begun(1);
     world.connected = None;
     world.member.on_disconnected(at(world.now));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_leader_that_comes_back_is_gone_to_within_three_beats() {
+fn a_leader_that_returns_is_dialed_within_three_heartbeats() {
     let mut world = begun(2);
     world.connected = None;
     world.member.on_disconnected(at(world.now));
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,6 +1,6 @@
-//! All interleavings of two holders, one change of leader, lost and late messages and clocks that differ by the stated
-//! doubt, to a stated depth, on the code itself. A library (stateright) was weighed: it wants states of its own kind, so a
-//! translation would be checked and not what runs; a search over the real parts is sixty lines.
+//! Exhaustive search, up to a fixed depth, over all interleavings of two holders, one change of leader, lost and late messages,
+//! and clocks that differ by the maximum drift. It runs the real code. The library stateright was considered, but needs its
+//! own state types, so it would check a translation instead of the code; a search over the real code is sixty lines.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,54 +11,54 @@
 use appledyke_fleet::budgets::{Budget, Budgets, Holder, Resource, ShareChange};
 use appledyke_fleet::limits::{Grant, Limits, MAX_CLOCK_DRIFT};
 
-/// Not a part of a second, a window or a lease, so that ends of these fall between.
+/// Does not divide a second, a window or a lease, so that these end between ticks.
 const TICK_MS: u64 = 700;
 const DEPTH: usize = 12;
-const WHOLE: u64 = 12;
-/// Before it each holder has come to its part.
+const QUOTA: u64 = 12;
+/// By then each holder has its share.
 const BEGIN_MS: u64 = 16_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A lease is counted from the answer's arrival.
+    /// A lease is counted from the arrival of the answer.
     LeaseFromArrival,
-    /// A stock is freed once a lease is over.
-    StockFreedByTime,
-    /// A leader that was goes on granting.
+    /// A concurrency limit's share is released when the lease expires.
+    ConcurrencyFreedByTime,
+    /// A former leader continues to grant.
     GrantsUnconfirmed,
-    /// What is lowered is free at once.
+    /// A lowered share is released at once.
     ReleasedAtOnce,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Time passes: each takes all that it may, and the leader divides anew, as promptly as it can.
+    /// Time passes: each holder uses all that it may, and the leader reallocates as soon as it can.
     Tick,
-    /// The first holder asks, and the leader answers; the answer is on its way.
+    /// The first holder reports, and the leader answers; the answer is in flight.
     Ask,
-    /// The same with the leader that was, where a fault lets it.
-    AskOld,
+    /// The same with the former leader, if the fault allows it.
+    AskFormerLeader,
     Deliver,
     Lose,
-    /// The second holder asks and has its answer.
-    Talk,
+    /// The second holder reports and gets its answer.
+    SecondReports,
     NewLeader,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    of: Resource,
+    resource: Resource,
     now: u64,
     budgets: Budgets,
-    divider: Allocator,
-    /// The leader that was, with what it knew.
-    old: Option<(Allocator, Budgets, Index)>,
+    allocator: Allocator,
+    /// The former leader, with its state.
+    former_leader: Option<(Allocator, Budgets, Index)>,
     index: Index,
     limits: [Limits; 2],
-    /// An answer to the first holder, and when that asked by its own clock.
-    answered: Option<(Moment, Vec<Grant>)>,
-    /// What each spent in the last ticks, or holds.
+    /// An answer in flight to the first holder, and the time of its report by its own clock.
+    answer: Option<(Moment, Vec<Grant>)>,
+    /// What each holder has used in the last ticks, or holds.
     spent: [Vec<(u64, u64)>; 2],
     held: [u64; 2],
     wants: [u64; 2],
@@ -73,34 +73,28 @@
 }
 
 impl World {
-    fn new(of: Resource) -> World {
-        let window_ms = if of.is_concurrency_limit() { 0 } else { 1000 };
-        let budget = Budget {
-            resource: of,
-            quota: WHOLE,
-            window_ms,
-            min_share: 1,
-            standalone_share: 1,
-            max_members: 2,
-        };
+    fn new(resource: Resource) -> World {
+        let window_ms = if resource.is_concurrency_limit() { 0 } else { 1000 };
+        let budget =
+            Budget { resource, quota: QUOTA, window_ms, min_share: 1, standalone_share: 1, max_members: 2 };
         let mut budgets = Budgets::default();
         budgets.configure(&[budget]);
         let mut world = World {
-            of,
+            resource,
             now: 10_000,
             budgets,
-            divider: Allocator::new(moment(10_000), 0),
-            old: None,
+            allocator: Allocator::new(moment(10_000), 0),
+            former_leader: None,
             index: 0,
             limits: Default::default(),
-            answered: None,
+            answer: None,
             spent: Default::default(),
             held: [0; 2],
             wants: [20, 0],
         };
-        // The first holder has nearly all, and the other comes to want as much.
+        // The first holder has nearly all, and then the other one wants as much.
         while world.now < BEGIN_MS {
-            for step in [Step::Ask, Step::Deliver, Step::Talk, Step::Tick] {
+            for step in [Step::Ask, Step::Deliver, Step::SecondReports, Step::Tick] {
                 world.step(step, Fault::None);
             }
         }
@@ -108,31 +102,32 @@
         world
     }
 
-    /// The first holder's clock is slow by the doubt, the second's is fast.
+    /// The first holder's clock is slow, the second's fast, each by half of the maximum drift.
     fn clock(&self, at: usize) -> Moment {
         let rate = if at == 0 { 1.0 - MAX_CLOCK_DRIFT / 2.0 } else { 1.0 + MAX_CLOCK_DRIFT / 2.0 };
         Moment::from_nanos((self.now as f64 * 1e6 * rate) as u64)
     }
 
-    /// Each takes all that it may.
-    fn take(&mut self) {
+    /// Each holder uses all that it may.
+    fn use_all(&mut self) {
         for at in 0..2 {
             let clock = self.clock(at);
-            if self.of.is_concurrency_limit() {
-                // What it holds it gives back only where it may have less, and hears so: it is idle then.
-                let most = self.limits[at].allowed(clock, self.of).unwrap_or(0);
+            if self.resource.is_concurrency_limit() {
+                // A holder gives back only what exceeds its new limit, as if that were idle.
+                let most = self.limits[at].allowed(clock, self.resource).unwrap_or(0);
                 self.held[at] =
                     if at == 0 && self.stopped() { self.held[at] } else { self.held[at].min(most) };
                 while self.held[at] < self.wants[at]
-                    && self.limits[at].try_hold(clock, self.of, self.held[at])
+                    && self.limits[at].try_hold(clock, self.resource, self.held[at])
                 {
                     self.held[at] += 1;
                 }
-                self.limits[at].set_held(self.of, self.held[at]);
+                self.limits[at].set_held(self.resource, self.held[at]);
             } else {
                 let wants = self.wants[at];
-                let spent =
-                    (0..wants).filter(|_| self.limits[at].try_spend(clock, self.of, true)).count() as u64;
+                let spent = (0..wants)
+                    .filter(|_| self.limits[at].try_spend(clock, self.resource, true))
+                    .count() as u64;
                 self.spent[at].push((self.now, spent));
                 let now = self.now;
                 self.spent[at].retain(|(when, _)| now - when < 2000);
@@ -140,78 +135,80 @@
         }
     }
 
-    /// The first holder of a stock stands still from here on: it gives nothing back, and says nothing.
+    /// For a concurrency limit, the first holder is stopped from here on: it neither gives anything back nor reports.
     fn stopped(&self) -> bool {
         self.wants == [20, 20]
     }
 
-    fn may(&self, step: Step, fault: Fault) -> bool {
-        let stopped = self.of.is_concurrency_limit() && self.stopped();
+    fn is_possible(&self, step: Step, fault: Fault) -> bool {
+        let stopped = self.resource.is_concurrency_limit() && self.stopped();
         match step {
-            Step::Tick | Step::Talk => true,
-            Step::Ask => self.answered.is_none() && !stopped,
-            Step::AskOld => {
-                fault == Fault::GrantsUnconfirmed && self.old.is_some() && self.answered.is_none()
+            Step::Tick | Step::SecondReports => true,
+            Step::Ask => self.answer.is_none() && !stopped,
+            Step::AskFormerLeader => {
+                fault == Fault::GrantsUnconfirmed && self.former_leader.is_some() && self.answer.is_none()
             }
-            Step::Deliver | Step::Lose => self.answered.is_some(),
-            Step::NewLeader => self.old.is_none(),
+            Step::Deliver | Step::Lose => self.answer.is_some(),
+            Step::NewLeader => self.former_leader.is_none(),
         }
     }
 
-    fn ask(&mut self, at: usize, of_old: bool) -> (Moment, Vec<Grant>) {
+    fn report(&mut self, at: usize, of_old: bool) -> (Moment, Vec<Grant>) {
         let asked = self.clock(at);
         let uses = self.limits[at].usage(asked);
         let now = moment(self.now);
-        let (divider, budgets, index) = match &mut self.old {
-            Some((divider, budgets, index)) if of_old => (divider, &*budgets, *index),
-            _ => (&mut self.divider, &self.budgets, self.index),
+        let (allocator, budgets, index) = match &mut self.former_leader {
+            Some((allocator, budgets, index)) if of_old => (allocator, &*budgets, *index),
+            _ => (&mut self.allocator, &self.budgets, self.index),
         };
-        divider.record_report(now, &holder(at), &uses, false);
-        (asked, divider.grants_for(&holder(at), budgets, index))
+        allocator.record_report(now, &holder(at), &uses, false);
+        (asked, allocator.grants_for(&holder(at), budgets, index))
     }
 
     fn step(&mut self, step: Step, fault: Fault) {
         match step {
             Step::Tick => {
                 self.now += TICK_MS;
-                self.take();
-                self.divide(fault);
+                self.use_all();
+                self.allocate(fault);
+            }
+            Step::Ask | Step::AskFormerLeader => {
+                self.answer = Some(self.report(0, step == Step::AskFormerLeader))
             }
-            Step::Ask | Step::AskOld => self.answered = Some(self.ask(0, step == Step::AskOld)),
             Step::Deliver => {
-                let Some((asked, grants)) = self.answered.take() else { return };
+                let Some((asked, grants)) = self.answer.take() else { return };
                 let from = if fault == Fault::LeaseFromArrival { self.clock(0) } else { asked };
                 self.limits[0].apply_grants(from, &grants);
             }
-            Step::Lose => self.answered = None,
-            Step::Talk => {
-                let (asked, grants) = self.ask(1, false);
+            Step::Lose => self.answer = None,
+            Step::SecondReports => {
+                let (asked, grants) = self.report(1, false);
                 self.limits[1].apply_grants(asked, &grants);
             }
             Step::NewLeader => {
-                let divider = std::mem::replace(&mut self.divider, Allocator::new(moment(self.now), 0));
-                self.old = Some((divider, self.budgets.clone(), self.index));
+                let allocator = std::mem::replace(&mut self.allocator, Allocator::new(moment(self.now), 0));
+                self.former_leader = Some((allocator, self.budgets.clone(), self.index));
             }
         }
     }
 
-    fn divide(&mut self, fault: Fault) {
-        for change in self.divider.proposals(moment(self.now), &self.budgets) {
+    fn allocate(&mut self, fault: Fault) {
+        for change in self.allocator.proposals(moment(self.now), &self.budgets) {
             self.index += 1;
             self.budgets.apply(self.index, &change);
         }
-        let by_time = fault == Fault::StockFreedByTime && self.now > BEGIN_MS + 4 * TICK_MS;
+        let by_time = fault == Fault::ConcurrencyFreedByTime && self.now > BEGIN_MS + 4 * TICK_MS;
         if fault == Fault::ReleasedAtOnce || by_time {
-            let parts = self.budgets.shares(self.of).filter(|(_, part)| part.reserved > part.granted);
+            let parts = self.budgets.shares(self.resource).filter(|(_, part)| part.reserved > part.granted);
             let lowered = parts.map(|(holder, part)| (holder.clone(), part.since)).collect();
             self.index += 1;
-            self.budgets.apply(self.index, &ShareChange::Release(self.of, lowered));
+            self.budgets.apply(self.index, &ShareChange::Release(self.resource, lowered));
         }
     }
 
-    /// What all use, or have used within a window.
+    /// What all holders use, or have used within a window.
     fn used(&self) -> u64 {
-        if self.of.is_concurrency_limit() {
+        if self.resource.is_concurrency_limit() {
             return self.held.iter().sum();
         }
         let within = |(when, _): &&(u64, u64)| self.now - when < 1000;
@@ -225,26 +222,34 @@
     }
 }
 
-/// The first way to stand above the whole, and how many states were looked at.
-fn search(of: Resource, fault: Fault, depth: usize) -> (Option<Vec<Step>>, usize) {
-    let steps = [Step::Tick, Step::Ask, Step::AskOld, Step::Deliver, Step::Lose, Step::Talk, Step::NewLeader];
-    let mut start = World::new(of);
+/// The first path that exceeds the quota, if there is one, and the number of visited states.
+fn search(resource: Resource, fault: Fault, depth: usize) -> (Option<Vec<Step>>, usize) {
+    let steps = [
+        Step::Tick,
+        Step::Ask,
+        Step::AskFormerLeader,
+        Step::Deliver,
+        Step::Lose,
+        Step::SecondReports,
+        Step::NewLeader,
+    ];
+    let mut start = World::new(resource);
     if fault == Fault::GrantsUnconfirmed {
-        // Its way is longer than the depth by this step.
+        // The path to this fault is one step longer than the search depth.
         start.step(Step::NewLeader, fault);
     }
-    assert!(start.used() <= WHOLE && start.used() > 0, "{start:?}");
+    assert!(start.used() <= QUOTA && start.used() > 0, "{start:?}");
     let mut seen = HashSet::from([start.key()]);
     let mut edge = vec![(start, Vec::new())];
     for _ in 0..depth {
         let mut next = Vec::new();
         for (world, path) in edge {
-            for step in steps.into_iter().filter(|step| world.may(*step, fault)) {
+            for step in steps.into_iter().filter(|step| world.is_possible(*step, fault)) {
                 let mut after = world.clone();
                 after.step(step, fault);
                 let mut path = path.clone();
                 path.push(step);
-                if after.used() > WHOLE {
+                if after.used() > QUOTA {
                     return (Some(path), seen.len());
                 }
                 if seen.insert(after.key()) {
@@ -258,40 +263,40 @@
 }
 
 #[test]
-fn no_interleaving_of_a_flow_stands_above_the_whole() {
+fn no_interleaving_of_a_rate_limit_exceeds_the_quota() {
     let (path, states) = search(Resource::Attempts, Fault::None, DEPTH);
     assert_eq!(path, None);
     assert!(states > 100_000, "{states}");
 }
 
 #[test]
-fn no_interleaving_of_a_stock_stands_above_the_whole() {
+fn no_interleaving_of_a_concurrency_limit_exceeds_the_quota() {
     let (path, states) = search(Resource::Connections, Fault::None, DEPTH);
     assert_eq!(path, None);
     assert!(states > 10_000, "{states}");
 }
 
-fn is_found(of: Resource, fault: Fault) {
-    let (path, states) = search(of, fault, DEPTH);
+fn is_detected(resource: Resource, fault: Fault) {
+    let (path, states) = search(resource, fault, DEPTH);
     assert!(path.is_some(), "{fault:?} is not found in {states} states");
 }
 
 #[test]
-fn what_is_lowered_and_free_at_once_is_found() {
-    is_found(Resource::Attempts, Fault::ReleasedAtOnce);
+fn a_lowered_share_released_at_once_is_detected() {
+    is_detected(Resource::Attempts, Fault::ReleasedAtOnce);
 }
 
 #[test]
-fn a_stock_that_time_frees_is_found() {
-    is_found(Resource::Connections, Fault::StockFreedByTime);
+fn a_concurrency_limit_freed_by_time_is_detected() {
+    is_detected(Resource::Connections, Fault::ConcurrencyFreedByTime);
 }
 
 #[test]
-fn a_lease_that_is_counted_from_the_answer_is_found() {
-    is_found(Resource::Attempts, Fault::LeaseFromArrival);
+fn a_lease_counted_from_the_answer_is_detected() {
+    is_detected(Resource::Attempts, Fault::LeaseFromArrival);
 }
 
 #[test]
-fn a_leader_that_was_and_grants_on_is_found() {
-    is_found(Resource::Attempts, Fault::GrantsUnconfirmed);
+fn a_former_leader_that_still_grants_is_detected() {
+    is_detected(Resource::Attempts, Fault::GrantsUnconfirmed);
 }
--- a/crates/fleet/tests/permissions.rs
+++ b/crates/fleet/tests/permissions.rs
@@ -1,5 +1,5 @@
-//! Permissions to go out: random histories of the log, and all interleavings of two askers with lost, late and repeated
-//! messages and a change of leader, to a stated depth, on the code itself.
+//! Permissions to drain: random histories of the log, and an exhaustive search, up to a fixed depth, over all interleavings of
+//! two members that ask, with lost, late and repeated messages and a change of leader. Both run the real code.
 
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -35,12 +35,12 @@
     fleet
 }
 
-fn member(at: usize, standing: MemberStatus) -> Command {
-    Command::Member { name: format!("s{at}"), incarnation: 1, status: standing, groups: vec!["a".into()] }
+fn member(at: usize, status: MemberStatus) -> Command {
+    Command::Member { name: format!("s{at}"), incarnation: 1, status, groups: vec!["a".into()] }
 }
 
 #[test]
-fn no_history_permits_more_than_may_be_out() {
+fn no_history_permits_more_drains_than_the_limit() {
     let mut granted = 0;
     for seed in 0..500 {
         let mut chance = Rand64::new(seed);
@@ -50,11 +50,11 @@
         (0..6).for_each(|at| drop(fleet.apply(2, &member(at, MemberStatus::Serving))));
         for index in 3..400 {
             let at = draw(6) as usize;
-            let (name, incarnation, ask) = (format!("s{at}"), 1, draw(5));
+            let (name, incarnation, request) = (format!("s{at}"), 1, draw(5));
             let before = fleet.members().get(&name).is_some_and(|member| member.drain_request.is_some());
             let command = match draw(10) {
-                0..=4 => Command::DrainMember { name, incarnation, request: ask, force: None },
-                5..=6 => Command::ReturnMember { name, incarnation, request: ask },
+                0..=4 => Command::DrainMember { name, incarnation, request, force: None },
+                5..=6 => Command::ReturnMember { name, incarnation, request },
                 7 => member(at, MemberStatus::Silent),
                 8 => Command::Forget(name),
                 _ => member(at, MemberStatus::Serving),
@@ -73,21 +73,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A permission ends after a while by itself.
+    /// A permission expires after some time.
     FreedByTime,
-    /// An answer counts also after its ask was given up.
+    /// An answer counts even after its request was given up.
     LateAnswerTaken,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Ask(usize),
-    /// The ask reaches the leader and is committed; its answer is on its way. It may come twice.
+    /// The request reaches the leader and is committed; its answer is in flight. This may happen twice.
     Commit(usize),
     Answer(usize),
     GiveUp(usize),
     Resume(usize),
-    /// It says how it stands; that may be late.
+    /// The member reports its status; the report may be delayed.
     Say(usize),
     Hear(usize),
     Time,
@@ -95,24 +95,24 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Side {
-    asker: DrainRequests,
+struct MemberSide {
+    drain_requests: DrainRequests,
     drains: bool,
     asked: Option<u64>,
     answer: Option<(u64, bool)>,
-    said: Option<(MemberStatus, u64)>,
+    report_in_flight: Option<(MemberStatus, u64)>,
 }
 
 #[derive(Clone, Debug)]
 struct World {
     fleet: Fleet,
-    heard: MemberTracker,
-    sides: [Side; 2],
+    tracker: MemberTracker,
+    sides: [MemberSide; 2],
     now: u64,
-    led: bool,
+    leader_changed: bool,
 }
 
-const TERMS: LivenessTimeouts =
+const TIMEOUTS: LivenessTimeouts =
     LivenessTimeouts { lease: Span::from_millis(1_000_000), gone: Span::from_millis(2_000_000) };
 
 fn moment(ms: u64) -> Moment {
@@ -125,10 +125,10 @@
         (0..2).for_each(|at| drop(fleet.apply(2, &member(at, MemberStatus::Serving))));
         World {
             fleet,
-            heard: MemberTracker::new(moment(0), TERMS),
+            tracker: MemberTracker::new(moment(0), TIMEOUTS),
             sides: Default::default(),
             now: 0,
-            led: false,
+            leader_changed: false,
         }
     }
 
@@ -137,7 +137,7 @@
         self.fleet.apply(index, command)
     }
 
-    /// Whether the step can be made.
+    /// Applies a step. Returns whether it is possible.
     fn step(&mut self, step: Step, fault: Fault) -> bool {
         let now = moment(self.now);
         match step {
@@ -146,35 +146,31 @@
                 if side.drains || side.asked.is_some() {
                     return false;
                 }
-                side.asked = Some(side.asker.request(now));
+                side.asked = Some(side.drain_requests.request(now));
             }
             Step::Commit(at) => {
-                let Some(ask) = self.sides[at].asked else { return false };
-                let command = Command::DrainMember {
-                    name: format!("s{at}"),
-                    incarnation: 1,
-                    request: ask,
-                    force: None,
-                };
+                let Some(request) = self.sides[at].asked else { return false };
+                let command =
+                    Command::DrainMember { name: format!("s{at}"), incarnation: 1, request, force: None };
                 let answer = self.apply(&command);
-                self.sides[at].answer = Some((ask, answer == Answer::Done));
+                self.sides[at].answer = Some((request, answer == Answer::Done));
             }
             Step::Answer(at) => {
                 let side = &mut self.sides[at];
-                let Some((ask, granted)) = side.answer.take() else { return false };
-                let ours = side.asker.on_answer(ask, granted);
-                if ours {
+                let Some((request, granted)) = side.answer.take() else { return false };
+                let is_current = side.drain_requests.on_answer(request, granted);
+                if is_current {
                     side.asked = None;
                 }
-                side.drains |= granted && (ours || fault == Fault::LateAnswerTaken);
+                side.drains |= granted && (is_current || fault == Fault::LateAnswerTaken);
             }
             Step::GiveUp(at) => {
                 let side = &mut self.sides[at];
-                if side.asker.deadline().is_none() {
+                if side.drain_requests.deadline().is_none() {
                     return false;
                 }
-                // What it sent may still arrive: `asked` stays.
-                side.asker.give_up();
+                // The request may still arrive, so `asked` stays.
+                side.drain_requests.give_up();
             }
             Step::Resume(at) => {
                 let side = &mut self.sides[at];
@@ -183,31 +179,31 @@
                 }
                 side.drains = false;
                 side.asked = None;
-                side.asker.on_return();
+                side.drain_requests.on_return();
             }
             Step::Say(at) => {
                 let side = &mut self.sides[at];
                 if !side.drains {
-                    side.asker.on_return();
+                    side.drain_requests.on_return();
                 }
-                side.said = Some((
+                side.report_in_flight = Some((
                     if side.drains { MemberStatus::Drained } else { MemberStatus::Serving },
-                    side.asker.settled(),
+                    side.drain_requests.settled(),
                 ));
             }
             Step::Hear(at) => {
-                let Some((standing, settled)) = self.sides[at].said.take() else { return false };
+                let Some((status, settled)) = self.sides[at].report_in_flight.take() else { return false };
                 let report = Report {
                     name: format!("s{at}"),
                     incarnation: 1,
                     process_nonce: 1,
-                    status: standing,
+                    status,
                     groups: vec!["a".into()],
                     settled_requests: settled,
                     ..Report::default()
                 };
-                self.heard.record_report(now, &report, &self.fleet);
-                for command in self.heard.proposals(now, &self.fleet) {
+                self.tracker.record_report(now, &report, &self.fleet);
+                for command in self.tracker.proposals(now, &self.fleet) {
                     self.apply(&command);
                 }
             }
@@ -224,11 +220,11 @@
                 }
             }
             Step::NewLeader => {
-                if self.led {
+                if self.leader_changed {
                     return false;
                 }
-                self.led = true;
-                self.heard = MemberTracker::new(now, TERMS);
+                self.leader_changed = true;
+                self.tracker = MemberTracker::new(now, TIMEOUTS);
             }
         }
         true
@@ -276,18 +272,18 @@
 }
 
 #[test]
-fn no_interleaving_has_both_out() {
+fn no_interleaving_drains_both() {
     let (path, states) = search(Fault::None);
     assert!(path.is_none(), "{path:?}");
     assert!(states > 10_000, "{states}");
 }
 
 #[test]
-fn a_permission_that_time_frees_is_found() {
+fn a_permission_that_expires_is_detected() {
     assert!(search(Fault::FreedByTime).0.is_some());
 }
 
 #[test]
-fn an_answer_that_counts_after_it_was_given_up_is_found() {
+fn an_answer_that_counts_after_giving_up_is_detected() {
     assert!(search(Fault::LateAnswerTaken).0.is_some());
 }
--- a/crates/fleet/tests/releases.rs
+++ b/crates/fleet/tests/releases.rs
@@ -1,5 +1,5 @@
-//! Releases among a few members, with a leader that changes, entries and answers that are lost, late or said again, and
-//! members that are killed or fall silent. All moves by a seed; a failing one is printed.
+//! Simulated releases among a few members, with leader changes, lost, delayed and repeated log entries and answers, and
+//! members that are killed or fall silent. Everything is driven by a seed, which is printed on failure.
 
 use std::collections::BTreeMap;
 
@@ -19,9 +19,9 @@
 use oorandom::Rand64;
 
 const MEMBERS: usize = 6;
-const MOST: u32 = 2;
+const MAX_OUT: u32 = 2;
 const STEP_MS: u64 = 100;
-const TERMS: LivenessTimeouts =
+const TIMEOUTS: LivenessTimeouts =
     LivenessTimeouts { lease: Span::from_millis(1000), gone: Span::from_millis(600_000) };
 
 fn plan(goes_back: RollbackPolicy) -> Plan {
@@ -31,7 +31,7 @@
         target_kind: TargetKind::Sidecars,
         group: "a".into(),
         order: Vec::new(),
-        max_out: MOST,
+        max_out: MAX_OUT,
         from: "1".into(),
         to: "2".into(),
         action: None,
@@ -55,39 +55,39 @@
 struct Process {
     incarnation: u64,
     version: &'static str,
-    sent: bool,
+    drained: bool,
     drained_for: u64,
-    figures: RequestCounts,
-    /// Until when it is silent: its clients are served, and it hears nothing.
-    silent: u64,
-    /// It has been taken down at this time by whoever moves it, and comes back.
-    down: Option<u64>,
+    counts: RequestCounts,
+    /// Until when it is silent: it serves its clients, but gets no answers.
+    silent_until: u64,
+    /// It was taken down for the upgrade, and returns at this time.
+    returns_at: Option<u64>,
 }
 
-/// A deliberate fault: what the checks are to find.
+/// A deliberate bug that the checks must detect.
 #[derive(Clone, Copy, PartialEq)]
 enum Flaw {
     None,
-    /// Whoever moves them does not look which process was sent out.
+    /// The operator does not check which process was drained.
     ActsAgain,
 }
 
 struct World {
-    chance: Rand64,
+    rng: Rand64,
     now: u64,
     fleet: Fleet,
-    heard: MemberTracker,
+    tracker: MemberTracker,
     runner: ReleaseRunner,
     members: Vec<Process>,
-    /// Answers on their way: when they come, to whom, to which process, asked when, and what they say.
+    /// Answers in flight: arrival time, member, incarnation, time of the report, and whether the member is to drain.
     answers: Vec<(u64, usize, u64, u64, bool)>,
-    /// Entries on their way to the log.
+    /// Proposals that are not committed yet, with their commit time.
     entries: Vec<(u64, Command)>,
     index: u64,
     bad: Option<&'static str>,
     flaw: Flaw,
     faults: bool,
-    /// How often whoever moves them has restarted each, by version.
+    /// How often the operator has restarted each member, by version.
     restarts: BTreeMap<(usize, &'static str), u32>,
     most_drained: usize,
 }
@@ -99,7 +99,7 @@
 impl World {
     fn new(seed: u64, plan: &Plan, bad: Option<&'static str>, faults: bool, flaw: Flaw) -> World {
         let mut fleet = Fleet::default();
-        let most_out = Some(Amount::Number(MOST));
+        let most_out = Some(Amount::Number(MAX_OUT));
         let group = Group { name: "a".into(), max_out: most_out, min_serving: None, endpoints: vec![] };
         let write = Write {
             id: WriteId(1, 1),
@@ -112,23 +112,23 @@
         fleet.apply(1, &Command::Write(write));
         for at in 0..MEMBERS {
             let groups = vec!["a".to_string()];
-            let standing = MemberStatus::Serving;
-            fleet.apply(2, &Command::Member { name: name(at), incarnation: 1, status: standing, groups });
+            let status = MemberStatus::Serving;
+            fleet.apply(2, &Command::Member { name: name(at), incarnation: 1, status, groups });
         }
         let process = Process {
             incarnation: 1,
             version: "1",
-            sent: false,
+            drained: false,
             drained_for: 0,
-            figures: RequestCounts::default(),
-            silent: 0,
-            down: None,
+            counts: RequestCounts::default(),
+            silent_until: 0,
+            returns_at: None,
         };
         let mut world = World {
-            chance: Rand64::new(u128::from(seed)),
+            rng: Rand64::new(u128::from(seed)),
             now: 0,
             fleet,
-            heard: MemberTracker::new(Moment::default(), TERMS),
+            tracker: MemberTracker::new(Moment::default(), TIMEOUTS),
             runner: ReleaseRunner::new(),
             members: vec![process; MEMBERS],
             answers: Vec::new(),
@@ -141,8 +141,8 @@
             most_drained: 0,
         };
         (0..40).for_each(|_| world.step());
-        let before = world.runner.baseline(world.at(), &world.fleet, "a", TargetKind::Sidecars);
-        let start = Command::Release(ReleaseUpdate::Start(Box::new(plan.clone()), before));
+        let baseline = world.runner.baseline(world.at(), &world.fleet, "a", TargetKind::Sidecars);
+        let start = Command::Release(ReleaseUpdate::Start(Box::new(plan.clone()), baseline));
         world.index += 1;
         assert_eq!(world.fleet.apply(world.index, &start), Answer::Done);
         world
@@ -153,68 +153,68 @@
     }
 
     fn draw(&mut self, to: u64) -> u64 {
-        self.chance.rand_range(0..to)
+        self.rng.rand_range(0..to)
     }
 
-    fn course(&self) -> ReleaseState {
+    fn state(&self) -> ReleaseState {
         self.fleet.releases().get("r").map_or(ReleaseState::RollingOut, |release| release.state.clone())
     }
 
     fn apply(&mut self, command: &Command) {
         let sends = matches!(command, Command::Release(ReleaseUpdate::BeginTransition { .. }));
-        // Counted anew, by the members' own state in the log.
+        // Counted independently, from the members in the replicated state.
         let out = |fleet: &Fleet| {
             let out = |m: &&appledyke_fleet::members::Member| {
                 m.status != MemberStatus::Serving || m.drained_by_release
             };
             fleet.members().values().filter(out).count()
         };
-        let before = out(&self.fleet);
+        let out_before = out(&self.fleet);
         self.index += 1;
         let answer = self.fleet.apply(self.index, command);
         if sends && answer == Answer::Done {
-            assert!(before < MOST as usize, "sent out beside {before}");
+            assert!(out_before < MAX_OUT as usize, "sent out beside {out_before}");
         }
     }
 
     fn step(&mut self) {
         self.now += STEP_MS;
         let now = self.at();
-        // Reqs, and reports.
-        for who in 0..MEMBERS {
-            let process = &mut self.members[who];
-            if let Some(until) = process.down {
+        // Requests and reports.
+        for index in 0..MEMBERS {
+            let process = &mut self.members[index];
+            if let Some(until) = process.returns_at {
                 if self.now >= until {
-                    process.down = None;
+                    process.returns_at = None;
                 }
                 continue;
             }
-            if process.sent {
+            if process.drained {
                 process.drained_for += STEP_MS;
             } else {
                 process.drained_for = 0;
                 for _ in 0..8 {
                     let fails = if Some(process.version) == self.bad { 0.5 } else { 0.02 };
-                    match self.chance.rand_float() < fails {
-                        true => process.figures.failed += 1,
-                        false => process.figures.served += 1,
+                    match self.rng.rand_float() < fails {
+                        true => process.counts.failed += 1,
+                        false => process.counts.served += 1,
                     }
                 }
             }
-            if process.silent > self.now || !(self.now / STEP_MS + who as u64).is_multiple_of(2) {
+            if process.silent_until > self.now || !(self.now / STEP_MS + index as u64).is_multiple_of(2) {
                 continue;
             }
-            let standing = if process.sent { MemberStatus::Drained } else { MemberStatus::Serving };
+            let status = if process.drained { MemberStatus::Drained } else { MemberStatus::Serving };
             let report = Report {
-                name: name(who),
+                name: name(index),
                 incarnation: process.incarnation,
                 process_nonce: process.incarnation,
-                status: standing,
+                status,
                 groups: vec!["a".into()],
                 program_version: process.version.to_string(),
-                request_counts: process.figures,
-                open_requests: u64::from(process.sent && process.drained_for < 500),
-                drained_by_release: process.sent,
+                request_counts: process.counts,
+                open_requests: u64::from(process.drained && process.drained_for < 500),
+                drained_by_release: process.drained,
                 endpoints_known_at: LogPosition::default(),
                 version: Version::default(),
                 ..Report::default()
@@ -223,31 +223,32 @@
             if self.faults && self.draw(20) == 0 {
                 continue;
             }
-            self.heard.record_report(now, &report, &self.fleet);
+            self.tracker.record_report(now, &report, &self.fleet);
             let sent = self.fleet.releases().is_to_drain(&report.name, incarnation);
-            // Most answers come at once, some late, some never.
+            // Most answers arrive at once, some late, some never.
             let late = match self.draw(30) {
                 0 if self.faults => 200 + self.draw(6000),
                 _ => 0,
             };
-            self.answers.push((self.now + late, who, incarnation, self.now, sent));
+            self.answers.push((self.now + late, index, incarnation, self.now, sent));
         }
         let due: Vec<_> = self.answers.extract_if(.., |answer| answer.0 <= self.now).collect();
-        for (_, who, incarnation, asked, sent) in due {
-            let process = &mut self.members[who];
+        for (_, index, incarnation, asked, sent) in due {
+            let process = &mut self.members[index];
             let fresh = self.now - asked <= DRAIN_ORDER_MAX_AGE.nanos() / 1_000_000;
             if process.incarnation == incarnation
-                && process.down.is_none()
-                && process.silent <= self.now
+                && process.returns_at.is_none()
+                && process.silent_until <= self.now
                 && fresh
             {
-                process.sent = sent;
+                process.drained = sent;
             }
         }
-        // What a leader finds is proposed, and comes to the log a little later, or with another leader never.
-        let orders = self.runner.proposals(now, &self.fleet, &self.heard).into_iter().map(Command::Release);
-        let found: Vec<Command> = orders.chain(self.heard.proposals(now, &self.fleet)).collect();
-        for command in found {
+        // Proposals are committed a little later, or never if the leader changes.
+        let updates =
+            self.runner.proposals(now, &self.fleet, &self.tracker).into_iter().map(Command::Release);
+        let commands: Vec<Command> = updates.chain(self.tracker.proposals(now, &self.fleet)).collect();
+        for command in commands {
             let late = self.draw(3) * STEP_MS;
             if self.faults && self.draw(40) == 0 {
                 self.entries.push((self.now + late + 3000, command.clone()));
@@ -260,63 +261,64 @@
         due.iter().for_each(|(_, command)| self.apply(command));
         self.operators();
         if self.faults {
-            self.strike();
+            self.inject_fault();
         }
-        let drained = self.members.iter().filter(|m| m.sent && m.down.is_none()).count();
+        let drained = self.members.iter().filter(|m| m.drained && m.returns_at.is_none()).count();
         self.most_drained = self.most_drained.max(drained);
     }
 
-    /// Those that are empty are taken down, and come back with the version that the release names.
+    /// The operator restarts drained members with the version that the release requires.
     fn operators(&mut self) {
         let Some(release) = self.fleet.releases().get("r") else { return };
         if release.state == ReleaseState::Halted {
             return;
         }
         let due: Vec<(usize, &'static str)> = (0..MEMBERS)
-            .filter_map(|who| {
-                let going =
-                    release.steps.get(&name(who))?.transition.filter(|g| g.stage == Stage::Drained)?;
-                let same = self.members[who].incarnation == going.incarnation || self.flaw == Flaw::ActsAgain;
-                let version = if going.to == Side::New { "2" } else { "1" };
-                (same && self.members[who].down.is_none()).then_some((who, version))
+            .filter_map(|index| {
+                let transition =
+                    release.steps.get(&name(index))?.transition.filter(|g| g.stage == Stage::Drained)?;
+                let same =
+                    self.members[index].incarnation == transition.incarnation || self.flaw == Flaw::ActsAgain;
+                let version = if transition.to == Side::New { "2" } else { "1" };
+                (same && self.members[index].returns_at.is_none()).then_some((index, version))
             })
             .collect();
-        for (who, version) in due {
-            *self.restarts.entry((who, version)).or_default() += 1;
-            self.restart(who, version, 700);
+        for (index, version) in due {
+            *self.restarts.entry((index, version)).or_default() += 1;
+            self.restart(index, version, 700);
         }
     }
 
-    fn restart(&mut self, who: usize, version: &'static str, away: u64) {
-        let process = &mut self.members[who];
+    fn restart(&mut self, index: usize, version: &'static str, away: u64) {
+        let process = &mut self.members[index];
         process.incarnation += 1;
-        (process.version, process.sent, process.drained_for) = (version, false, 0);
-        process.figures = RequestCounts::default();
-        process.down = Some(self.now + away);
+        (process.version, process.drained, process.drained_for) = (version, false, 0);
+        process.counts = RequestCounts::default();
+        process.returns_at = Some(self.now + away);
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         match self.draw(400) {
             0 => {
-                // Another leads from here on, and knows the log only.
-                self.heard = MemberTracker::new(self.at(), TERMS);
+                // A new leader, which knows only the replicated state.
+                self.tracker = MemberTracker::new(self.at(), TIMEOUTS);
                 self.runner = ReleaseRunner::new();
                 self.entries.clear();
             }
             1 => {
-                let who = self.draw(MEMBERS as u64) as usize;
-                let version = self.members[who].version;
-                self.restart(who, version, 400);
+                let index = self.draw(MEMBERS as u64) as usize;
+                let version = self.members[index].version;
+                self.restart(index, version, 400);
             }
             2 => {
-                let who = self.draw(MEMBERS as u64) as usize;
-                self.members[who].silent = self.now + 500 + self.draw(4000);
+                let index = self.draw(MEMBERS as u64) as usize;
+                self.members[index].silent_until = self.now + 500 + self.draw(4000);
             }
             4 | 5 => {
                 let (release, why) = ("r".to_string(), "a trial".to_string());
                 self.apply(&Command::Release(ReleaseUpdate::Halt { release, why, worse: false }));
             }
-            3 if self.course() == ReleaseState::Halted => {
+            3 if self.state() == ReleaseState::Halted => {
                 self.apply(&Command::Release(ReleaseUpdate::Resume("r".into())));
             }
             _ => {}
@@ -328,51 +330,51 @@
     }
 }
 
-/// Plays until it has ended, or so long.
+/// Runs until the release has ended, or up to 6000 steps.
 fn play(seed: u64, plan: &Plan, bad: Option<&'static str>, faults: bool, flaw: Flaw) -> World {
     let mut world = World::new(seed, plan, bad, faults, flaw);
     for _ in 0..6000 {
         world.step();
-        if matches!(world.course(), ReleaseState::Ended(_)) {
+        if matches!(world.state(), ReleaseState::Ended(_)) {
             break;
         }
-        // An operator looks after a while, and lets it go on.
-        if world.faults && world.course() == ReleaseState::Halted && world.now.is_multiple_of(20_000) {
+        // An operator resumes the release after a while.
+        if world.faults && world.state() == ReleaseState::Halted && world.now.is_multiple_of(20_000) {
             world.apply(&Command::Release(ReleaseUpdate::Resume("r".into())));
         }
     }
     world
 }
 
-fn kept(world: &World, seed: u64) {
-    assert!(world.most_drained <= MOST as usize, "seed {seed}: {} drained at once", world.most_drained);
+fn check_limits(world: &World, seed: u64) {
+    assert!(world.most_drained <= MAX_OUT as usize, "seed {seed}: {} drained at once", world.most_drained);
     let twice = world.restarts.iter().find(|(_, count)| **count > 1);
     assert_eq!(twice, None, "seed {seed}: moved twice");
 }
 
 #[test]
-fn a_sound_candidate_is_moved_to_all_and_a_flawed_one_goes_back_from_all() {
+fn a_good_version_reaches_all_and_a_bad_one_is_rolled_back_everywhere() {
     for seed in 0..20 {
         let world = play(seed, &plan(RollbackPolicy::WhenWorse), None, false, Flaw::None);
-        kept(&world, seed);
-        assert_eq!(world.course(), ReleaseState::Ended("all are moved".into()), "seed {seed}");
+        check_limits(&world, seed);
+        assert_eq!(world.state(), ReleaseState::Ended("all are moved".into()), "seed {seed}");
         assert_eq!(world.versions(), ["2"; MEMBERS], "seed {seed}");
         let world = play(seed, &plan(RollbackPolicy::WhenWorse), Some("2"), false, Flaw::None);
-        kept(&world, seed);
-        assert_eq!(world.course(), ReleaseState::Ended("all are back".into()), "seed {seed}");
+        check_limits(&world, seed);
+        assert_eq!(world.state(), ReleaseState::Ended("all are back".into()), "seed {seed}");
         assert_eq!(world.versions(), ["1"; MEMBERS], "seed {seed}");
         let most = world.restarts.keys().filter(|(_, version)| *version == "2").count();
-        assert!(most <= MOST as usize, "seed {seed}: {most} moved before it halted");
+        assert!(most <= MAX_OUT as usize, "seed {seed}: {most} moved before it halted");
     }
 }
 
 #[test]
-fn whatever_is_struck_no_more_are_out_by_permission_than_may_be_and_none_is_moved_twice() {
+fn with_any_faults_permitted_drains_stay_within_the_limit_and_none_is_upgraded_twice() {
     for seed in 0..150 {
         let bad = (seed % 3 == 0).then_some("2");
         let world = play(seed, &plan(RollbackPolicy::WhenWorse), bad, true, Flaw::None);
-        kept(&world, seed);
-        let ReleaseState::Ended(how) = world.course() else {
+        check_limits(&world, seed);
+        let ReleaseState::Ended(how) = world.state() else {
             panic!("seed {seed}: {:?}", world.fleet.releases().get("r").map(|release| release.summary()))
         };
         let wanted = if how == "all are moved" { "2" } else { "1" };
@@ -381,19 +383,19 @@
 }
 
 #[test]
-fn a_deliberate_fault_is_found() {
-    let found = (0..150).any(|seed| {
+fn a_deliberate_bug_is_detected() {
+    let detected = (0..150).any(|seed| {
         let played = std::panic::catch_unwind(|| {
             let bad = (seed % 3 == 0).then_some("2");
-            kept(&play(seed, &plan(RollbackPolicy::WhenWorse), bad, true, Flaw::ActsAgain), seed);
+            check_limits(&play(seed, &plan(RollbackPolicy::WhenWorse), bad, true, Flaw::ActsAgain), seed);
         });
         played.is_err()
     });
-    assert!(found);
+    assert!(detected);
 }
 
 #[test]
-fn faulty_plans_are_refused_by_key_and_a_running_one_is_not_replaced() {
+fn invalid_plans_are_refused_by_key_and_an_active_one_is_not_replaced() {
     let good = plan(RollbackPolicy::Never);
     type Breaks = fn(&mut Plan);
     let cases: [(&str, Breaks); 12] = [
@@ -415,8 +417,8 @@
     for (said, breaks) in cases {
         let mut faulty = good.clone();
         breaks(&mut faulty);
-        let found = faulty.check().unwrap_err();
-        assert!(found.starts_with(said), "{said}: {found}");
+        let error = faulty.check().unwrap_err();
+        assert!(error.starts_with(said), "{said}: {error}");
     }
     let mut world = World::new(1, &good, None, false, Flaw::None);
     let mut say = |plan: &Plan| {
@@ -427,7 +429,7 @@
             other => format!("{other:?}"),
         }
     };
-    // Said again it has started once; changed, it is another.
+    // Repeated, it has started once; with changes, it is another release.
     assert_eq!(say(&good), "Done");
     assert_eq!(say(&Plan { to: "3".into(), ..good.clone() }), "name: there is a release r already");
     let other = Plan { name: "q".into(), ..good.clone() };
@@ -450,7 +452,7 @@
 }
 
 #[test]
-fn one_that_is_restored_halts_and_lets_all_come_back() {
+fn a_restored_release_halts_and_lets_all_members_serve() {
     let good = plan(RollbackPolicy::Never);
     let mut world = World::new(3, &good, None, false, Flaw::None);
     while world.fleet.releases().get("r").unwrap().transitions().next().is_none() {
@@ -459,11 +461,11 @@
     let restored = world.fleet.clone().restored(9);
     assert_eq!(restored.releases().get("r").unwrap().state, ReleaseState::Halted);
     world.fleet = restored;
-    world.heard = MemberTracker::new(world.at(), TERMS);
+    world.tracker = MemberTracker::new(world.at(), TIMEOUTS);
     world.runner = ReleaseRunner::new();
     (0..100).for_each(|_| world.step());
     let release = world.fleet.releases().get("r").unwrap();
     assert_eq!(release.transitions().count(), 0, "{}", release.summary());
-    assert!(world.members.iter().all(|member| !member.sent));
+    assert!(world.members.iter().all(|member| !member.drained));
     assert!(release.summary().contains("halted: restored from a backup"), "{}", release.summary());
 }
--- a/crates/fleet/tests/scopes.rs
+++ b/crates/fleet/tests/scopes.rs
@@ -1,5 +1,5 @@
-//! Settings for parts of the fleet against a plain model: over random histories, and over all short interleavings of two
-//! writers, a replica that is behind, a backup that is put back and a member that asks between them.
+//! Scoped settings compared with a simple model: over random histories, and over all short interleavings of two writers, a lagging
+//! replica, a restored backup and a member that asks in between.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -44,7 +44,7 @@
     Version { generation: 0, number }
 }
 
-/// What was put for each scope, and nothing clever.
+/// The model: a plain list of all writes of each scope.
 #[derive(Clone, Default)]
 struct Model {
     latest: Version,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Key by key, the scopes of more members first.
+    /// Merged key by key, wider scopes first.
     fn merged(&self, name: &str, locality: &Locality) -> Option<(Version, Value)> {
         let mut whole = Map::new();
         let mut latest = (self.told_anew != Version::default()).then_some(self.told_anew);
@@ -144,18 +144,18 @@
         ("s3", belongs("cart", "b1", "b")),
         ("s4", belongs("", "a1", "")),
         ("s5", Locality::default()),
-        // Names of several kinds are no one another's.
+        // The same name in scopes of different kinds.
         ("menu", belongs("a", "menu", "a1")),
     ]
 }
 
-fn pick<'a, T>(chance: &mut Rand64, of: &'a [T]) -> &'a T {
-    &of[chance.rand_range(0..of.len() as u64) as usize]
+fn pick<'a, T>(rng: &mut Rand64, of: &'a [T]) -> &'a T {
+    &of[rng.rand_range(0..of.len() as u64) as usize]
 }
 
-/// Danger: settings of another scope in a member, or an older text over a later one.
+/// Danger: a member with settings of another scope, or with an older text instead of a later one.
 #[test]
-fn over_random_histories_each_member_has_what_the_model_merges_and_versions_go_forwards() {
+fn over_random_histories_members_match_the_model_and_versions_increase() {
     let scopes: Vec<Scope> = [
         "all",
         "all",
@@ -173,50 +173,50 @@
     .to_vec();
     let mut seen = BTreeMap::new();
     for seed in 0..HISTORIES {
-        let mut chance = Rand64::new(u128::from(seed));
+        let mut rng = Rand64::new(u128::from(seed));
         let (mut fleet, mut twin, mut model) = (Fleet::default(), Fleet::default(), Model::default());
         let mut latest: BTreeMap<&str, Version> = BTreeMap::new();
         let mut said: Vec<(Command, Answer)> = Vec::new();
         for step in 1..=STEPS as u64 {
             let context = format!("seed {seed}, step {step}");
-            if chance.rand_range(0..40) == 0 {
+            if rng.rand_range(0..40) == 0 {
                 let generation = model.latest.generation + 1;
                 model.restored(generation);
                 fleet = Fleet::from_bytes(&fleet.to_bytes()).unwrap().restored(generation);
                 twin = twin.restored(generation);
                 *seen.entry("restored").or_insert(0) += 1;
             } else if let Some((command, answer)) =
-                said.last().filter(|_| chance.rand_range(0..20) == 0).cloned()
+                said.last().filter(|_| rng.rand_range(0..20) == 0).cloned()
             {
-                // Said again, whatever came between: it has its first answer, and no other effect.
+                // Repeated, whatever came in between: it gets its first answer, and has no other effect.
                 let before = fleet.settings_for("s1", &members()[0].1);
                 assert_eq!(fleet.apply(step, &command), answer, "{context}");
                 twin.apply(step, &command);
                 assert_eq!(fleet.settings_for("s1", &members()[0].1), before);
             } else {
-                let scope = pick(&mut chance, &scopes).clone();
-                let expects = match chance.rand_range(0..4) {
+                let scope = pick(&mut rng, &scopes).clone();
+                let expects = match rng.rand_range(0..4) {
                     0 => Some(model.holds(&scope)),
-                    1 => Some(model.holds(pick(&mut chance, &scopes))),
+                    1 => Some(model.holds(pick(&mut rng, &scopes))),
                     _ => None,
                 };
-                let what = match chance.rand_range(0..8) {
+                let what = match rng.rand_range(0..8) {
                     0 => SettingsChange::Remove,
                     1 | 2 => {
-                        let from = model.of.get(pick(&mut chance, &scopes)).into_iter().flatten();
+                        let from = model.of.get(pick(&mut rng, &scopes)).into_iter().flatten();
                         let versions: Vec<Version> = from.map(|(version, _)| *version).collect();
-                        let some = |chance: &mut Rand64| *pick(chance, &versions);
+                        let some = |rng: &mut Rand64| *pick(rng, &versions);
                         SettingsChange::Rollback(if versions.is_empty() {
                             version(999)
                         } else {
-                            some(&mut chance)
+                            some(&mut rng)
                         })
                     }
                     _ => {
                         let keys = ["x", "y", "z"];
                         let mut fields = Map::new();
-                        for _ in 0..chance.rand_range(0..3) {
-                            fields.insert(pick(&mut chance, &keys).to_string(), json!({"of": step}));
+                        for _ in 0..rng.rand_range(0..3) {
+                            fields.insert(pick(&mut rng, &keys).to_string(), json!({"of": step}));
                         }
                         text(&Value::Object(fields).to_string())
                     }
@@ -224,7 +224,7 @@
                 let write = write(step, expects, what);
                 let expected = model.apply(&scope, &write);
                 let command = match &scope {
-                    Scope::All if chance.rand_range(0..2) == 0 => Command::Write(write),
+                    Scope::All if rng.rand_range(0..2) == 0 => Command::Write(write),
                     _ => Command::WriteScoped(scope, write),
                 };
                 assert_eq!(fleet.apply(step, &command), expected, "{context}: {command:?}");
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn scopes_are_read_as_they_are_said_and_odd_ones_named() {
+fn scopes_are_parsed_as_displayed_and_invalid_ones_named() {
     for said in ["all", "region=a", "zone=a1", "service=menu", "member=s=1"] {
         assert_eq!(scope(said).to_string(), said);
     }
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn what_can_t_be_put_for_a_scope_is_refused_by_name_and_changes_nothing() {
+fn invalid_scoped_writes_are_refused_and_change_nothing() {
     let mut fleet = Fleet::default();
     let refused = |fleet: &mut Fleet, id, scope: Scope, what| {
         let before = fleet.version();
@@ -322,9 +322,10 @@
     }
 }
 
-/// Danger: a history that counts like what holds leaves no room, and removing makes none; and a snapshot must go in one frame.
+/// Danger: if history counted like current settings, removing a scope would make no room; and a snapshot must fit into one
+/// frame.
 #[test]
-fn texts_of_all_scopes_have_a_bound_and_what_holds_goes_before_what_held() {
+fn texts_of_all_scopes_are_limited_and_current_ones_displace_history() {
     let mut fleet = Fleet::default();
     let long = |letter: &str| format!("{{\"x\": \"{}\"}}", letter.repeat(MAX_SETTINGS_BYTES - 100));
     let mut id = 0;
@@ -332,7 +333,7 @@
         id += 1;
         fleet.apply(id, &Command::WriteScoped(Scope::Service(at.to_string()), write(id, None, what)))
     };
-    // The history of one fills a good part of the room.
+    // The history of one scope fills a good part of the space.
     for _ in 0..MAX_SCOPE_HISTORY + 4 {
         assert!(matches!(say(&mut fleet, 0, text(&long("h"))), Answer::Committed(_)));
     }
@@ -349,7 +350,7 @@
     );
     assert!(ScopeLimit::Bytes.to_string().contains(&MAX_SCOPED_BYTES.to_string()));
     assert_eq!(fleet.scopes().iter().count(), fit);
-    // What is longer than what it follows by more than there is room for is refused too; removing makes room.
+    // A replacement that needs more additional space than is left is refused too; removing a scope makes room.
     assert!(matches!(say(&mut fleet, 3, SettingsChange::Remove), Answer::Committed(_)));
     assert!(matches!(say(&mut fleet, fit, text(&long("b"))), Answer::Committed(_)));
     let last = fleet.scope_version(&scope(&format!("service={fit}")));
@@ -360,9 +361,9 @@
     );
 }
 
-/// Danger: a scope that is not kept any more, and a member that was away when it was removed.
+/// Danger: a member that was away when a scope was removed, and the scope was evicted since.
 #[test]
-fn scopes_have_a_bound_and_who_was_away_hears_of_one_that_gave_way() {
+fn scopes_are_limited_and_an_absent_member_learns_of_an_evicted_one() {
     let mut fleet = Fleet::default();
     let mut id = 0;
     let mut say = |fleet: &mut Fleet, at: usize, what: SettingsChange| {
@@ -383,7 +384,7 @@
     assert_eq!(fleet.scopes().latest(&scope("service=7")), None);
     let (now, settings) = settings_of(&fleet, "s1", &away).unwrap();
     assert!(now > had && settings == json!({}), "{now}: {settings}");
-    // One that is refused takes nothing with it.
+    // A refused write evicts nothing.
     say(&mut fleet, 8, SettingsChange::Remove);
     let mut scopes: Scopes = fleet.scopes().clone();
     let huge = fleet.scopes().latest(&scope("service=9")).unwrap().clone();
@@ -393,9 +394,9 @@
     assert_eq!(scopes, *fleet.scopes());
 }
 
-/// A member that was away for many versions needs one text, and one whose scopes nothing touched none.
+/// A member that was away for many versions gets one text; one whose scopes did not change gets none.
 #[test]
-fn a_hundred_versions_are_one_text_and_who_is_not_concerned_sees_none() {
+fn a_hundred_versions_are_one_text_and_unaffected_members_get_none() {
     let mut fleet = Fleet::default();
     fleet.apply(1, &put(1, "all", "{\"x\": 0, \"y\": 0}"));
     let (menu, cart) = (belongs("menu", "a1", "a"), belongs("cart", "a1", "a"));
@@ -406,14 +407,14 @@
     let (now, settings) = settings_of(&fleet, "s1", &menu).unwrap();
     assert_eq!((now, settings), (version(101), json!({"x": 101, "y": 0})));
     assert_eq!(fleet.settings_for("s2", &cart), before);
-    // As it was put, to the byte, where nothing else concerns it.
+    // Exactly as written, if no other scope applies.
     assert_eq!(before.unwrap(), (version(1), "{\"x\": 0, \"y\": 0}".to_string()));
-    // Who changes its service is another process: it has what holds there.
+    // A member that changes its service is another process: it gets the settings of the new service.
     assert_eq!(settings_of(&fleet, "s1", &cart).unwrap(), (version(1), json!({"x": 0, "y": 0})));
 }
 
 #[test]
-fn each_way_in_which_scopes_come_together_is_named_once() {
+fn each_combination_of_scopes_is_listed_once() {
     let mut fleet = Fleet::default();
     for (id, of) in [(1, "service=menu"), (2, "zone=a1"), (3, "region=a"), (4, "member=s9")] {
         fleet.apply(id, &put(id, of, "{}"));
@@ -429,35 +430,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A member takes what it is told, also what is older.
+    /// A member accepts any version, even an older one.
     TakesOlder,
-    /// The version is that of the scope which wins, not the latest of all.
+    /// The version is that of the narrowest scope, instead of the latest of all.
     OfWhoWins,
-    /// What was removed has no version.
+    /// A removal has no version.
     RemovedUnseen,
-    /// A state that is put back tells nobody anew.
+    /// A restored state does not make members get their settings again.
     RestoredUnseen,
-    /// A put is taken whatever it expects.
+    /// A write ignores its expected version.
     Unexpected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// The first writer puts for the service.
+    /// The first writer writes for the service.
     Put,
-    /// The second reads the service's version, and puts for it if that still holds.
+    /// The second writer reads the version of the service's settings, and writes for it if that is still current.
     Read,
     PutExpecting,
     PutZone,
     PutAll,
-    /// The service's first version again.
+    /// A rollback to the service's first version.
     Back,
     Remove,
-    /// A replica installs the leader's snapshot; from then on it is behind.
+    /// A replica installs the leader's snapshot, and lags from then on.
     Install,
-    /// What that replica has is put back as the fleet's.
+    /// The fleet is restored from the state of that replica.
     Restore,
-    /// The member asks the leader, or that replica.
+    /// The member asks the leader, or the lagging replica.
     Ask,
     AskBehind,
 }
@@ -485,9 +486,9 @@
     model: Model,
     model_behind: Model,
     read: Version,
-    /// The member: what it knows and acts on.
+    /// The version and the settings that the member has.
     acts_on: (Version, Value),
-    /// All that ever held for it.
+    /// All settings that ever applied to it.
     held: Vec<Value>,
 }
 
@@ -524,7 +525,7 @@
         Ok(())
     }
 
-    /// What this replica tells the member, by a fault or without.
+    /// What this replica sends to the member, with the fault applied.
     fn told(&self, fleet: &Fleet) -> Option<(Version, Value)> {
         let (version, settings) = settings_of(fleet, "s1", &locality())?;
         let scopes = [scope("zone=a1"), scope("service=menu")];
@@ -597,13 +598,13 @@
         }
     }
 
-    /// However it came here: once the member has asked the leader it acts on what holds.
+    /// Whatever happened before: once the member has asked the leader, it has the current settings.
     fn ends(&self) -> Result<(), String> {
         let mut end = self.clone();
         end.ask(false)?;
         let holds = self.model.merged("s1", &locality());
         match holds {
-            // By the text alone: a version that is odd must do harm to be one.
+            // Compares only the text: a wrong version counts only if it has an effect.
             Some(holds) if end.acts_on.1 != holds.1 => {
                 Err(format!("acts on {:?}, and {holds:?} holds", end.acts_on))
             }
@@ -616,7 +617,7 @@
     belongs("menu", "a1", "a")
 }
 
-/// What goes wrong first by any sequence of steps, and how many were seen.
+/// The first failure in any sequence of steps, and the number of visited states.
 fn search(first: &str, fault: Fault) -> (Option<(Vec<Step>, String)>, usize) {
     fn go(world: &World, path: &mut Vec<Step>, seen: &mut usize, found: &mut Option<(Vec<Step>, String)>) {
         *seen += 1;
@@ -644,10 +645,10 @@
     (found, seen)
 }
 
-/// Danger: two writers, a replica that is behind and a backup that is put back, and a member that asks in the middle of it.
+/// Danger: two writers, a lagging replica and a restored backup, and a member that asks in the middle of it.
 #[test]
-fn in_no_interleaving_a_member_ends_at_what_does_not_hold_or_takes_what_never_did() {
-    // Nothing is put for all in the second: then nothing else than what was put for scopes makes it later.
+fn in_no_interleaving_a_member_has_settings_that_never_applied_or_are_outdated() {
+    // In the second run there are no settings for the whole fleet, so only scopes determine the version.
     for first in ["all", "zone=a1", "service=menu", "zone=elsewhere"] {
         let (found, seen) = search(first, Fault::None);
         assert_eq!(found, None, "from {first}");
--- a/crates/fleet/tests/version_2/mod.rs
+++ b/crates/fleet/tests/version_2/mod.rs
@@ -1,5 +1,5 @@
-//! What the build of version 2 (commit e26af2f) has written: each kind of frame, ask, reply and command, and a state that has
-//! something everywhere. The same code made the files beside this one there, by that build's crates.
+//! What the build of version 2 (commit e26af2f) has written: each kind of frame, request, reply and command, and a state in which
+//! nothing is empty. The same code, with the crates of that build, made the files beside this one.
 
 use std::collections::BTreeSet;
 
@@ -96,7 +96,7 @@
     Command::Member { name: named(name), incarnation: 5, status: standing, groups: vec![named("zone-a")] }
 }
 
-/// One of each kind at least, in an order in which they leave something everywhere.
+/// At least one command of each kind, in an order that leaves nothing in the state empty.
 pub fn commands() -> Vec<Command> {
     let release = || named("upgrade");
     vec![
@@ -156,7 +156,7 @@
     ]
 }
 
-/// The state that these commands come to.
+/// The state after these commands.
 pub fn fleet() -> Fleet {
     let mut fleet = Fleet::default();
     for (at, command) in commands().iter().enumerate() {
@@ -328,7 +328,7 @@
     ]
 }
 
-/// Greetings as version 2 has them, and then all else.
+/// The hello frames of version 2; all other frames follow.
 pub fn greetings() -> Vec<Frame> {
     let who = [
         Initiator::Replica(Id { place: 1, life: 11 }),
--- a/crates/fleet/tests/versions.rs
+++ b/crates/fleet/tests/versions.rs
@@ -1,5 +1,5 @@
-//! Two versions of the frames side by side: what the build of version 2 has written is read, and what goes to it is as it was, to
-//! the byte.
+//! Compatibility of two protocol versions: what the build of version 2 has written is still read, and what is sent to it is
+//! unchanged, to the byte.
 
 mod version_2;
 
@@ -15,7 +15,7 @@
 const COMMANDS: &[u8] = include_bytes!("version_2/commands.bin");
 const STATE: &[u8] = include_bytes!("version_2/state.bin");
 const RESTORED: &[u8] = include_bytes!("version_2/restored.bin");
-/// What that build said of the state.
+/// The digest of the state by that build.
 const DIGEST: u64 = 0xa4db9ce3badfd5e0;
 
 fn bytes(frame: &Frame) -> Vec<u8> {
@@ -24,8 +24,7 @@
     bytes
 }
 
-/// Danger: postcard names nothing, so a variant or field that is added elsewhere than last makes another frame of the same
-/// bytes.
+/// Danger: postcard writes no names, so a variant or field that is not added last changes the meaning of the same bytes.
 #[test]
 fn frames_of_version_2_are_read_and_written_to_the_byte() {
     let mut incoming = FrameReader::default();
@@ -53,9 +52,9 @@
     assert!(rest.is_empty());
 }
 
-/// Danger: a running fleet can't be founded anew, and its replicas of both versions compare their states.
+/// Danger: a running fleet cannot be recreated, and its replicas of both versions compare the digests of their states.
 #[test]
-fn a_state_of_version_2_is_read_and_has_its_bytes_and_digest_until_something_is_put_for_a_scope() {
+fn a_state_of_version_2_keeps_its_bytes_and_digest_until_a_scope_is_written() {
     let fleet = Fleet::from_bytes(STATE).unwrap();
     assert_eq!((fleet.digest(), &fleet), (DIGEST, &version_2::fleet()));
     assert_eq!(fleet.to_bytes(), STATE);
@@ -81,7 +80,7 @@
     assert_eq!(said, Answer::Committed(Version { generation: 0, number: 4 }));
     assert_eq!(Fleet::from_bytes(&scoped.to_bytes()).unwrap(), scoped);
     assert!(scoped.to_bytes().len() > STATE.len() && scoped.digest() != DIGEST);
-    // A write for all by the new command is what the old one does; one that is refused leaves nothing behind.
+    // A write for the whole fleet by the new command does the same as the old one; a refused one leaves nothing behind.
     let mut all = fleet.clone();
     all.apply(31, &put(1, Scope::All, r#"{"timeoutMs": 9}"#));
     assert!(all.scopes().is_empty());
@@ -94,14 +93,14 @@
 }
 
 #[test]
-fn a_backup_of_version_2_is_put_back_as_that_build_did() {
+fn a_backup_of_version_2_is_restored_as_by_that_build() {
     let restored = Fleet::from_bytes(STATE).unwrap().restored(8);
     assert_eq!(restored.to_bytes(), RESTORED);
     assert_eq!(Fleet::from_bytes(RESTORED).unwrap(), restored);
 }
 
 #[test]
-fn a_greeting_of_2_or_3_is_taken_and_a_connection_speaks_the_lower_of_both() {
+fn a_hello_of_2_or_3_is_accepted_and_a_connection_uses_the_lower_version() {
     let hello = |version| Frame::hello_as(version, "zilina", Initiator::Operator);
     for (own, theirs, spoken) in [(3, 3, 3), (3, 2, 2), (2, 3, 2), (2, 2, 2)] {
         assert_eq!(check_hello(&hello(theirs), "zilina", own), Ok((Initiator::Operator, spoken)));
@@ -112,7 +111,7 @@
         assert_eq!(check_hello(&hello(other), "zilina", VERSION), Err(said));
     }
     assert_eq!(check_hello(&hello(2), "brno", VERSION).unwrap_err(), "this is fleet brno, not zilina");
-    // What is answered to a greeting of 2 are the bytes that version 2 has answered.
+    // The answer to a hello of version 2 has the bytes that version 2 answered.
     for frame in version_2::greetings() {
         let (who, spoken) = check_hello(&frame, "zilina", VERSION).unwrap();
         let answer = bytes(&Frame::hello_as(spoken, "zilina", who));
@@ -122,23 +121,23 @@
 }
 
 #[test]
-fn a_dialer_that_is_refused_greets_as_2_and_then_as_3_again() {
+fn a_rejected_client_sends_hello_2_and_then_3_again() {
     let mut greeting = VersionNegotiation::default();
     assert_eq!(greeting.version(), 3);
     greeting.on_rejected();
     assert_eq!(greeting.version(), 2);
     greeting.on_accepted();
     assert_eq!(greeting.version(), 3);
-    // Refused for another reason: both in turn.
+    // Rejected for another reason: both versions in turn.
     greeting.on_rejected();
     greeting.on_rejected();
     assert_eq!(greeting.version(), 3);
 }
 
-/// Danger: a daemon that ended by chance behind a greeting of 3 would be taken for one of version 2, and a member that greets
-/// it as such be told nothing of its scopes.
+/// Danger: a daemon that happens to end after a hello of version 3 would be mistaken for one of version 2, and a member that
+/// falls back to that would get no settings of its scopes.
 #[test]
-fn one_end_behind_a_greeting_is_an_accident_and_two_in_a_row_an_older_version() {
+fn one_close_after_a_hello_is_ignored_and_two_in_a_row_mean_an_older_version() {
     let mut greeting = VersionNegotiation::default();
     greeting.on_closed();
     assert_eq!(greeting.version(), 3);
@@ -152,7 +151,7 @@
 }
 
 #[test]
-fn frames_for_scopes_go_there_and_back() {
+fn frames_for_scopes_round_trip() {
     let scope = Scope::Zone("a1".to_string());
     let version = Version { generation: 1, number: 2 };
     let (by, why) = ("eva".to_string(), "test".to_string());
