--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -6,8 +6,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
+use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::releases::{AgentTask, ReleaseUpdate, Stage, TargetKind};
-use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 
 use crate::ask;
 
--- a/crates/daemon/src/ask.rs
+++ b/crates/daemon/src/ask.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::talk::{
+use appledyke_fleet::messages::{
     Frame, FrameReader, Initiator, MIN_VERSION, OperatorReply, OperatorRequest, VERSION, VersionNegotiation,
     check_hello,
 };
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -14,13 +14,13 @@
 use appledyke_daemon::serve::Daemon;
 use appledyke_fleet::Version;
 use appledyke_fleet::budgets::Budget;
+use appledyke_fleet::drains::Group;
 use appledyke_fleet::health::RequestCounts;
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::outs::Group;
+use appledyke_fleet::messages::{MemberRow, OperatorReply, OperatorRequest, ScopeRow};
 use appledyke_fleet::releases::{Plan, ReleaseUpdate};
 use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings};
 use appledyke_fleet::state::{Fleet, SettingsChange, Write, WriteId};
-use appledyke_fleet::talk::{MemberRow, OperatorReply, OperatorRequest, ScopeRow};
 use argh::FromArgs;
 use serde::Serialize;
 
@@ -982,7 +982,7 @@
             },
         ));
     }
-    let leads = |row: &Result<appledyke_fleet::talk::Status, String>| {
+    let leads = |row: &Result<appledyke_fleet::messages::Status, String>| {
         row.as_ref().is_ok_and(|status| status.role == "Leader")
     };
     // Of the scopes the leader can say; where none leads nobody is waited for.
@@ -1060,7 +1060,7 @@
         Command::Budgets(ShowBudgets { config, json }) => {
             match fleet(&config, &OperatorRequest::Budgets, PATIENCE)? {
                 OperatorReply::Budgets(rows) => show(json, &rows, || {
-                    let row = |row: &appledyke_fleet::talk::BudgetRow| {
+                    let row = |row: &appledyke_fleet::messages::BudgetRow| {
                         let b = &row.budget;
                         let over = if row.excess > 0 {
                             format!(", {} over until taken back", row.excess)
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -8,16 +8,16 @@
 use appledyke::units::{Moment, Span};
 use appledyke_consensus::{Id, Index, Replica, Role, Settings, Term};
 use appledyke_fleet::Version;
-use appledyke_fleet::divide::Allocator;
+use appledyke_fleet::allocator::Allocator;
 use appledyke_fleet::evidence::{Cursor, EvidenceStore};
 use appledyke_fleet::evidence_coding::Encoder;
-use appledyke_fleet::heard::MemberTracker;
-use appledyke_fleet::runner::ReleaseRunner;
-use appledyke_fleet::scopes::Locality;
-use appledyke_fleet::state::{Command, Fleet};
-use appledyke_fleet::talk::{
+use appledyke_fleet::liveness::MemberTracker;
+use appledyke_fleet::messages::{
     FrameReader, Initiator, OperatorReply, OperatorRequest, Report, VERSION, VersionNegotiation,
 };
+use appledyke_fleet::release_runner::ReleaseRunner;
+use appledyke_fleet::scopes::Locality;
+use appledyke_fleet::state::{Command, Fleet};
 use appledyke_sidecar::net::connection::Connection;
 use appledyke_sidecar::net::slots::{Key, Slots};
 use mio::net::TcpListener;
--- a/crates/daemon/src/serve/connections.rs
+++ b/crates/daemon/src/serve/connections.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use appledyke_consensus::Id;
-use appledyke_fleet::talk::{Frame, Initiator, OperatorReply, VERSION, check_hello};
+use appledyke_fleet::messages::{Frame, Initiator, OperatorReply, VERSION, check_hello};
 use appledyke_sidecar::net::connection::{self, Connection};
 use appledyke_sidecar::net::slots::Key;
 
--- a/crates/daemon/src/serve/members.rs
+++ b/crates/daemon/src/serve/members.rs
@@ -3,12 +3,12 @@
 use appledyke::ids;
 use appledyke::units::Moment;
 use appledyke_consensus::Role;
+use appledyke_fleet::allocator::Allocator;
 use appledyke_fleet::budgets::{Holder, Resource};
-use appledyke_fleet::divide::Allocator;
 use appledyke_fleet::limits::Grant;
 use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::messages::{Frame, Report, ReportAnswer};
 use appledyke_fleet::state::{Command, Fleet};
-use appledyke_fleet::talk::{Frame, Report, ReportAnswer};
 use appledyke_sidecar::net::slots::Key;
 
 use super::{Daemon, Whom};
--- a/crates/daemon/src/serve/operators.rs
+++ b/crates/daemon/src/serve/operators.rs
@@ -4,13 +4,13 @@
 
 use appledyke_consensus::{Id, Refused, Role};
 use appledyke_fleet::budgets::{self, Holder, Resource};
-use appledyke_fleet::heard::MemberTracker;
+use appledyke_fleet::drains;
+use appledyke_fleet::liveness::MemberTracker;
 use appledyke_fleet::members::MAX_TEXT_BYTES;
-use appledyke_fleet::outs;
+use appledyke_fleet::messages::{BudgetRow, MemberRow, OperatorReply, OperatorRequest, Status};
 use appledyke_fleet::releases::ReleaseUpdate;
 use appledyke_fleet::scopes::Scope;
 use appledyke_fleet::state::{Command, MAX_SETTINGS_BYTES, SettingsChange, Write};
-use appledyke_fleet::talk::{BudgetRow, MemberRow, OperatorReply, OperatorRequest, Status};
 use appledyke_fleet::{Answer, Version};
 use appledyke_sidecar::launch::check_agreed;
 use appledyke_sidecar::net::slots::Key;
@@ -112,7 +112,7 @@
             ))));
         }
         if let SettingsChange::Put(settings, budgets, groups) = &write.change {
-            if let Err(what) = outs::check(groups) {
+            if let Err(what) = drains::check(groups) {
                 return Ok(Some(OperatorReply::Invalid(what)));
             }
             if let Err(what) = budgets::check(budgets) {
@@ -230,7 +230,7 @@
                     status: member.status,
                     version: versions.get(name.as_str()).copied(),
                     groups: member.groups.clone(),
-                    out: outs::is_out(member),
+                    out: drains::is_out(member),
                 });
                 OperatorReply::Members(rows.collect())
             }
--- a/crates/daemon/src/serve/scopes.rs
+++ b/crates/daemon/src/serve/scopes.rs
@@ -7,10 +7,12 @@
 use appledyke::units::{Moment, Span};
 use appledyke_consensus::{Id, Refused, Role};
 use appledyke_fleet::Version;
-use appledyke_fleet::heard::MemberTracker;
+use appledyke_fleet::liveness::MemberTracker;
+use appledyke_fleet::messages::{
+    Initiator, MergedSettings, OperatorReply, OperatorRequest, ScopeRow, VERSION,
+};
 use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings, Scopes};
 use appledyke_fleet::state::{Command, Fleet, MAX_SETTINGS_BYTES, SettingsChange, SettingsVersion, Write};
-use appledyke_fleet::talk::{Initiator, MergedSettings, OperatorReply, OperatorRequest, ScopeRow, VERSION};
 use appledyke_sidecar::launch::check_agreed;
 use appledyke_sidecar::net::slots::Key;
 use serde_json::Value;
--- a/crates/daemon/src/serve/work.rs
+++ b/crates/daemon/src/serve/work.rs
@@ -5,11 +5,11 @@
 use appledyke::units::Span;
 use appledyke_consensus::{Content, Entry, Index, Position, Role, Term, Work};
 use appledyke_fleet::Answer;
-use appledyke_fleet::divide::Allocator;
-use appledyke_fleet::heard::{self, MemberTracker};
-use appledyke_fleet::runner::ReleaseRunner;
+use appledyke_fleet::allocator::Allocator;
+use appledyke_fleet::liveness::{self, MemberTracker};
+use appledyke_fleet::messages::{Frame, OperatorReply};
+use appledyke_fleet::release_runner::ReleaseRunner;
 use appledyke_fleet::state::{Command, Fleet};
-use appledyke_fleet::talk::{Frame, OperatorReply};
 use appledyke_sidecar::net::slots::Key;
 
 use super::{Daemon, MARKS_MOST, Waiting, Whom};
@@ -109,7 +109,7 @@
         let (id, term) = (life.replica.id(), life.replica.term());
         tracing::info!(%id, term, role = ?role, "replica {id} is {role:?} in term {term}");
         self.role = Some(role);
-        let terms = heard::LivenessTimeouts {
+        let terms = liveness::LivenessTimeouts {
             lease: self.configuration.lease(),
             gone: Span::from_millis(self.configuration.gone_ms),
         };
--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use appledyke_fleet::budgets::{Budget, Resource};
+use appledyke_fleet::messages::{BudgetRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_fleet::talk::{BudgetRow, OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::holders::Holders;
 use appledyke_lab::rig::links::Standing;
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::time::Duration;
 
+use appledyke_fleet::drains::{Amount, Group};
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::outs::{Amount, Group};
+use appledyke_fleet::messages::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_fleet::talk::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Standing as Link, Way};
 use appledyke_lab::rig::processes::beside;
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -5,8 +5,8 @@
 
 use appledyke_fleet::Version;
 use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::Standing as Link;
 use appledyke_lab::rig::processes::beside;
@@ -296,10 +296,14 @@
 }
 
 /// One report over a connection of its own, and what the daemon answers.
-fn report(at: std::net::SocketAddr, incarnation: u64, process: u64) -> appledyke_fleet::talk::ReportAnswer {
+fn report(
+    at: std::net::SocketAddr,
+    incarnation: u64,
+    process: u64,
+) -> appledyke_fleet::messages::ReportAnswer {
     use std::io::{Read, Write};
 
-    use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report};
+    use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report};
     let name = "copy".to_string();
     let mut stream = std::net::TcpStream::connect(at).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -336,7 +340,7 @@
 fn what_a_daemon_said_before_a_frame_that_cannot_be_read_is_taken() {
     use std::io::Write;
 
-    use appledyke_fleet::talk::{Frame, Initiator, ReportAnswer};
+    use appledyke_fleet::messages::{Frame, Initiator, ReportAnswer};
     let root = std::env::temp_dir().join(format!("appledyke-members-{}-spoilt", std::process::id()));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 use appledyke_consensus::Id;
-use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report, ReportAnswer};
+use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report, ReportAnswer};
 use appledyke_lab::rig::fleet::PATIENCE;
 use appledyke_lab::rig::processes::beside;
 use appledyke_lab::rig::sidecars::Sidecars;
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use appledyke_consensus::keep;
+use appledyke_fleet::messages::{Frame, Initiator, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_fleet::talk::{Frame, Initiator, OperatorReply, OperatorRequest};
 use appledyke_fleet::{Command, Version};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape, ask};
 use appledyke_lab::rig::folders;
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -6,14 +6,14 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
+use appledyke_fleet::drains::{Amount, Group};
 use appledyke_fleet::health::{Criteria, RequestCounts};
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::outs::{Amount, Group};
+use appledyke_fleet::messages::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::releases::{
     Action, FORMAT, Plan, Release, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
 };
 use appledyke_fleet::state::SettingsChange;
-use appledyke_fleet::talk::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Link, Standing as Way};
 use appledyke_lab::rig::operators::Operators;
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -10,12 +10,12 @@
 use appledyke_fleet::Version;
 use appledyke_fleet::evidence::Observation;
 use appledyke_fleet::evidence_coding::Decoder;
-use appledyke_fleet::scopes::{Locality, Scope};
-use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
-use appledyke_fleet::talk::{
+use appledyke_fleet::messages::{
     Frame, FrameReader, Initiator, MIN_VERSION, OperatorReply, OperatorRequest, Report, ReportAnswer,
     ScopeRow, VERSION,
 };
+use appledyke_fleet::scopes::{Locality, Scope};
+use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
 use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
 use appledyke_lab::rig::links::Standing as Link;
 use appledyke_lab::rig::processes::beside;
--- a/crates/fleet/src/budgets.rs
+++ b/crates/fleet/src/budgets.rs
@@ -3,7 +3,7 @@
 //! delayed or lost.
 //!
 //! A share is raised only into what is available. A lowered share stays reserved at its old size until it is released, which
-//! is when its holder cannot be using more any longer. The leader decides when that is (`divide`); renewals of a lease make
+//! is when its holder cannot be using more any longer. The leader decides when that is (`allocator`); renewals of a lease make
 //! no log entries.
 
 use std::collections::BTreeMap;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,21 +2,21 @@
 //! I/O and reads no clock: commands and reports go in; answers, proposals and records to forward come out, and the host
 //! process acts on them. `docs/replicated-state.md` explains the design, and which copy wins where two differ.
 
+pub mod allocator;
 pub mod budgets;
-pub mod divide;
+pub mod drains;
 pub mod evidence;
 pub mod evidence_coding;
 pub mod health;
-pub mod heard;
 pub mod limits;
+pub mod liveness;
 pub mod member;
 pub mod members;
-pub mod outs;
+pub mod messages;
+pub mod release_runner;
 pub mod releases;
-pub mod runner;
 pub mod scopes;
 pub mod state;
-pub mod talk;
 pub mod version;
 
 pub use members::MemberStatus;
--- a/crates/fleet/src/heard.rs
+++ b/crates/fleet/src/liveness.rs
@@ -7,8 +7,8 @@
 use crate::budgets::LogPosition;
 use crate::health::RequestCounts;
 use crate::members::{MAX_GROUPS, MemberStatus};
+use crate::messages::Report;
 use crate::state::{Command, Fleet};
-use crate::talk::Report;
 use crate::version::Version;
 
 /// After which a proposal that has not shown is made again: several elections.
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -8,15 +8,15 @@
 use oorandom::Rand64;
 
 use crate::budgets::LogPosition;
+use crate::drains::DrainRequests;
 use crate::evidence::{self, KnownSequences, MAX_AGE, Observation, RelayedObservation};
 use crate::evidence_coding::{CodedRecords, Decoder};
 use crate::health::RequestCounts;
 use crate::limits::Limits;
 use crate::members::MemberStatus;
-use crate::outs::DrainRequests;
-use crate::runner::DRAIN_ORDER_MAX_AGE;
+use crate::messages::{Report, ReportAnswer, VERSION};
+use crate::release_runner::DRAIN_ORDER_MAX_AGE;
 use crate::scopes::Locality;
-use crate::talk::{Report, ReportAnswer, VERSION};
 use crate::version::Version;
 
 /// Beats without an answer until another daemon is asked: one may be lost with an election.
@@ -349,7 +349,7 @@
         })
     }
 
-    /// The connection that was dialed is up, and speaks this version (`talk::greeted`).
+    /// The connection that was dialed is up, and speaks this version (`messages::greeted`).
     pub fn on_connected(&mut self, now: Moment, speaks: u16) -> Vec<HostAction> {
         if !matches!(self.link, Link::Dialed(_)) {
             return Vec::new();
--- a/crates/fleet/src/runner.rs
+++ b/crates/fleet/src/release_runner.rs
@@ -5,10 +5,10 @@
 
 use appledyke::units::{Moment, Span};
 
+use crate::drains;
 use crate::health::{RequestCounts, Verdict};
-use crate::heard::MemberTracker;
 use crate::limits::MAX_CLOCK_DRIFT;
-use crate::outs;
+use crate::liveness::MemberTracker;
 use crate::releases::{
     Release, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind, Transition,
 };
@@ -402,7 +402,7 @@
                 TargetKind::Sidecars => {
                     // One that is not there is moved once it is.
                     if heard.serving(now, fleet, who).is_none()
-                        || outs::check_member_out(fleet.groups(), fleet.members(), who).is_err()
+                        || drains::check_member_out(fleet.groups(), fleet.members(), who).is_err()
                     {
                         continue;
                     }
@@ -522,7 +522,7 @@
     let (size, out): (usize, Vec<String>) = match release.plan.target_kind {
         TargetKind::Sidecars => {
             let of = fleet.members().iter().filter(|(_, member)| member.groups.contains(&group.name));
-            let out = of.clone().filter(|(_, member)| outs::is_out(member)).map(|(name, _)| name.clone());
+            let out = of.clone().filter(|(_, member)| drains::is_out(member)).map(|(name, _)| name.clone());
             (of.count(), out.collect())
         }
         TargetKind::Endpoints => {
@@ -534,7 +534,7 @@
     };
     let most = group.max_out_of(size);
     (out.len() > most).then(|| {
-        let why = outs::OutLimitReached { group: group.name.clone(), max_out: most, size, out };
+        let why = drains::OutLimitReached { group: group.name.clone(), max_out: most, size, out };
         format!("more out than may be: {why}")
     })
 }
--- a/crates/fleet/src/releases.rs
+++ b/crates/fleet/src/releases.rs
@@ -1,6 +1,6 @@
 //! Releases: staged rollouts of sidecars or endpoints to another version, within the limits on how many may be out at once.
 //! The state of a release is in the replicated log, so that a new leader continues it without repeating or skipping a
-//! step. `runner` drives it on the leader.
+//! step. `release_runner` drives it on the leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -8,9 +8,9 @@
 use appledyke_consensus::Index;
 use serde::{Deserialize, Serialize};
 
+use crate::drains::{self, Group, OutLimitReached};
 use crate::health::{Criteria, RequestCounts};
 use crate::members::{MAX_TEXT_BYTES, Member, MemberStatus};
-use crate::outs::{self, Group, OutLimitReached};
 
 /// The version of the release file format.
 pub const FORMAT: u32 = 1;
@@ -719,7 +719,7 @@
         }
         let incarnation = match self.plan.target_kind {
             TargetKind::Sidecars => {
-                outs::check_member_out(context.groups, context.members, target)
+                drains::check_member_out(context.groups, context.members, target)
                     .map_err(ReleaseError::OutLimitReached)?;
                 let Some(member) = context.members.get(target).filter(|m| m.status == MemberStatus::Serving)
                 else {
@@ -728,7 +728,7 @@
                 member.incarnation
             }
             TargetKind::Endpoints => {
-                outs::check_endpoint_out(context.groups, context.endpoints, missing, target)
+                drains::check_endpoint_out(context.groups, context.endpoints, missing, target)
                     .map_err(ReleaseError::OutLimitReached)?;
                 0
             }
--- a/crates/fleet/src/scopes.rs
+++ b/crates/fleet/src/scopes.rs
@@ -16,7 +16,7 @@
 pub const MAX_SCOPE_HISTORY: usize = 16;
 /// Scopes at the most: several times the services, zones and regions of the largest fleet, and some single members.
 pub const MAX_SCOPES: usize = 1024;
-/// Bytes of all that is put for scopes together, their histories too: a snapshot goes in one frame (`talk::FRAME_MOST`, 32 MiB), half
+/// Bytes of all that is put for scopes together, their histories too: a snapshot goes in one frame (`messages::FRAME_MOST`, 32 MiB), half
 /// of which may hold the versions of what is put for all.
 pub const MAX_SCOPED_BYTES: usize = 12 << 20;
 
--- a/crates/fleet/src/state.rs
+++ b/crates/fleet/src/state.rs
@@ -9,8 +9,8 @@
 use twox_hash::XxHash64;
 
 use crate::budgets::{Budget, Budgets, LogPosition, ShareChange};
+use crate::drains::{self, Group, OutLimitReached};
 use crate::members::{MAX_GROUPS, MAX_TEXT_BYTES, Member, MemberStatus};
-use crate::outs::{self, Group, OutLimitReached};
 use crate::releases::{FleetContext, ReleaseError, ReleaseUpdate, Releases};
 use crate::scopes::{Locality, Scope, ScopeLimit, ScopedSettings, Scopes};
 use crate::version::Version;
@@ -296,7 +296,7 @@
                 Answer::Done
             }
             Command::Endpoint { name, out, force, missing } => {
-                let verdict = outs::check_endpoint_out(self.groups(), &self.endpoints, missing, name);
+                let verdict = drains::check_endpoint_out(self.groups(), &self.endpoints, missing, name);
                 match verdict {
                     Err(why) if *out && force.is_none() && !self.endpoints.contains(name) => {
                         Answer::Refused(Refusal::OutLimitReached(why))
@@ -453,7 +453,7 @@
     /// Decides on a drain request. A repeated request gets the same answer while its permission holds, and uses up only one.
     fn drain_member(&mut self, name: &str, incarnation: u64, request: u64, force: bool) -> Answer {
         let groups = self.history.back().map_or(&[][..], |written| &written.groups);
-        let verdict = outs::check_member_out(groups, &self.members, name);
+        let verdict = drains::check_member_out(groups, &self.members, name);
         let Some(member) = self.members.get_mut(name).filter(|member| member.incarnation == incarnation)
         else {
             return Answer::Refused(Refusal::NotGone);
@@ -654,7 +654,7 @@
     #[test]
     fn a_permission_that_was_given_up_is_none_for_another_ask() {
         let mut fleet = Fleet::default();
-        let most_out = Some(outs::Amount::Number(1));
+        let most_out = Some(drains::Amount::Number(1));
         let group = Group { name: "a".into(), max_out: most_out, min_serving: None, endpoints: vec![] };
         fleet.apply(1, &write(1, None, SettingsChange::Put("{}".into(), vec![], vec![group])));
         let stands = |name: &str, status| {
--- a/crates/fleet/tests/belongs.rs
+++ b/crates/fleet/tests/belongs.rs
@@ -4,8 +4,8 @@
 use appledyke_fleet::Version;
 use appledyke_fleet::limits::Limits;
 use appledyke_fleet::member::{HostAction, Member, MemberConfig};
+use appledyke_fleet::messages::{MIN_VERSION, ReportAnswer, VERSION};
 use appledyke_fleet::scopes::Locality;
-use appledyke_fleet::talk::{MIN_VERSION, ReportAnswer, VERSION};
 
 const BEAT: u64 = 500;
 
--- a/crates/fleet/tests/evidence_coding.rs
+++ b/crates/fleet/tests/evidence_coding.rs
@@ -7,8 +7,8 @@
 use appledyke_fleet::evidence_coding::{CodedRecord, CodedRecords, Decoder, Encoder, MAX_ENTRIES, Writer};
 use appledyke_fleet::limits::Limits;
 use appledyke_fleet::member::{HostAction, Member, MemberConfig};
+use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report, ReportAnswer, VERSION};
 use appledyke_fleet::scopes::Locality;
-use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report, ReportAnswer, VERSION};
 use oorandom::Rand64;
 
 fn passed(writer: u32, sequence: u64, endpoint: u32) -> RelayedObservation {
--- a/crates/fleet/tests/lost_leader.rs
+++ b/crates/fleet/tests/lost_leader.rs
@@ -4,7 +4,7 @@
 use appledyke_fleet::Version;
 use appledyke_fleet::limits::Limits;
 use appledyke_fleet::member::{HostAction, Member, MemberConfig};
-use appledyke_fleet::talk::{ReportAnswer, VERSION};
+use appledyke_fleet::messages::{ReportAnswer, VERSION};
 
 const BEAT: u64 = 500;
 
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -7,8 +7,8 @@
 
 use appledyke::units::Moment;
 use appledyke_consensus::Index;
+use appledyke_fleet::allocator::Allocator;
 use appledyke_fleet::budgets::{Budget, Budgets, Holder, Resource, ShareChange};
-use appledyke_fleet::divide::Allocator;
 use appledyke_fleet::limits::{Grant, Limits, MAX_CLOCK_DRIFT};
 
 /// Not a part of a second, a window or a lease, so that ends of these fall between.
--- a/crates/fleet/tests/permissions.rs
+++ b/crates/fleet/tests/permissions.rs
@@ -5,11 +5,11 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use appledyke::units::{Moment, Span};
-use appledyke_fleet::heard::{LivenessTimeouts, MemberTracker};
+use appledyke_fleet::drains::{Amount, DrainRequests, Group, is_out};
+use appledyke_fleet::liveness::{LivenessTimeouts, MemberTracker};
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::outs::{Amount, DrainRequests, Group, is_out};
+use appledyke_fleet::messages::Report;
 use appledyke_fleet::state::{Answer, Command, Fleet, SettingsChange, Write, WriteId};
-use appledyke_fleet::talk::Report;
 use oorandom::Rand64;
 
 const DEPTH: usize = 11;
--- a/crates/fleet/tests/releases.rs
+++ b/crates/fleet/tests/releases.rs
@@ -6,16 +6,16 @@
 use appledyke::units::{Moment, Span};
 use appledyke_fleet::Version;
 use appledyke_fleet::budgets::LogPosition;
+use appledyke_fleet::drains::{Amount, Group};
 use appledyke_fleet::health::{Criteria, RequestCounts};
-use appledyke_fleet::heard::{LivenessTimeouts, MemberTracker};
+use appledyke_fleet::liveness::{LivenessTimeouts, MemberTracker};
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::outs::{Amount, Group};
+use appledyke_fleet::messages::Report;
+use appledyke_fleet::release_runner::{DRAIN_ORDER_MAX_AGE, ReleaseRunner};
 use appledyke_fleet::releases::{
     FORMAT, Plan, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
 };
-use appledyke_fleet::runner::{DRAIN_ORDER_MAX_AGE, ReleaseRunner};
 use appledyke_fleet::state::{Answer, Command, Fleet, SettingsChange, Write, WriteId};
-use appledyke_fleet::talk::Report;
 use oorandom::Rand64;
 
 const MEMBERS: usize = 6;
--- a/crates/fleet/tests/scopes.rs
+++ b/crates/fleet/tests/scopes.rs
@@ -3,11 +3,11 @@
 
 use std::collections::{BTreeMap, HashSet};
 
+use appledyke_fleet::messages::{Frame, OperatorReply};
 use appledyke_fleet::scopes::{
     Locality, MAX_SCOPE_HISTORY, MAX_SCOPED_BYTES, MAX_SCOPES, Scope, ScopeLimit, Scopes,
 };
 use appledyke_fleet::state::MAX_SETTINGS_BYTES;
-use appledyke_fleet::talk::{Frame, OperatorReply};
 use appledyke_fleet::{Answer, Command, Fleet, Refusal, SettingsChange, Version, Write, WriteId};
 use oorandom::Rand64;
 use serde_json::{Map, Value, json};
@@ -300,7 +300,7 @@
         standalone_share: 1,
         max_members: 2,
     };
-    let group = appledyke_fleet::outs::Group {
+    let group = appledyke_fleet::drains::Group {
         name: "g".to_string(),
         max_out: None,
         min_serving: None,
--- a/crates/fleet/tests/version_2/mod.rs
+++ b/crates/fleet/tests/version_2/mod.rs
@@ -5,16 +5,16 @@
 
 use appledyke_consensus::{Body, Content, Entry, Id, Message, Position, Snapshot};
 use appledyke_fleet::budgets::{Budget, Holder, LogPosition, Resource, ShareChange};
+use appledyke_fleet::drains::{Amount, Group};
 use appledyke_fleet::evidence::{Observation, RelayedObservation};
 use appledyke_fleet::health::{Criteria, RequestCounts};
 use appledyke_fleet::limits::{Grant, Usage};
-use appledyke_fleet::outs::{Amount, Group};
+use appledyke_fleet::messages::{
+    BudgetRow, Frame, Initiator, MemberRow, OperatorReply, OperatorRequest, Report, ReportAnswer, Status,
+};
 use appledyke_fleet::releases::{
     Action, AgentTask, FORMAT, Plan, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
 };
-use appledyke_fleet::talk::{
-    BudgetRow, Frame, Initiator, MemberRow, OperatorReply, OperatorRequest, Report, ReportAnswer, Status,
-};
 use appledyke_fleet::{Command, Fleet, MemberStatus, SettingsChange, Version, Write, WriteId};
 
 fn named(name: &str) -> String {
--- a/crates/fleet/tests/versions.rs
+++ b/crates/fleet/tests/versions.rs
@@ -4,11 +4,11 @@
 mod version_2;
 
 use appledyke_consensus::Id;
-use appledyke_fleet::scopes::{Locality, Scope};
-use appledyke_fleet::talk::{
+use appledyke_fleet::messages::{
     Frame, FrameReader, Initiator, MIN_VERSION, OperatorReply, OperatorRequest, ScopeRow, VERSION,
     VersionNegotiation, check_hello,
 };
+use appledyke_fleet::scopes::{Locality, Scope};
 use appledyke_fleet::{Answer, Command, Fleet, Refusal, SettingsChange, Version, Write, WriteId};
 
 const FRAMES: &[u8] = include_bytes!("version_2/frames.bin");
--- a/crates/lab/src/releases.rs
+++ b/crates/lab/src/releases.rs
@@ -2,16 +2,16 @@
 //! as well as its version lets it. One daemon that never fails; what daemons do when they fail is the rig's to show.
 
 use appledyke::units::{Moment, Span};
+use appledyke_fleet::drains::{Amount, Group};
 use appledyke_fleet::health::{Criteria, RequestCounts};
-use appledyke_fleet::heard::{LivenessTimeouts, MemberTracker};
+use appledyke_fleet::liveness::{LivenessTimeouts, MemberTracker};
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::outs::{Amount, Group};
+use appledyke_fleet::messages::Report;
+use appledyke_fleet::release_runner::ReleaseRunner;
 use appledyke_fleet::releases::{
     FORMAT, Plan, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
 };
-use appledyke_fleet::runner::ReleaseRunner;
 use appledyke_fleet::state::{Command, Fleet, SettingsChange, Write, WriteId};
-use appledyke_fleet::talk::Report;
 use oorandom::Rand64;
 use serde::Serialize;
 
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -8,8 +8,8 @@
 
 use appledyke_consensus::Id;
 use appledyke_fleet::Version;
+use appledyke_fleet::messages::{Frame, FrameReader, Initiator, OperatorReply, OperatorRequest, Status};
 use appledyke_fleet::state::{SettingsChange, SettingsVersion, Write, WriteId};
-use appledyke_fleet::talk::{Frame, FrameReader, Initiator, OperatorReply, OperatorRequest, Status};
 use std::io::{Read, Write as _};
 use std::net::TcpStream;
 
--- a/crates/lab/src/rig/holders.rs
+++ b/crates/lab/src/rig/holders.rs
@@ -14,7 +14,7 @@
 use appledyke_fleet::budgets::Resource;
 use appledyke_fleet::limits::Limits;
 use appledyke_fleet::members::MemberStatus;
-use appledyke_fleet::talk::{Frame, FrameReader, Initiator, Report, ReportAnswer};
+use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report, ReportAnswer};
 
 use super::fleet::FLEET;
 
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -6,8 +6,8 @@
 
 use appledyke_fleet::budgets::{Budget, Resource};
 use appledyke_fleet::members::MemberStatus as Member;
+use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use serde_json::{Map, Value, json};
 
 use super::fleet::{Daemons, PATIENCE, Shape, ask};
--- a/crates/lab/src/rig/operators.rs
+++ b/crates/lab/src/rig/operators.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::releases::{Release, ReleaseState, Stage};
-use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 
 use super::fleet::Daemons;
 use super::sidecars::Sidecars;
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -13,15 +13,15 @@
 
 use appledyke_fleet::Version;
 use appledyke_fleet::budgets::{self, Budget, Resource};
+use appledyke_fleet::drains::{Amount, Group};
 use appledyke_fleet::health::{Criteria, RequestCounts};
 use appledyke_fleet::members::MemberStatus as Member;
-use appledyke_fleet::outs::{Amount, Group};
+use appledyke_fleet::messages::{Frame, FrameReader, Initiator, OperatorReply, OperatorRequest, Report};
 use appledyke_fleet::releases::{
     FORMAT, Plan, Release, ReleaseState, ReleaseUpdate, RollbackPolicy, TargetKind,
 };
 use appledyke_fleet::scopes::{Locality, Scope, ScopedSettings};
 use appledyke_fleet::state::{SettingsChange, SettingsVersion, Write, WriteId};
-use appledyke_fleet::talk::{Frame, FrameReader, Initiator, OperatorReply, OperatorRequest, Report};
 use oorandom::Rand64;
 use serde::Deserialize;
 
--- a/crates/lab/src/scale/world.rs
+++ b/crates/lab/src/scale/world.rs
@@ -9,9 +9,9 @@
 use appledyke_fleet::Version;
 use appledyke_fleet::budgets::{Budget, Resource};
 use appledyke_fleet::members::MemberStatus as Member;
+use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::scopes::Scope;
 use appledyke_fleet::state::{SettingsChange, Write, WriteId};
-use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
 use serde_json::json;
 
 use super::children::Told;
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use appledyke::units::{Moment, Span};
+use appledyke_fleet::allocator::Allocator;
 use appledyke_fleet::budgets::{Budget, Budgets, Holder, Resource, ShareChange};
-use appledyke_fleet::divide::Allocator;
 use appledyke_fleet::limits::{Grant, Limits, attempt_resources};
 
 use crate::scenario::{By, Scenario, at_ms};
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -7,7 +7,7 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use appledyke_fleet::talk::{OperatorReply, OperatorRequest};
+use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::PATIENCE;
 use appledyke_lab::rig::links::Link;
 use appledyke_lab::rig::processes::beside;
--- a/crates/lab/tests/scale_leader.rs
+++ b/crates/lab/tests/scale_leader.rs
@@ -4,8 +4,8 @@
 use std::hint::black_box;
 
 use appledyke::units::{Moment, Span};
+use appledyke_fleet::allocator::Allocator;
 use appledyke_fleet::budgets::{Budget, Budgets, Holder, LogPosition, Resource, ShareChange};
-use appledyke_fleet::divide::Allocator;
 use appledyke_fleet::limits::Usage;
 use rustix::time::{ClockId, clock_gettime};
 
--- a/crates/sidecar/src/fleet.rs
+++ b/crates/sidecar/src/fleet.rs
@@ -14,8 +14,8 @@
 use appledyke_fleet::limits::Limits;
 use appledyke_fleet::member::{HostAction, Member, MemberConfig};
 use appledyke_fleet::members::MemberStatus;
+use appledyke_fleet::messages::{Frame, FrameReader, Initiator, VersionNegotiation, check_hello};
 use appledyke_fleet::scopes::Locality;
-use appledyke_fleet::talk::{Frame, FrameReader, Initiator, VersionNegotiation, check_hello};
 use serde_json::{Value, json};
 
 use crate::figures::End;
