--- a/crates/daemon/src/agent.rs
+++ b/crates/daemon/src/agent.rs
@@ -1,5 +1,5 @@
-//! The agent beside one that releases move: it asks the fleet for its work, says that it begins before it does, runs the
-//! operators' own command, and says how that ended. What it does not know it does not say.
+//! The agent of a release target: polls the fleet for its task, reports that the action begins before it runs the operator's
+//! command, and reports how the command ended. It reports nothing whose outcome it does not know.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,113 +9,122 @@
 use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::releases::{AgentTask, ReleaseUpdate, Stage, TargetKind};
 
-use crate::ask;
+use crate::client;
 
-/// Between two questions for work.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Longest that one question is asked for.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Between two looks at a command that runs.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which the agent polls for a task.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of a request to the fleet.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which a running command is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 pub struct Agent {
     pub daemons: BTreeMap<u16, SocketAddr>,
     pub fleet: String,
-    /// Beside whom it is.
-    pub who: String,
-    /// Drawn at its start: what another agent has begun is not its own.
+    /// The sidecar or endpoint that this agent acts on.
+    pub target: String,
+    /// Drawn at the start; tells this agent's actions from those that another agent has begun.
     pub token: u64,
 }
 
-/// How a command ended: well, or how not.
-fn ran(work: &AgentTask) -> Result<(), String> {
-    let program = &work.command[0];
-    let told = |e: std::io::Error| format!("{program}: {e}");
+/// Runs the command of a task and waits for its end or its timeout.
+fn run_command(task: &AgentTask) -> Result<(), String> {
+    let program = &task.command[0];
+    let with_program = |e: std::io::Error| format!("{program}: {e}");
     let mut command = Command::new(program);
-    command.args(&work.command[1..]).stdin(Stdio::null());
-    let mut child = command.spawn().map_err(told)?;
-    let until = Instant::now() + Duration::from_millis(work.timeout_ms);
+    command.args(&task.command[1..]).stdin(Stdio::null());
+    let mut child = command.spawn().map_err(with_program)?;
+    let deadline = Instant::now() + Duration::from_millis(task.timeout_ms);
     loop {
-        match child.try_wait().map_err(told)? {
+        match child.try_wait().map_err(with_program)? {
             Some(status) if status.success() => return Ok(()),
             Some(status) => return Err(format!("{program}: {status}")),
-            None if Instant::now() >= until => {
+            None if Instant::now() >= deadline => {
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(format!("{program}: not over after {} ms, and ended", work.timeout_ms));
+                return Err(format!("{program}: killed after the timeout of {} ms", task.timeout_ms));
             }
-            None => std::thread::sleep(LOOK),
+            None => std::thread::sleep(CHECK_INTERVAL),
         }
     }
 }
 
 impl Agent {
-    fn ask(&self, asked: &OperatorRequest) -> Result<OperatorReply, String> {
-        ask::fleet(&self.daemons, &self.fleet, asked, PATIENCE)
+    fn ask(&self, request: &OperatorRequest) -> Result<OperatorReply, String> {
+        client::ask_fleet(&self.daemons, &self.fleet, request, REQUEST_TIMEOUT)
     }
 
-    fn order(&self, order: ReleaseUpdate) -> Result<OperatorReply, String> {
-        self.ask(&OperatorRequest::Release(order))
+    fn send_update(&self, update: ReleaseUpdate) -> Result<OperatorReply, String> {
+        self.ask(&OperatorRequest::Release(update))
     }
 
-    fn further(&self, work: &AgentTask, to: Stage) -> ReleaseUpdate {
-        let (release, who, since) = (work.release.clone(), work.target.clone(), work.started_at);
-        ReleaseUpdate::AdvanceTransition { release, target: who, started_at: since, to, agent: self.token }
+    fn advance(&self, task: &AgentTask, to: Stage) -> ReleaseUpdate {
+        let (release, target, started_at) = (task.release.clone(), task.target.clone(), task.started_at);
+        ReleaseUpdate::AdvanceTransition { release, target, started_at, to, agent: self.token }
     }
 
-    /// Works until it is ended.
+    /// Polls for tasks until the process is killed.
     pub fn run(&self) {
-        // Each action is run once by this agent, whatever becomes of the answers.
-        let mut done: BTreeMap<u64, Result<(), String>> = BTreeMap::new();
-        let mut said = BTreeSet::new();
+        // This agent runs each action once, even if a reply is lost.
+        let mut results: BTreeMap<u64, Result<(), String>> = BTreeMap::new();
+        let mut reported = BTreeSet::new();
         loop {
-            match self.ask(&OperatorRequest::AgentTask(self.who.clone())) {
-                Ok(OperatorReply::AgentTask(Some(work))) => self.turn(&work, &mut done, &mut said),
+            match self.ask(&OperatorRequest::AgentTask(self.target.clone())) {
+                Ok(OperatorReply::AgentTask(Some(task))) => {
+                    self.handle_task(&task, &mut results, &mut reported)
+                }
                 Ok(_) => {}
                 Err(what) => tracing::warn!("{what}"),
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn turn(&self, work: &AgentTask, done: &mut BTreeMap<u64, Result<(), String>>, said: &mut BTreeSet<u64>) {
-        match work.stage {
+    fn handle_task(
+        &self,
+        task: &AgentTask,
+        results: &mut BTreeMap<u64, Result<(), String>>,
+        reported: &mut BTreeSet<u64>,
+    ) {
+        match task.stage {
             Stage::Drained => {
-                // Danger: begun before the fleet knows of it, an action would be begun again by another agent.
-                match self.order(self.further(work, Stage::ActionRunning)) {
-                    Ok(OperatorReply::Done) => self.act(work, done),
-                    Ok(OperatorReply::Refused(why)) => tracing::info!("not begun: {why}"),
-                    // Whether it stands in the log shows at the next question.
+                // Danger: were the action begun before the fleet has recorded that, another agent could begin it again.
+                match self.send_update(self.advance(task, Stage::ActionRunning)) {
+                    Ok(OperatorReply::Done) => self.run_action(task, results),
+                    Ok(OperatorReply::Refused(why)) => tracing::info!("action not started: {why}"),
+                    // The next poll shows whether the update was committed.
                     other => tracing::warn!("{other:?}"),
                 }
             }
-            Stage::ActionRunning if work.agent == self.token => {
-                if !done.contains_key(&work.started_at) {
-                    self.act(work, done);
+            Stage::ActionRunning if task.agent == self.token => {
+                if !results.contains_key(&task.started_at) {
+                    self.run_action(task, results);
                 }
             }
-            // Another has begun it: what became of that is not this one's to say.
+            // Another agent has begun the action, and only that one may report its outcome.
             _ => return,
         }
-        let Some(result) = done.get(&work.started_at).filter(|_| !said.contains(&work.started_at)) else {
+        let Some(result) = results.get(&task.started_at).filter(|_| !reported.contains(&task.started_at))
+        else {
             return;
         };
-        let told = match result {
-            Ok(()) => self.order(self.further(work, Stage::ActionDone)),
+        let reply = match result {
+            Ok(()) => self.send_update(self.advance(task, Stage::ActionDone)),
             Err(why) => {
-                let why = format!("the action on {} failed: {why}", work.target);
-                let release = work.release.clone();
-                let halted = self.order(ReleaseUpdate::Halt { release: release.clone(), why, worse: false });
-                let (who, since) = (work.target.clone(), work.started_at);
-                match (halted, work.target_kind) {
+                let why = format!("the action on {} failed: {why}", task.target);
+                let release = task.release.clone();
+                let halted =
+                    self.send_update(ReleaseUpdate::Halt { release: release.clone(), why, worse: false });
+                let (target, started_at) = (task.target.clone(), task.started_at);
+                match (halted, task.target_kind) {
                     (Ok(OperatorReply::Done), TargetKind::Sidecars) => {
-                        self.order(self.further(work, Stage::ActionDone))
+                        self.send_update(self.advance(task, Stage::ActionDone))
                     }
                     (Ok(OperatorReply::Done), TargetKind::Endpoints) => {
-                        self.order(ReleaseUpdate::FinishTransition {
+                        self.send_update(ReleaseUpdate::FinishTransition {
                             release,
-                            target: who,
-                            started_at: since,
+                            target,
+                            started_at,
                             reached: false,
                         })
                     }
@@ -123,20 +132,20 @@
                 }
             }
         };
-        match told {
+        match reply {
             Ok(OperatorReply::Done) => {
-                said.insert(work.started_at);
+                reported.insert(task.started_at);
             }
             other => tracing::warn!("{other:?}"),
         }
     }
 
-    fn act(&self, work: &AgentTask, done: &mut BTreeMap<u64, Result<(), String>>) {
-        tracing::info!(who = work.target, "runs {}", work.command.join(" "));
-        let result = ran(work);
+    fn run_action(&self, task: &AgentTask, results: &mut BTreeMap<u64, Result<(), String>>) {
+        tracing::info!(who = task.target, "running {}", task.command.join(" "));
+        let result = run_command(task);
         if let Err(why) = &result {
             tracing::error!("{why}");
         }
-        done.insert(work.started_at, result);
+        results.insert(task.started_at, result);
     }
 }
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Reads and checks the configuration: TOML or JSON, by the file's name. Every message names the faulty key.
+//! Reads and checks the configuration: TOML or JSON, by the file's extension. Every error message names the faulty key.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -9,15 +9,15 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Daemons that a fleet may have: more make each commit dearer and no fleet safer.
-const DAEMONS_MOST: usize = 9;
-/// Least beats in an election: fewer, and one lost message unseats a leader.
-const BEATS_LEAST: u64 = 4;
-const NAME_MOST: usize = 64;
+/// Daemons that a fleet may have: more of them make each commit more expensive and no fleet safer.
+const MAX_DAEMONS: usize = 9;
+/// Heartbeats in an election timeout: with fewer, one lost message can depose a leader.
+const MIN_HEARTBEATS_PER_ELECTION: u64 = 4;
+const MAX_NAME_BYTES: usize = 64;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
@@ -25,56 +25,65 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Daemon {
-    pub place: u16,
-    /// Where this process reaches it.
+pub struct DaemonAddress {
+    /// The replica id.
+    #[serde(rename = "place")]
+    pub replica_id: u16,
+    /// The address at which this process reaches the daemon.
     pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// The fleet's name: processes of another are refused.
+    /// The fleet's name: processes of another fleet are rejected.
     pub fleet: String,
-    pub place: u16,
+    /// This daemon's replica id.
+    #[serde(rename = "place")]
+    pub replica_id: u16,
     pub listen: SocketAddr,
-    /// Where this daemon keeps what it must not lose. It is its own alone.
+    /// The folder with this daemon's durable state. No other process may use it.
     pub folder: PathBuf,
-    /// A sidecar's file, with which settings are checked before they are proposed.
+    /// A sidecar's configuration file, against which settings are checked before they are proposed.
     pub template: PathBuf,
-    pub daemons: Vec<Daemon>,
-    /// Without a leader for this long, and up to twice as long by chance, a daemon stands for election.
+    pub daemons: Vec<DaemonAddress>,
+    /// Election timeout: a daemon that hears from no leader for this long, randomized up to twice as long, starts an election.
     #[serde(default = "election_ms")]
     pub election_ms: u64,
-    #[serde(default = "beat_ms")]
-    pub beat_ms: u64,
-    /// A member that is silent for this long counts as silent.
+    /// Interval of the leader's heartbeats.
+    #[serde(default = "heartbeat_ms", rename = "beat_ms")]
+    pub heartbeat_ms: u64,
+    /// A member that has not reported for this long counts as silent.
     #[serde(default = "lease_ms")]
     pub lease_ms: u64,
-    /// And for this long, as gone.
+    /// A member that has not reported for this long counts as gone.
     #[serde(default = "gone_ms")]
     pub gone_ms: u64,
-    /// Entries between two snapshots, and between two comparisons of the state.
+    /// Log entries between two snapshots.
     #[serde(default = "compact_every")]
     pub compact_every: u64,
+    /// Log entries between two comparisons of the replicas' states.
     #[serde(default = "compare_every")]
     pub compare_every: u64,
-    /// Records of others that a member hears with an answer, and when it returns.
-    #[serde(default = "evidence_each")]
-    pub evidence_each: usize,
-    /// The same for a member that names its service: what the largest services book with a record a member a beat.
-    #[serde(default = "evidence_service")]
-    pub evidence_service: usize,
-    #[serde(default = "evidence_return")]
-    pub evidence_return: usize,
+    /// Evidence records of other members that a member gets with the answer to a report.
+    #[serde(default = "evidence_per_answer", rename = "evidence_each")]
+    pub evidence_per_answer: usize,
+    /// The same for a member that names its service: as many as the largest services produce with one record per member and
+    /// report interval.
+    #[serde(default = "evidence_per_service_answer", rename = "evidence_service")]
+    pub evidence_per_service_answer: usize,
+    /// The same for a member that catches up after an absence.
+    #[serde(default = "evidence_per_catch_up", rename = "evidence_return")]
+    pub evidence_per_catch_up: usize,
+    /// The format of the log.
     #[serde(default)]
-    pub log: Form,
+    pub log: LogFormat,
 }
 
 fn election_ms() -> u64 {
     1000
 }
-fn beat_ms() -> u64 {
+fn heartbeat_ms() -> u64 {
     100
 }
 fn lease_ms() -> u64 {
@@ -89,37 +98,39 @@
 fn compare_every() -> u64 {
     64
 }
-fn evidence_service() -> usize {
+fn evidence_per_service_answer() -> usize {
     80
 }
 
-fn evidence_each() -> usize {
+fn evidence_per_answer() -> usize {
     32
 }
-fn evidence_return() -> usize {
+fn evidence_per_catch_up() -> usize {
     256
 }
 
 impl Configuration {
+    /// Reads and checks a configuration file.
+    ///
     /// # Errors
-    /// The file, and the key that is at fault.
+    /// The file and the faulty key.
     pub fn read(path: &Path) -> Result<Configuration, String> {
-        let named = |what: String| format!("{}: {what}", path.display());
-        let text = fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
-        Configuration::parse(&text, path.extension().is_some_and(|end| end == "json")).map_err(named)
+        let with_path = |what: String| format!("{}: {what}", path.display());
+        let text = fs::read_to_string(path).map_err(|e| with_path(e.to_string()))?;
+        Configuration::parse(&text, path.extension().is_some_and(|end| end == "json")).map_err(with_path)
     }
 
     fn parse(text: &str, json: bool) -> Result<Configuration, String> {
-        let told =
+        let at_key =
             |path: String, what: String| format!("{path}: {}", what.lines().next().unwrap_or_default());
         let read = if json {
             let mut reader = serde_json::Deserializer::from_str(text);
             serde_path_to_error::deserialize(&mut reader)
-                .map_err(|e| told(e.path().to_string(), e.inner().to_string()))
+                .map_err(|e| at_key(e.path().to_string(), e.inner().to_string()))
         } else {
             let reader = toml::Deserializer::parse(text).map_err(|e| e.to_string())?;
             serde_path_to_error::deserialize(reader)
-                .map_err(|e| told(e.path().to_string(), e.inner().message().to_string()))
+                .map_err(|e| at_key(e.path().to_string(), e.inner().message().to_string()))
         };
         let read: Configuration = read?;
         read.check()?;
@@ -127,27 +138,29 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if self.fleet.is_empty() || self.fleet.len() > NAME_MOST {
-            return Err(format!("fleet: expected a name of 1 to {NAME_MOST} bytes"));
+        if self.fleet.is_empty() || self.fleet.len() > MAX_NAME_BYTES {
+            return Err(format!("fleet: expected a name of 1 to {MAX_NAME_BYTES} bytes"));
         }
-        let places: BTreeSet<u16> = self.daemons.iter().map(|daemon| daemon.place).collect();
-        if places.len() != self.daemons.len() {
-            return Err("daemons: a place stands there twice".to_string());
+        let replica_ids: BTreeSet<u16> = self.daemons.iter().map(|daemon| daemon.replica_id).collect();
+        if replica_ids.len() != self.daemons.len() {
+            return Err("daemons: a place is listed twice".to_string());
         }
-        if !places.contains(&self.place) {
-            return Err(format!("place: {} is not among the daemons", self.place));
+        if !replica_ids.contains(&self.replica_id) {
+            return Err(format!("place: {} is not among the daemons", self.replica_id));
         }
-        if places.len() > DAEMONS_MOST {
-            return Err(format!("daemons: expected {DAEMONS_MOST} at the most"));
+        if replica_ids.len() > MAX_DAEMONS {
+            return Err(format!("daemons: expected {MAX_DAEMONS} at the most"));
         }
-        if self.beat_ms == 0 || self.election_ms < BEATS_LEAST * self.beat_ms {
+        if self.heartbeat_ms == 0 || self.election_ms < MIN_HEARTBEATS_PER_ELECTION * self.heartbeat_ms {
             return Err(format!(
-                "election_ms: expected at least {BEATS_LEAST} times beat_ms, which is over 0"
+                "election_ms: expected at least {MIN_HEARTBEATS_PER_ELECTION} times beat_ms, which is over 0"
             ));
         }
         if self.lease_ms < self.election_ms {
-            return Err("lease_ms: expected at least election_ms, or each election would silence the fleet"
-                .to_string());
+            return Err(
+                "lease_ms: expected at least election_ms, or each election would make all members silent"
+                    .to_string(),
+            );
         }
         if self.gone_ms <= self.lease_ms {
             return Err("gone_ms: expected more than lease_ms".to_string());
@@ -160,25 +173,25 @@
         Ok(())
     }
 
-    /// The file that settings are checked with.
+    /// Reads the sidecar configuration that settings are checked against.
     ///
     /// # Errors
-    /// The file, and why it can't be used.
+    /// The file, and why it cannot be used.
     pub fn template(&self) -> Result<Value, String> {
-        let named = |what: String| format!("template: {}: {what}", self.template.display());
-        let text = fs::read_to_string(&self.template).map_err(|e| named(e.to_string()))?;
-        let file: Value = serde_json::from_str(&text).map_err(|e| named(format!("not JSON: {e}")))?;
-        appledyke_sidecar::launch::check_agreed(&file, "{}").map_err(named)?;
+        let with_path = |what: String| format!("template: {}: {what}", self.template.display());
+        let text = fs::read_to_string(&self.template).map_err(|e| with_path(e.to_string()))?;
+        let file: Value = serde_json::from_str(&text).map_err(|e| with_path(format!("not JSON: {e}")))?;
+        appledyke_sidecar::launch::check_agreed(&file, "{}").map_err(with_path)?;
         Ok(file)
     }
 
-    pub fn others(&self) -> BTreeMap<u16, SocketAddr> {
-        let others = self.daemons.iter().filter(|daemon| daemon.place != self.place);
-        others.map(|daemon| (daemon.place, daemon.address)).collect()
+    pub fn other_daemons(&self) -> BTreeMap<u16, SocketAddr> {
+        let other_daemons = self.daemons.iter().filter(|daemon| daemon.replica_id != self.replica_id);
+        other_daemons.map(|daemon| (daemon.replica_id, daemon.address)).collect()
     }
 
-    pub fn places(&self) -> BTreeSet<u16> {
-        self.daemons.iter().map(|daemon| daemon.place).collect()
+    pub fn replica_ids(&self) -> BTreeSet<u16> {
+        self.daemons.iter().map(|daemon| daemon.replica_id).collect()
     }
 
     pub fn lease(&self) -> Span {
@@ -194,11 +207,11 @@
         [[daemons]]\nplace=1\naddress='127.0.0.1:7001'\n[[daemons]]\nplace=2\naddress='127.0.0.1:7002'\n";
 
     #[test]
-    fn each_faulty_key_is_named() {
-        assert_eq!(Configuration::parse(GOOD, false).unwrap().others().len(), 1);
+    fn errors_name_the_faulty_key() {
+        assert_eq!(Configuration::parse(GOOD, false).unwrap().other_daemons().len(), 1);
         for (from, to, said) in [
             ("place=1\nlisten", "place=3\nlisten", "place: 3 is not among the daemons"),
-            ("place=2", "place=1", "daemons: a place stands there twice"),
+            ("place=2", "place=1", "daemons: a place is listed twice"),
             ("fleet='f'", "fleet=''", "fleet: expected a name of 1 to 64 bytes"),
             (
                 "fleet='f'",
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! `appledyke-daemon`: a few of these agree on a fleet's settings and members. What is decided stands in the packages
-//! `appledyke-consensus` and `appledyke-fleet`; here it is carried out on sockets and a folder.
+//! `appledyke-daemon`: a small group of daemons replicates the settings and members of a fleet. The protocol is implemented in
+//! the packages `appledyke-consensus` and `appledyke-fleet`; this crate runs it on sockets and a data folder.
 
 pub mod agent;
-pub mod ask;
+pub mod client;
 pub mod configuration;
 pub mod folder;
 pub mod serve;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `appledyke-daemon`: serves what a fleet agrees on, and asks for it.
+//! `appledyke-daemon`: runs a daemon of a fleet, and is the operators' command line to the fleet.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,8 +8,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use appledyke_daemon::agent::Agent;
-use appledyke_daemon::ask;
-use appledyke_daemon::configuration::{Configuration, Form};
+use appledyke_daemon::client;
+use appledyke_daemon::configuration::{Configuration, LogFormat};
 use appledyke_daemon::folder::Folder;
 use appledyke_daemon::serve::Daemon;
 use appledyke_fleet::Version;
@@ -24,13 +24,13 @@
 use argh::FromArgs;
 use serde::Serialize;
 
-/// What a write's outcome is told by, beside words.
+/// Exit codes of a write that was not committed.
 const REFUSED: u8 = 1;
 const UNKNOWN: u8 = 3;
 
-/// A daemon that holds what a fleet's processes agree on.
+/// A daemon that replicates what a fleet's processes agree on, and its command line
 #[derive(FromArgs)]
-struct Line {
+struct Arguments {
     #[argh(subcommand)]
     command: Command,
 }
@@ -48,9 +48,9 @@
     Budgets(ShowBudgets),
     Ended(Ended),
     Forget(Forget),
-    Out(TakeEndpoint),
-    In(PutEndpoint),
-    Outs(ShowOuts),
+    Out(DrainEndpoint),
+    In(ReturnEndpoint),
+    Outs(ShowDrained),
     Release(Release),
     Agent(RunAgent),
     History(History),
@@ -64,145 +64,146 @@
     Version(ShowVersion),
 }
 
-/// serve until told to leave by SIGTERM
+/// run the daemon until SIGTERM
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the folder is the latest that this daemon had: it votes without asking the others first. Never after a restored backup
+    /// trust the folder to hold this daemon's latest state, and vote without checking with the other daemons first; never use
+    /// it on a folder restored from a backup
     #[argh(switch)]
     vouched: bool,
 }
 
-/// make this daemon's folder that of a new fleet's first; once for a fleet
+/// create a new fleet with this daemon as its first replica; run once per fleet
 #[derive(FromArgs)]
 #[argh(subcommand, name = "found")]
 struct Found {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// also where another daemon serves this fleet already
+    /// even if another daemon serves this fleet already
     #[argh(switch)]
     anyway: bool,
 }
 
-/// check a configuration and say what is wrong with it
+/// check a configuration file and report errors
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
 }
 
-/// how each daemon stands
+/// show the status of each daemon
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct Status {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// the sidecars, and how each stands
+/// list the sidecars and their status
 #[derive(FromArgs)]
 #[argh(subcommand, name = "members")]
 struct Members {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// the settings that hold, or those of a version
+/// print the current settings, or those of a version
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 struct Get {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// a version, such as 0.3
+    /// a settings version, such as 0.3
     #[argh(option)]
     version: Option<Version>,
-    /// what is put for a part of the fleet: region=…, zone=…, service=… or member=…
+    /// the settings of a scope: region=…, zone=…, service=… or member=…
     #[argh(option, long = "for", default = "Scope::All")]
     scope: Scope,
-    /// what holds for this member, of all scopes that it belongs to
+    /// the settings of this member, merged from all scopes that it belongs to
     #[argh(option, long = "of")]
     member: Option<String>,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// put settings for all sidecars, or a part of them: committed (exit 0), refused (1) or unknown (3)
+/// put settings for the whole fleet or a scope; exit code 0: committed, 1: refused, 3: outcome unknown
 #[derive(FromArgs)]
 #[argh(subcommand, name = "put")]
 struct Put {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the settings' file, or - for standard input: a JSON object whose keys stand in place of each sidecar's own
+    /// the settings file, or - for standard input: a JSON object whose keys replace those of each sidecar's own settings
     #[argh(positional)]
     file: PathBuf,
-    /// for a part of the fleet alone: region=…, zone=…, service=… or member=…
+    /// the scope, if not the whole fleet: region=…, zone=…, service=… or member=…
     #[argh(option, long = "for", default = "Scope::All")]
     scope: Scope,
-    /// only if this version holds, of what is put for the same
+    /// refuse unless this is the current version of the settings of the same scope
     #[argh(option)]
     expects: Option<Version>,
-    /// who puts them
+    /// the author of the change
     #[argh(option, default = "String::new()")]
     by: String,
-    /// why
+    /// the reason
     #[argh(option, default = "String::new()")]
     why: String,
-    /// the write's id, to say one again whose fate is unknown
+    /// the write's id, to repeat a write whose outcome is unknown
     #[argh(option)]
     id: Option<String>,
-    /// seconds to try for
+    /// seconds to keep trying
     #[argh(option, default = "10")]
     seconds: u64,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// how each budget is divided: used, idle and reserved
+/// show how each budget is divided among its holders
 #[derive(FromArgs)]
 #[argh(subcommand, name = "budgets")]
 struct ShowBudgets {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// take an endpoint out of service, whatever the list says: every member treats it as one that drains
+/// take an endpoint out of service: every member treats it as draining, whatever the endpoint list says
 #[derive(FromArgs)]
 #[argh(subcommand, name = "out")]
-struct TakeEndpoint {
-    /// the configuration
+struct DrainEndpoint {
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the endpoint's name in the list
+    /// the endpoint's name in the endpoint list
     #[argh(positional)]
     name: String,
-    /// why it is taken whatever is out already
+    /// drain it even if the limits on drains forbid it; takes the reason
     #[argh(option)]
     anyway: Option<String>,
 }
 
-/// move sidecars or endpoints to another version, step by step, with a halt and a way back
+/// release another version to sidecars or endpoints step by step, with halt and rollback
 #[derive(FromArgs)]
 #[argh(subcommand, name = "release")]
 struct Release {
@@ -223,62 +224,62 @@
     End(EndRelease),
 }
 
-/// check a release's file against the fleet, and do nothing
+/// check a release file against the fleet, and change nothing
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the release's file
+    /// the release file
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// begin a release
+/// start a release
 #[derive(FromArgs)]
 #[argh(subcommand, name = "start")]
 struct StartRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the release's file
+    /// the release file
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// how each release stands
+/// show the status of each release
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 struct ReleaseStatus {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// send nobody else out, and let those under way come back
+/// start no further steps of a release, and let those in progress finish
 #[derive(FromArgs)]
 #[argh(subcommand, name = "halt")]
 struct HaltRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the release's name
     #[argh(positional)]
     name: String,
-    /// why
+    /// the reason
     #[argh(option, default = "\"an operator's word\".to_string()")]
     why: String,
 }
 
-/// go on where it halted
+/// resume a halted release
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resume")]
 struct ResumeRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the release's name
@@ -286,11 +287,11 @@
     name: String,
 }
 
-/// return what has been moved to its old version, last moved first
+/// roll back: return what has been moved to the old version, the last moved first
 #[derive(FromArgs)]
 #[argh(subcommand, name = "back")]
 struct BackRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the release's name
@@ -298,29 +299,29 @@
     name: String,
 }
 
-/// say what became of one whose action nobody knows the end of
+/// record the outcome of a release step whose action ended without a known result
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settle")]
 struct SettleRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the release's name
     #[argh(positional)]
     name: String,
-    /// whom it moves
+    /// the sidecar or endpoint of the step
     #[argh(positional)]
     who: String,
-    /// it has the version that it was to have
+    /// the step reached its target version; without this flag it did not
     #[argh(switch)]
     moved: bool,
 }
 
-/// end a release as it stands; refused while any is under way
+/// end a release as it is; refused while a step is in progress
 #[derive(FromArgs)]
 #[argh(subcommand, name = "end")]
 struct EndRelease {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the release's name
@@ -328,14 +329,14 @@
     name: String,
 }
 
-/// run releases' commands beside a sidecar or an endpoint, until ended
+/// run the commands of releases for a sidecar or an endpoint, until killed
 #[derive(FromArgs)]
 #[argh(subcommand, name = "agent")]
 struct RunAgent {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// beside whom it is, by the name that the release has
+    /// the sidecar or endpoint, by its name in the release
     #[argh(positional)]
     who: String,
 }
@@ -343,32 +344,32 @@
 /// put an endpoint back into service
 #[derive(FromArgs)]
 #[argh(subcommand, name = "in")]
-struct PutEndpoint {
-    /// the configuration
+struct ReturnEndpoint {
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the endpoint's name in the list
+    /// the endpoint's name in the endpoint list
     #[argh(positional)]
     name: String,
 }
 
-/// the endpoints that are out of service, and who may hold something there still
+/// list the endpoints that are out of service, and the members that may still use them
 #[derive(FromArgs)]
 #[argh(subcommand, name = "outs")]
-struct ShowOuts {
-    /// the configuration
+struct ShowDrained {
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// say that a member never comes back: its groups are smaller from then on
+/// remove a member that will not return; its groups shrink by it
 #[derive(FromArgs)]
 #[argh(subcommand, name = "forget")]
 struct Forget {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the member's name
@@ -376,161 +377,161 @@
     name: String,
 }
 
-/// say that a process of a member has ended for certain: what it held of stocks is free
+/// confirm that a process of a member has ended, which frees its shares of the budgets
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ended")]
 struct Ended {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
     /// the member's name
     #[argh(positional)]
     name: String,
-    /// its incarnation, as `members` shows it
+    /// the incarnation of the process, as shown by `members`
     #[argh(positional)]
     incarnation: u64,
 }
 
-/// the versions that are kept
+/// list the settings versions in the history
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 struct History {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for a part of the fleet alone: region=…, zone=…, service=… or member=…
+    /// the scope, if not the whole fleet: region=…, zone=…, service=… or member=…
     #[argh(option, long = "for", default = "Scope::All")]
     scope: Scope,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// put the settings of an earlier version again, as a new one
+/// put the settings of an earlier version again, as a new version
 #[derive(FromArgs)]
 #[argh(subcommand, name = "rollback")]
 struct Rollback {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the version to go back to
+    /// the earlier version
     #[argh(positional)]
     to: Version,
-    /// for a part of the fleet alone: region=…, zone=…, service=… or member=…
+    /// the scope, if not the whole fleet: region=…, zone=…, service=… or member=…
     #[argh(option, long = "for", default = "Scope::All")]
     scope: Scope,
-    /// only if this version holds, of what is put for the same
+    /// refuse unless this is the current version of the settings of the same scope
     #[argh(option)]
     expects: Option<Version>,
-    /// who goes back
+    /// the author of the change
     #[argh(option, default = "String::new()")]
     by: String,
-    /// why
+    /// the reason
     #[argh(option, default = "String::new()")]
     why: String,
-    /// the write's id, to say one again whose fate is unknown
+    /// the write's id, to repeat a write whose outcome is unknown
     #[argh(option)]
     id: Option<String>,
-    /// seconds to try for
+    /// seconds to keep trying
     #[argh(option, default = "10")]
     seconds: u64,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// take away what is put for a part of the fleet: committed (exit 0), refused (1) or unknown (3)
+/// remove the settings of a scope; exit code 0: committed, 1: refused, 3: outcome unknown
 #[derive(FromArgs)]
 #[argh(subcommand, name = "remove")]
 struct Remove {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// which part: region=…, zone=…, service=… or member=…
+    /// the scope: region=…, zone=…, service=… or member=…
     #[argh(option, long = "for")]
     scope: Scope,
-    /// only if this version holds, of what is put for the same
+    /// refuse unless this is the current version of the settings of the same scope
     #[argh(option)]
     expects: Option<Version>,
-    /// who removes it
+    /// the author of the change
     #[argh(option, default = "String::new()")]
     by: String,
-    /// why
+    /// the reason
     #[argh(option, default = "String::new()")]
     why: String,
-    /// the write's id, to say one again whose fate is unknown
+    /// the write's id, to repeat a write whose outcome is unknown
     #[argh(option)]
     id: Option<String>,
-    /// seconds to try for
+    /// seconds to keep trying
     #[argh(option, default = "10")]
     seconds: u64,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// the parts of the fleet for which something was put: version, bytes, members, and how many act on it
+/// list the scopes with settings: version, bytes, members, and how many members have applied them
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scopes")]
 struct ShowScopes {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// for tools
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// write all that is agreed to a file
+/// write the fleet's whole replicated state to a file
 #[derive(FromArgs)]
 #[argh(subcommand, name = "backup")]
 struct Backup {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the file; it must not be there yet
+    /// the file, which must not exist yet
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// begin a fleet anew from a backup, in this daemon's empty folder
+/// create the fleet again from a backup, in this daemon's empty folder
 #[derive(FromArgs)]
 #[argh(subcommand, name = "restore")]
 struct Restore {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the backup's file
+    /// the backup file
     #[argh(positional)]
     file: PathBuf,
-    /// also where another daemon serves this fleet still
+    /// even if another daemon still serves this fleet
     #[argh(switch)]
     anyway: bool,
 }
 
-/// hand leadership to another place
+/// transfer leadership to another daemon
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hand-over")]
 struct HandOver {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the place
+    /// the place of the daemon that is to lead
     #[argh(positional)]
     to: u16,
 }
 
-/// take a place's vote, for a machine that does not come back
+/// remove a daemon from the voters, for a machine that will not return
 #[derive(FromArgs)]
 #[argh(subcommand, name = "take-out")]
 struct TakeOut {
-    /// the configuration
+    /// path of the daemon's configuration file
     #[argh(option)]
     config: PathBuf,
-    /// the place
+    /// the place of the daemon to remove
     #[argh(positional)]
     place: u16,
-    /// also where no more may fail then
+    /// even if the remaining voters can bear no further failure
     #[argh(switch)]
     anyway: bool,
 }
@@ -540,45 +541,45 @@
 #[argh(subcommand, name = "version")]
 struct ShowVersion {}
 
-/// Longest that a question is asked for.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout of a request to the fleet.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn log(form: Form) {
+fn init_logging(format: LogFormat) {
     let out = tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false).with_ansi(false);
-    match form {
-        Form::Text => out.without_time().init(),
-        Form::Json => out.json().flatten_event(true).init(),
+    match format {
+        LogFormat::Text => out.without_time().init(),
+        LogFormat::Json => out.json().flatten_event(true).init(),
     }
 }
 
-fn fleet(config: &Path, ask: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
+fn ask_fleet(config: &Path, request: &OperatorRequest, timeout: Duration) -> Result<OperatorReply, String> {
     let configuration = Configuration::read(config)?;
-    let daemons = configuration.daemons.iter().map(|daemon| (daemon.place, daemon.address)).collect();
-    ask::fleet(&daemons, &configuration.fleet, ask, within)
+    let daemons = configuration.daemons.iter().map(|daemon| (daemon.replica_id, daemon.address)).collect();
+    client::ask_fleet(&daemons, &configuration.fleet, request, timeout)
 }
 
-fn show(json: bool, value: &impl Serialize, text: impl FnOnce() -> String) -> Result<u8, String> {
+fn print_output(json: bool, value: &impl Serialize, text: impl FnOnce() -> String) -> Result<u8, String> {
     let text = if json { serde_json::to_string(value).map_err(|e| e.to_string())? } else { text() };
-    // A reader that has gone wants no more.
+    // An error means that the reader closed the pipe.
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
     Ok(0)
 }
 
-fn unexpected(reply: OperatorReply) -> Result<u8, String> {
+fn unexpected_reply(reply: OperatorReply) -> Result<u8, String> {
     match reply {
         OperatorReply::Refused(why) | OperatorReply::Invalid(why) => Err(format!("refused: {why}")),
-        other => Err(format!("an answer to another question: {other:?}")),
+        other => Err(format!("unexpected reply: {other:?}")),
     }
 }
 
-/// A file's settings, and its budgets, which stand beside them under a key of their own.
-fn parted(text: &str) -> Result<(String, Vec<Budget>, Vec<Group>), String> {
+/// Splits a settings file into the settings, and the budgets and groups that it holds under keys of their own.
+fn split_settings(text: &str) -> Result<(String, Vec<Budget>, Vec<Group>), String> {
     let mut file: serde_json::Value = match serde_json::from_str(text) {
         Ok(file) => file,
-        // What is wrong with it is told with all else that may be.
+        // The daemon reports what is wrong with the file.
         Err(_) => return Ok((text.to_string(), Vec::new(), Vec::new())),
     };
-    let plain = file.get("budgets").is_none() && file.get("groups").is_none();
+    let settings_only = file.get("budgets").is_none() && file.get("groups").is_none();
     let mut take = |key: &str| file.as_object_mut().and_then(|file| file.remove(key));
     let (budgets, groups) = (take("budgets").unwrap_or_else(|| serde_json::json!([])), take("groups"));
     let groups = groups.unwrap_or_else(|| serde_json::json!([]));
@@ -586,34 +587,34 @@
         .map_err(|e| format!("groups.{}: {}", e.path(), e.inner()))?;
     let budgets: Vec<Budget> = serde_path_to_error::deserialize(budgets)
         .map_err(|e| format!("budgets.{}: {}", e.path(), e.inner()))?;
-    // What was written by hand is kept as it was written.
-    let settings = if plain { text.to_string() } else { file.to_string() };
+    // A file without budgets and groups keeps its formatting.
+    let settings = if settings_only { text.to_string() } else { file.to_string() };
     Ok((settings, budgets, groups))
 }
 
 fn plan(file: &Path) -> Result<Plan, String> {
-    let named = |what: String| format!("{}: {what}", file.display());
-    let text = fs::read_to_string(file).map_err(|e| named(e.to_string()))?;
-    let reader = toml::Deserializer::parse(&text).map_err(|e| named(e.message().to_string()))?;
+    let with_path = |what: String| format!("{}: {what}", file.display());
+    let text = fs::read_to_string(file).map_err(|e| with_path(e.to_string()))?;
+    let reader = toml::Deserializer::parse(&text).map_err(|e| with_path(e.message().to_string()))?;
     let plan: Plan = serde_path_to_error::deserialize(reader)
-        .map_err(|e| named(format!("{}: {}", e.path(), e.inner().message())))?;
-    plan.check().map_err(named)?;
+        .map_err(|e| with_path(format!("{}: {}", e.path(), e.inner().message())))?;
+    plan.check().map_err(with_path)?;
     if let Some(action) = &plan.action
         && !Path::new(&action.command[0]).is_file()
     {
-        return Err(named(format!("action.command: there is no program {}", action.command[0])));
+        return Err(with_path(format!("action.command: there is no program {}", action.command[0])));
     }
     Ok(plan)
 }
 
-fn order(config: &Path, order: ReleaseUpdate, done: &str) -> Result<u8, String> {
-    match fleet(config, &OperatorRequest::Release(order), PATIENCE)? {
-        OperatorReply::Done => show(false, &(), || done.to_string()),
+fn send_release_update(config: &Path, update: ReleaseUpdate, done: &str) -> Result<u8, String> {
+    match ask_fleet(config, &OperatorRequest::Release(update), REQUEST_TIMEOUT)? {
+        OperatorReply::Done => print_output(false, &(), || done.to_string()),
         OperatorReply::Unknown(why) => {
-            eprintln!("unknown: {why}; say it again: it takes effect once");
+            eprintln!("unknown: {why}; repeat the command: it takes effect once");
             Ok(UNKNOWN)
         }
-        other => unexpected(other),
+        other => unexpected_reply(other),
     }
 }
 
@@ -621,23 +622,27 @@
     match command {
         ReleaseCommand::Check(CheckRelease { config, file }) => {
             let plan = plan(&file)?;
-            let OperatorReply::Settings(written) = fleet(&config, &OperatorRequest::Get(None), PATIENCE)?
+            let OperatorReply::Settings(written) =
+                ask_fleet(&config, &OperatorRequest::Get(None), REQUEST_TIMEOUT)?
             else {
                 return Err("the fleet has no settings".to_string());
             };
-            let OperatorReply::Members(members) = fleet(&config, &OperatorRequest::Members, PATIENCE)? else {
-                return Err("the fleet does not tell its members".to_string());
+            let OperatorReply::Members(members) =
+                ask_fleet(&config, &OperatorRequest::Members, REQUEST_TIMEOUT)?
+            else {
+                return Err("the fleet did not list its members".to_string());
             };
             let groups = written.map(|written| written.groups).unwrap_or_default();
-            let here = |row: &MemberRow| row.groups.contains(&plan.group) && row.status != MemberStatus::Gone;
-            let members = members.into_iter().filter(here).map(|row| row.name).collect();
-            let (of, most) = plan.check_against(&groups, members)?;
-            let count = if plan.order.is_empty() { of.len() } else { plan.order.len() };
-            show(false, &(), || {
+            let in_group =
+                |row: &MemberRow| row.groups.contains(&plan.group) && row.status != MemberStatus::Gone;
+            let members = members.into_iter().filter(in_group).map(|row| row.name).collect();
+            let (targets, limit) = plan.check_against(&groups, members)?;
+            let count = if plan.order.is_empty() { targets.len() } else { plan.order.len() };
+            print_output(false, &(), || {
                 format!(
-                    "{}: {count} of {} in {} from {} to {}, {most} at once",
+                    "{}: {count} of {} in {} from {} to {}, {limit} at once",
                     plan.name,
-                    of.len(),
+                    targets.len(),
                     plan.group,
                     plan.from,
                     plan.to
@@ -646,12 +651,16 @@
         }
         ReleaseCommand::Start(StartRelease { config, file }) => {
             let plan = plan(&file)?;
-            let done = format!("{} has started; release status says how it stands", plan.name);
-            order(&config, ReleaseUpdate::Start(Box::new(plan), RequestCounts::default()), &done)
+            let done = format!("{} has started; see release status", plan.name);
+            send_release_update(
+                &config,
+                ReleaseUpdate::Start(Box::new(plan), RequestCounts::default()),
+                &done,
+            )
         }
         ReleaseCommand::Status(ReleaseStatus { config, json }) => {
-            match fleet(&config, &OperatorRequest::Releases, PATIENCE)? {
-                OperatorReply::Releases(releases, runs) => show(json, &(&releases, &runs), || {
+            match ask_fleet(&config, &OperatorRequest::Releases, REQUEST_TIMEOUT)? {
+                OperatorReply::Releases(releases, runs) => print_output(json, &(&releases, &runs), || {
                     let mut text: String = releases.iter().map(|release| release.summary() + "\n").collect();
                     for release in releases.iter().filter(|release| !release.is_ended()) {
                         for who in &release.order {
@@ -663,36 +672,39 @@
                     }
                     text
                 }),
-                other => unexpected(other),
+                other => unexpected_reply(other),
             }
         }
         ReleaseCommand::Halt(HaltRelease { config, name, why }) => {
             let done = format!("{name} has halted");
-            order(&config, ReleaseUpdate::Halt { release: name, why, worse: false }, &done)
+            send_release_update(&config, ReleaseUpdate::Halt { release: name, why, worse: false }, &done)
         }
         ReleaseCommand::Resume(ResumeRelease { config, name }) => {
             let done = format!("{name} goes on");
-            order(&config, ReleaseUpdate::Resume(name), &done)
+            send_release_update(&config, ReleaseUpdate::Resume(name), &done)
         }
         ReleaseCommand::Back(BackRelease { config, name }) => {
             let done = format!("{name} goes back");
-            order(&config, ReleaseUpdate::Rollback(name), &done)
+            send_release_update(&config, ReleaseUpdate::Rollback(name), &done)
         }
         ReleaseCommand::Settle(SettleRelease { config, name, who, moved }) => {
-            let OperatorReply::Releases(releases, _) = fleet(&config, &OperatorRequest::Releases, PATIENCE)?
+            let OperatorReply::Releases(releases, _) =
+                ask_fleet(&config, &OperatorRequest::Releases, REQUEST_TIMEOUT)?
             else {
-                return Err("the fleet does not tell its releases".to_string());
+                return Err("the fleet did not list its releases".to_string());
             };
             let release = releases.iter().find(|release| release.plan.name == name);
-            let going = release.and_then(|release| release.steps.get(&who)?.transition);
-            let Some(going) = going else { return Err(format!("{who} is not under way in {name}")) };
-            let done = format!("{who} is not under way any more");
-            order(
+            let transition = release.and_then(|release| release.steps.get(&who)?.transition);
+            let Some(transition) = transition else {
+                return Err(format!("{who} has no step in progress in {name}"));
+            };
+            let done = format!("the step of {who} is settled");
+            send_release_update(
                 &config,
                 ReleaseUpdate::FinishTransition {
                     release: name,
                     target: who,
-                    started_at: going.started_at,
+                    started_at: transition.started_at,
                     reached: moved,
                 },
                 &done,
@@ -700,26 +712,32 @@
         }
         ReleaseCommand::End(EndRelease { config, name }) => {
             let done = format!("{name} has ended");
-            order(&config, ReleaseUpdate::End(name, "by an operator".to_string()), &done)
+            send_release_update(&config, ReleaseUpdate::End(name, "by an operator".to_string()), &done)
         }
     }
 }
 
 fn endpoint(config: &Path, name: String, out: bool, anyway: Option<String>) -> Result<u8, String> {
-    match fleet(config, &OperatorRequest::Endpoint { name: name.clone(), out, force: anyway }, PATIENCE)? {
+    match ask_fleet(
+        config,
+        &OperatorRequest::Endpoint { name: name.clone(), out, force: anyway },
+        REQUEST_TIMEOUT,
+    )? {
         OperatorReply::Done if out => {
-            show(false, &(), || format!("{name} is out of service; outs says once it is empty"))
+            print_output(false, &(), || format!("{name} is out of service; outs shows when it is empty"))
+        }
+        OperatorReply::Done => {
+            print_output(false, &(), || format!("{name} is in service, if the list has it"))
         }
-        OperatorReply::Done => show(false, &(), || format!("{name} is in service, if the list has it")),
-        other => unexpected(other),
+        other => unexpected_reply(other),
     }
 }
 
-fn random() -> Result<u64, String> {
+fn random_u64() -> Result<u64, String> {
     getrandom::u64().map_err(|e| format!("no random number: {e}"))
 }
 
-struct Wish {
+struct WriteOptions {
     scope: Scope,
     expects: Option<Version>,
     by: String,
@@ -729,68 +747,73 @@
     json: bool,
 }
 
-fn write(config: &Path, what: SettingsChange, wish: Wish) -> Result<u8, String> {
-    let id = match &wish.id {
-        None => WriteId(random()?, random()?),
+fn write(config: &Path, what: SettingsChange, options: WriteOptions) -> Result<u8, String> {
+    let id = match &options.id {
+        None => WriteId(random_u64()?, random_u64()?),
         Some(text) => {
             let parts =
                 text.split_once('-').map(|(a, b)| (u64::from_str_radix(a, 16), u64::from_str_radix(b, 16)));
             let Some((Ok(one), Ok(other))) = parts else {
-                return Err(format!("--id: expected an id as it was told, not '{text}'"));
+                return Err(format!("--id: expected an id as printed by an earlier command, not '{text}'"));
             };
             WriteId(one, other)
         }
     };
     let at_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    let by = if wish.by.is_empty() { std::env::var("USER").unwrap_or_default() } else { wish.by };
+    let by = if options.by.is_empty() { std::env::var("USER").unwrap_or_default() } else { options.by };
     let write =
-        Write { id, expected_version: wish.expects, author: by, reason: wish.why, at_ms, change: what };
-    // What is for all is asked as ever, which daemons of an older version know too.
-    let ask = match wish.scope.clone() {
+        Write { id, expected_version: options.expects, author: by, reason: options.why, at_ms, change: what };
+    // A write for the whole fleet uses the request that daemons of an older version know too.
+    let request = match options.scope.clone() {
         Scope::All => OperatorRequest::Write(write),
         scope => OperatorRequest::WriteScoped { scope, write },
     };
-    // Danger: a write that nobody has taken has no effect, one that may have been taken may still have one.
-    let reply = fleet(config, &ask, Duration::from_secs(wish.seconds));
+    // Danger: only a write that no daemon can have accepted is refused for certain. One that a daemon may have accepted may
+    // still take effect, so its outcome is unknown.
+    let reply = ask_fleet(config, &request, Duration::from_secs(options.seconds));
     let id = format!("{:x}-{:x}", id.0, id.1);
-    let (word, detail, status) = match reply {
+    let (outcome, detail, status) = match reply {
         Ok(OperatorReply::Committed(version)) => ("committed", version.to_string(), 0),
         Ok(OperatorReply::Refused(why) | OperatorReply::Invalid(why)) => ("refused", why, REFUSED),
         Ok(OperatorReply::Unknown(why)) => ("unknown", why, UNKNOWN),
         Err(why) => ("refused", why, REFUSED),
-        Ok(other) => return unexpected(other),
+        Ok(other) => return unexpected_reply(other),
     };
-    let mut told = serde_json::json!({"outcome": word, "detail": detail, "id": id});
+    let mut output = serde_json::json!({"outcome": outcome, "detail": detail, "id": id});
     let mut more = String::new();
-    if word == "committed"
-        && wish.scope != Scope::All
-        && let Ok(OperatorReply::Scopes(rows)) = fleet(config, &OperatorRequest::Scopes, PATIENCE)
-        && let Some(row) = rows.iter().find(|row| row.scope == wish.scope)
+    if outcome == "committed"
+        && options.scope != Scope::All
+        && let Ok(OperatorReply::Scopes(rows)) = ask_fleet(config, &OperatorRequest::Scopes, REQUEST_TIMEOUT)
+        && let Some(row) = rows.iter().find(|row| row.scope == options.scope)
     {
-        told["members"] = row.members.into();
+        output["members"] = row.members.into();
         if row.members == 0 {
-            more = format!("\nnobody that is heard now belongs to {}", wish.scope);
+            more = format!("\nnobody that is heard now belongs to {}", options.scope);
         }
     }
-    show(wish.json, &told, || match word {
-        "unknown" => format!("unknown: {detail}\nsay it again with --id {id}: it takes effect once"),
-        _ => format!("{word}: {detail}{more}"),
+    print_output(options.json, &output, || match outcome {
+        "unknown" => format!("unknown: {detail}\nrepeat it with --id {id}: it takes effect once"),
+        _ => format!("{outcome}: {detail}{more}"),
     })?;
     Ok(status)
 }
 
-/// Whether any other daemon serves this fleet: a second one beside it would have two truths.
-fn nobody_serves(configuration: &Configuration, anyway: bool) -> Result<(), String> {
-    for (place, at) in configuration.others() {
+/// Refuses if another daemon already serves this fleet: a second fleet of the same name would have a state of its own.
+fn ensure_no_other_daemon_serves(configuration: &Configuration, anyway: bool) -> Result<(), String> {
+    for (place, at) in configuration.other_daemons() {
         let mut sent = false;
-        if let Ok(OperatorReply::Status(status)) =
-            ask::one(at, &configuration.fleet, &OperatorRequest::Status, PATIENCE / 10, &mut sent)
-            && !status.voters.is_empty()
+        if let Ok(OperatorReply::Status(status)) = client::ask_daemon(
+            at,
+            &configuration.fleet,
+            &OperatorRequest::Status,
+            REQUEST_TIMEOUT / 10,
+            &mut sent,
+        ) && !status.voters.is_empty()
             && !anyway
         {
             return Err(format!(
                 "place {place} at {at} serves fleet {} already: serve with an empty folder to join it; \
-                 say --anyway to have a second fleet of this name",
+                 pass --anyway to create a second fleet of this name",
                 configuration.fleet
             ));
         }
@@ -798,24 +821,24 @@
     Ok(())
 }
 
-fn found(config: &Path, state: Option<Fleet>, anyway: bool) -> Result<u8, String> {
+fn create_fleet(config: &Path, state: Option<Fleet>, anyway: bool) -> Result<u8, String> {
     let configuration = Configuration::read(config)?;
     configuration.template()?;
-    nobody_serves(&configuration, anyway)?;
-    let (mut folder, kept, _) =
-        Folder::open(&configuration.folder, &configuration.fleet, configuration.place)
+    ensure_no_other_daemon_serves(&configuration, anyway)?;
+    let (mut folder, persisted, _) =
+        Folder::open(&configuration.folder, &configuration.fleet, configuration.replica_id)
             .map_err(|e| e.to_string())?;
-    folder.found(&kept, state).map_err(|e| e.to_string())?;
-    println!("fleet {} begins with replica {}; the other daemons join it", configuration.fleet, folder.id);
+    folder.bootstrap(&persisted, state).map_err(|e| e.to_string())?;
+    println!("fleet {} created with replica {}; the other daemons join it", configuration.fleet, folder.id);
     Ok(0)
 }
 
 fn backup(config: &Path, file: &Path) -> Result<u8, String> {
-    let named = |e: std::io::Error| format!("{}: {e}", file.display());
-    let reply = fleet(config, &OperatorRequest::Backup, PATIENCE)?;
-    let OperatorReply::Backup(bytes) = reply else { return unexpected(reply) };
-    let mut out = fs::OpenOptions::new().write(true).create_new(true).open(file).map_err(named)?;
-    out.write_all(&bytes).and_then(|()| out.sync_all()).map_err(named)?;
+    let with_path = |e: std::io::Error| format!("{}: {e}", file.display());
+    let reply = ask_fleet(config, &OperatorRequest::Backup, REQUEST_TIMEOUT)?;
+    let OperatorReply::Backup(bytes) = reply else { return unexpected_reply(reply) };
+    let mut out = fs::OpenOptions::new().write(true).create_new(true).open(file).map_err(with_path)?;
+    out.write_all(&bytes).and_then(|()| out.sync_all()).map_err(with_path)?;
     let fleet = Fleet::from_bytes(&bytes)?;
     println!(
         "version {}, {} members, up to entry {}",
@@ -826,7 +849,7 @@
     Ok(0)
 }
 
-/// What a member belongs to, in words; nothing for one without a locality.
+/// A member's locality for the text output; empty for a member without one.
 fn locality_line(locality: &Locality) -> String {
     let Locality { service, zone, region } = locality;
     let named = [("service", service), ("zone", zone), ("region", region)];
@@ -834,13 +857,13 @@
 }
 
 fn members(config: &Path, json: bool) -> Result<u8, String> {
-    let rows = match fleet(config, &OperatorRequest::Members, PATIENCE)? {
+    let rows = match ask_fleet(config, &OperatorRequest::Members, REQUEST_TIMEOUT)? {
         OperatorReply::Members(rows) => rows,
-        other => return unexpected(other),
+        other => return unexpected_reply(other),
     };
-    // A daemon of an older version knows none.
+    // A daemon of an older version does not support this request.
     let localities: BTreeMap<String, Locality> =
-        match fleet(config, &OperatorRequest::Localities, PATIENCE / 5) {
+        match ask_fleet(config, &OperatorRequest::Localities, REQUEST_TIMEOUT / 5) {
             Ok(OperatorReply::Localities(rows)) => rows.into_iter().collect(),
             _ => BTreeMap::new(),
         };
@@ -852,19 +875,19 @@
         belongs: Option<&'a Locality>,
     }
     let belongs = |row: &MemberRow| localities.get(&row.name);
-    let told: Vec<Row> = rows.iter().map(|row| Row { row, belongs: belongs(row) }).collect();
-    show(json, &told, || {
+    let output: Vec<Row> = rows.iter().map(|row| Row { row, belongs: belongs(row) }).collect();
+    print_output(json, &output, || {
         let line = |row: &MemberRow| {
             let version = row.version.map_or("-".to_string(), |version| version.to_string());
-            let (name, standing) = (&row.name, row.status.name());
+            let (name, status) = (&row.name, row.status.name());
             let belongs = belongs(row).map(locality_line).unwrap_or_default();
-            format!("{name} {standing} version {version} incarnation {}{belongs}\n", row.incarnation)
+            format!("{name} {status} version {version} incarnation {}{belongs}\n", row.incarnation)
         };
         rows.iter().map(line).collect()
     })
 }
 
-/// A scope's row for tools: the scope as it is named on the command line.
+/// A scope's row for JSON output, with the scope as it is named on the command line.
 fn scope_row(row: &ScopeRow) -> serde_json::Value {
     serde_json::json!({
         "scope": row.scope.to_string(),
@@ -897,43 +920,47 @@
 ) -> Result<u8, String> {
     if let Some(name) = member {
         if version.is_some() || scope != Scope::All {
-            return Err("--of: what holds for a member has no --version and no --for".to_string());
+            return Err("--of: cannot be combined with --version or --for".to_string());
         }
-        return match fleet(config, &OperatorRequest::MemberSettings(name.clone()), PATIENCE)? {
+        return match ask_fleet(config, &OperatorRequest::MemberSettings(name.clone()), REQUEST_TIMEOUT)? {
             OperatorReply::Merged(Some(merged)) => {
                 if merged.locality.is_none() {
-                    eprintln!("{name} has not said what it belongs to");
+                    eprintln!("{name} has not reported its locality");
                 }
                 let of: Vec<_> =
                     merged.sources.iter().map(|(of, version)| (of.to_string(), version)).collect();
-                let told = serde_json::json!({"version": merged.version, "settings": merged.settings,
+                let output = serde_json::json!({"version": merged.version, "settings": merged.settings,
                     "belongs": merged.locality, "of": of});
-                show(json, &told, || merged.settings.clone())
-            }
-            OperatorReply::Merged(None) => {
-                Err(format!("{name} is no member, or nothing is put that concerns it"))
+                print_output(json, &output, || merged.settings.clone())
             }
-            other => unexpected(other),
+            OperatorReply::Merged(None) => Err(format!("{name} is not a member, or no settings apply to it")),
+            other => unexpected_reply(other),
         };
     }
     let none = Err("there are no such settings".to_string());
     match scope {
-        Scope::All => match fleet(config, &OperatorRequest::Get(version), PATIENCE)? {
-            OperatorReply::Settings(Some(written)) => show(json, &written, || written.settings.clone()),
+        Scope::All => match ask_fleet(config, &OperatorRequest::Get(version), REQUEST_TIMEOUT)? {
+            OperatorReply::Settings(Some(written)) => {
+                print_output(json, &written, || written.settings.clone())
+            }
             OperatorReply::Settings(None) => none,
-            other => unexpected(other),
+            other => unexpected_reply(other),
         },
         scope => {
-            match fleet(config, &OperatorRequest::GetScoped { scope: scope.clone(), version }, PATIENCE)? {
+            match ask_fleet(
+                config,
+                &OperatorRequest::GetScoped { scope: scope.clone(), version },
+                REQUEST_TIMEOUT,
+            )? {
                 OperatorReply::Scoped(Some(scoped)) => match &scoped.settings {
-                    Some(settings) => show(json, &scoped, || settings.clone()),
-                    None if json => show(json, &scoped, String::new),
+                    Some(settings) => print_output(json, &scoped, || settings.clone()),
+                    None if json => print_output(json, &scoped, String::new),
                     None => {
                         Err(format!("what was put for {scope} was removed with version {}", scoped.version))
                     }
                 },
                 OperatorReply::Scoped(None) => none,
-                other => unexpected(other),
+                other => unexpected_reply(other),
             }
         }
     }
@@ -945,23 +972,23 @@
         format!("{version}{back}{what} by {by} at {at_ms} ms: {why}\n")
     };
     match scope {
-        Scope::All => match fleet(config, &OperatorRequest::History, PATIENCE)? {
-            OperatorReply::History(rows) => show(json, &rows, || {
+        Scope::All => match ask_fleet(config, &OperatorRequest::History, REQUEST_TIMEOUT)? {
+            OperatorReply::History(rows) => print_output(json, &rows, || {
                 rows.iter()
                     .map(|w| line(w.version, w.rollback_to, "", &w.author, w.at_ms, &w.reason))
                     .collect()
             }),
-            other => unexpected(other),
+            other => unexpected_reply(other),
         },
-        scope => match fleet(config, &OperatorRequest::ScopeHistory(scope), PATIENCE)? {
-            OperatorReply::ScopeHistory(rows) => show(json, &rows, || {
+        scope => match ask_fleet(config, &OperatorRequest::ScopeHistory(scope), REQUEST_TIMEOUT)? {
+            OperatorReply::ScopeHistory(rows) => print_output(json, &rows, || {
                 let row = |s: &ScopedSettings| {
                     let removed = if s.settings.is_none() { " removed" } else { "" };
                     line(s.version, s.rollback_to, removed, &s.author, s.at_ms, &s.reason)
                 };
                 rows.iter().map(row).collect()
             }),
-            other => unexpected(other),
+            other => unexpected_reply(other),
         },
     }
 }
@@ -971,10 +998,15 @@
     let mut rows = Vec::new();
     for daemon in &configuration.daemons {
         let mut sent = false;
-        let reply =
-            ask::one(daemon.address, &configuration.fleet, &OperatorRequest::Status, PATIENCE / 5, &mut sent);
+        let reply = client::ask_daemon(
+            daemon.address,
+            &configuration.fleet,
+            &OperatorRequest::Status,
+            REQUEST_TIMEOUT / 5,
+            &mut sent,
+        );
         rows.push((
-            daemon.place,
+            daemon.replica_id,
             match reply {
                 Ok(OperatorReply::Status(status)) => Ok(status),
                 Ok(other) => Err(format!("{other:?}")),
@@ -985,12 +1017,12 @@
     let leads = |row: &Result<appledyke_fleet::messages::Status, String>| {
         row.as_ref().is_ok_and(|status| status.role == "Leader")
     };
-    // Of the scopes the leader can say; where none leads nobody is waited for.
+    // Only the leader knows the scopes; without a leader the request would wait in vain.
     let scopes = match rows.iter().any(|(_, row)| leads(row)) && !json {
-        true => fleet(config, &OperatorRequest::Scopes, PATIENCE / 5).ok(),
+        true => ask_fleet(config, &OperatorRequest::Scopes, REQUEST_TIMEOUT / 5).ok(),
         false => None,
     };
-    show(json, &rows, || {
+    print_output(json, &rows, || {
         let mut text = String::new();
         for (place, row) in &rows {
             match row {
@@ -1035,20 +1067,20 @@
     match command {
         Command::Serve(Serve { config, vouched }) => {
             let configuration = Configuration::read(&config)?;
-            log(configuration.log);
+            init_logging(configuration.log);
             Daemon::start(configuration, vouched)?.run().map(|()| 0)
         }
-        Command::Found(Found { config, anyway }) => found(&config, None, anyway),
+        Command::Found(Found { config, anyway }) => create_fleet(&config, None, anyway),
         Command::Check(Check { config }) => {
             let configuration = Configuration::read(&config)?;
             configuration.template()?;
-            let (place, count) = (configuration.place, configuration.daemons.len());
+            let (place, count) = (configuration.replica_id, configuration.daemons.len());
             println!(
                 "place {place} of {count} of fleet {}, listens on {}",
                 configuration.fleet, configuration.listen
             );
             if count % 2 == 0 {
-                println!("warning: {count} daemons bear no more failures than {}", count - 1);
+                println!("warning: {count} daemons tolerate no more failures than {}", count - 1);
             }
             Ok(0)
         }
@@ -1058,8 +1090,8 @@
             get(&config, version, scope, member, json)
         }
         Command::Budgets(ShowBudgets { config, json }) => {
-            match fleet(&config, &OperatorRequest::Budgets, PATIENCE)? {
-                OperatorReply::Budgets(rows) => show(json, &rows, || {
+            match ask_fleet(&config, &OperatorRequest::Budgets, REQUEST_TIMEOUT)? {
+                OperatorReply::Budgets(rows) => print_output(json, &rows, || {
                     let row = |row: &appledyke_fleet::messages::BudgetRow| {
                         let b = &row.budget;
                         let over = if row.excess > 0 {
@@ -1081,81 +1113,90 @@
                     };
                     rows.iter().map(row).collect()
                 }),
-                other => unexpected(other),
+                other => unexpected_reply(other),
             }
         }
-        Command::Out(TakeEndpoint { config, name, anyway }) => endpoint(&config, name, true, anyway),
-        Command::In(PutEndpoint { config, name }) => endpoint(&config, name, false, None),
+        Command::Out(DrainEndpoint { config, name, anyway }) => endpoint(&config, name, true, anyway),
+        Command::In(ReturnEndpoint { config, name }) => endpoint(&config, name, false, None),
         Command::Release(Release { what }) => release(what),
         Command::Agent(RunAgent { config, who }) => {
             let configuration = Configuration::read(&config)?;
-            log(configuration.log);
-            let daemons = configuration.daemons.iter().map(|daemon| (daemon.place, daemon.address)).collect();
-            let (fleet, token) = (configuration.fleet.clone(), random()?);
-            Agent { daemons, fleet, who, token }.run();
+            init_logging(configuration.log);
+            let daemons =
+                configuration.daemons.iter().map(|daemon| (daemon.replica_id, daemon.address)).collect();
+            let (fleet, token) = (configuration.fleet.clone(), random_u64()?);
+            Agent { daemons, fleet, target: who, token }.run();
             Ok(0)
         }
-        Command::Outs(ShowOuts { config, json }) => {
-            match fleet(&config, &OperatorRequest::DrainedEndpoints, PATIENCE)? {
-                OperatorReply::DrainedEndpoints(rows) => show(json, &rows, || {
+        Command::Outs(ShowDrained { config, json }) => {
+            match ask_fleet(&config, &OperatorRequest::DrainedEndpoints, REQUEST_TIMEOUT)? {
+                OperatorReply::DrainedEndpoints(rows) => print_output(json, &rows, || {
                     let row = |(name, holders): &(String, Vec<String>)| match holders.len() {
                         0 => format!("{name}: empty\n"),
                         _ => format!("{name}: held, or not known to be empty, by {}\n", holders.join(", ")),
                     };
                     rows.iter().map(row).collect()
                 }),
-                other => unexpected(other),
+                other => unexpected_reply(other),
             }
         }
         Command::Forget(Forget { config, name }) => {
-            match fleet(&config, &OperatorRequest::Forget(name.clone()), PATIENCE)? {
-                OperatorReply::Done => show(false, &(), || format!("{name} is no member any more")),
-                other => unexpected(other),
+            match ask_fleet(&config, &OperatorRequest::Forget(name.clone()), REQUEST_TIMEOUT)? {
+                OperatorReply::Done => print_output(false, &(), || format!("{name} is no longer a member")),
+                other => unexpected_reply(other),
             }
         }
         Command::Ended(Ended { config, name, incarnation }) => {
-            match fleet(&config, &OperatorRequest::MarkEnded { name: name.clone(), incarnation }, PATIENCE)? {
-                OperatorReply::Done => show(false, &(), || format!("what {name} held is free")),
-                other => unexpected(other),
+            match ask_fleet(
+                &config,
+                &OperatorRequest::MarkEnded { name: name.clone(), incarnation },
+                REQUEST_TIMEOUT,
+            )? {
+                OperatorReply::Done => print_output(false, &(), || format!("the shares of {name} are free")),
+                other => unexpected_reply(other),
             }
         }
         Command::History(History { config, scope, json }) => history(&config, scope, json),
         Command::Put(Put { config, file, scope, expects, by, why, id, seconds, json }) => {
             let mut settings = String::new();
-            let named = |e: std::io::Error| format!("{}: {e}", file.display());
+            let with_path = |e: std::io::Error| format!("{}: {e}", file.display());
             if file == Path::new("-") {
                 if std::io::stdin().is_terminal() {
                     eprintln!("reading settings from standard input");
                 }
-                std::io::stdin().read_to_string(&mut settings).map_err(named)?;
+                std::io::stdin().read_to_string(&mut settings).map_err(with_path)?;
             } else {
-                settings = fs::read_to_string(&file).map_err(named)?;
+                settings = fs::read_to_string(&file).map_err(with_path)?;
             }
-            // What is put for a scope has none of its own, and is refused as it stands.
+            // Settings of a scope have no budgets or groups; the daemon refuses a file that holds them.
             let (settings, budgets, groups) = match scope {
-                Scope::All => parted(&settings)?,
+                Scope::All => split_settings(&settings)?,
                 _ => (settings, Vec::new(), Vec::new()),
             };
-            let wish = Wish { scope, expects, by, why, id, seconds, json };
-            write(&config, SettingsChange::Put(settings, budgets, groups), wish)
-        }
-        Command::Rollback(Rollback { config, to, scope, expects, by, why, id, seconds, json }) => {
-            write(&config, SettingsChange::Rollback(to), Wish { scope, expects, by, why, id, seconds, json })
-        }
-        Command::Remove(Remove { config, scope, expects, by, why, id, seconds, json }) => {
-            write(&config, SettingsChange::Remove, Wish { scope, expects, by, why, id, seconds, json })
+            let options = WriteOptions { scope, expects, by, why, id, seconds, json };
+            write(&config, SettingsChange::Put(settings, budgets, groups), options)
         }
+        Command::Rollback(Rollback { config, to, scope, expects, by, why, id, seconds, json }) => write(
+            &config,
+            SettingsChange::Rollback(to),
+            WriteOptions { scope, expects, by, why, id, seconds, json },
+        ),
+        Command::Remove(Remove { config, scope, expects, by, why, id, seconds, json }) => write(
+            &config,
+            SettingsChange::Remove,
+            WriteOptions { scope, expects, by, why, id, seconds, json },
+        ),
         Command::Scopes(ShowScopes { config, json }) => {
-            match fleet(&config, &OperatorRequest::Scopes, PATIENCE)? {
+            match ask_fleet(&config, &OperatorRequest::Scopes, REQUEST_TIMEOUT)? {
                 OperatorReply::Scopes(rows) => {
-                    show(json, &rows.iter().map(scope_row).collect::<Vec<_>>(), || {
+                    print_output(json, &rows.iter().map(scope_row).collect::<Vec<_>>(), || {
                         if rows.is_empty() {
                             return "nothing was ever put".to_string();
                         }
                         rows.iter().map(scope_line).collect()
                     })
                 }
-                other => unexpected(other),
+                other => unexpected_reply(other),
             }
         }
         Command::Backup(Backup { config, file }) => backup(&config, &file),
@@ -1163,19 +1204,24 @@
             let bytes = fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
             let state = Fleet::from_bytes(&bytes).map_err(|what| format!("{}: {what}", file.display()))?;
             let generation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-            found(&config, Some(state.restored(generation)), anyway)
+            create_fleet(&config, Some(state.restored(generation)), anyway)
         }
         Command::HandOver(HandOver { config, to }) => {
-            match fleet(&config, &OperatorRequest::TransferLeadership(to), PATIENCE)? {
-                OperatorReply::Done => show(false, &(), || format!("place {to} is asked to lead")),
-                other => unexpected(other),
+            match ask_fleet(&config, &OperatorRequest::TransferLeadership(to), REQUEST_TIMEOUT)? {
+                OperatorReply::Done => print_output(false, &(), || format!("place {to} is asked to lead")),
+                other => unexpected_reply(other),
             }
         }
         Command::TakeOut(TakeOut { config, place, anyway }) => {
-            match fleet(&config, &OperatorRequest::RemoveReplica { replica: place, force: anyway }, PATIENCE)?
-            {
-                OperatorReply::Done => show(false, &(), || format!("place {place} votes no more")),
-                other => unexpected(other),
+            match ask_fleet(
+                &config,
+                &OperatorRequest::RemoveReplica { replica: place, force: anyway },
+                REQUEST_TIMEOUT,
+            )? {
+                OperatorReply::Done => {
+                    print_output(false, &(), || format!("place {place} is no longer a voter"))
+                }
+                other => unexpected_reply(other),
             }
         }
         Command::Version(ShowVersion {}) => {
@@ -1186,7 +1232,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(argh::from_env::<Line>().command) {
+    match run(argh::from_env::<Arguments>().command) {
         Ok(status) => ExitCode::from(status),
         Err(what) => {
             eprintln!("appledyke-daemon: {what}");
--- a/crates/daemon/src/serve.rs
+++ b/crates/daemon/src/serve.rs
@@ -1,4 +1,5 @@
-//! The loop: poll, take the time once, tick, feed what was heard, carry out what the replica and the fleet's state say.
+//! The event loop: polls, reads the clock once, advances the replica's ticks, handles received frames, and carries out what
+//! the replica and the fleet's state ask for.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -28,85 +29,87 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 use crate::configuration::Configuration;
-use crate::folder::{Closed, Folder};
+use crate::folder::{Folder, OpenError};
 
 mod connections;
 mod members;
 mod operators;
+mod replication;
 mod scopes;
-mod work;
 
 const LISTENER: Token = Token(0);
 const SIGNALS: Token = Token(1);
-const EVENTS: usize = 512;
-/// A replica's tick: a tenth of the shortest beat that is of use on one machine.
+const EVENT_CAPACITY: usize = 512;
+/// The replica's tick: a tenth of the shortest heartbeat interval that is useful on one machine.
 const TICK: Span = Span::from_millis(5);
-/// Between two looks at all that is not told by an event.
-const LOOK: Span = Span::from_millis(50);
-/// Bytes read at a time.
-const READ_MOST: usize = 256 * 1024;
-/// Bytes that may wait for a peer: two of the largest frames. One that takes no more is cut off.
-const UNSENT_MOST: usize = 64 << 20;
-/// Connections at once: a large fleet's sidecars, and some.
-const CONNECTIONS_MOST: usize = 12_000;
-/// Connections that may wait to be taken: all that there may be, as members come together when a leader is lost. The system
-/// has a bound of its own.
-const BACKLOG: i32 = CONNECTIONS_MOST as i32;
-/// In which a greeting must have come.
-const GREETING_IN: Span = Span::from_millis(3000);
-/// Wait before a daemon that was not reached is tried again.
-const DIAL_AGAIN: Span = Span::from_millis(200);
-/// How long a connection that was dialed is kept where it speaks an older version, until a later one is tried again.
-const OLDER: Span = Span::from_millis(30_000);
-/// Elections for which a peer may take nothing of what waits for it.
-const STUCK_ELECTIONS: f64 = 5.0;
-/// Wait before a folder is opened again after its disk failed.
-const REOPEN: Span = Span::from_millis(1000);
-/// Comparisons of the state that are kept: daemons reach the same entry at different moments.
-const MARKS_MOST: usize = 8;
+/// Interval of the periodic work that no event triggers.
+const MAINTENANCE_INTERVAL: Span = Span::from_millis(50);
+/// Bytes read from a connection at a time.
+const MAX_READ_BYTES: usize = 256 * 1024;
+/// Unsent bytes a connection may have: two of the largest frames. A connection with more is closed.
+const MAX_UNSENT_BYTES: usize = 64 << 20;
+/// Concurrent connections: the sidecars of a large fleet, and some more.
+const MAX_CONNECTIONS: usize = 12_000;
+/// Connections waiting to be accepted: as many as there may be in all, because all members connect at once when a leader is
+/// lost. The operating system has a limit of its own (`somaxconn`).
+const LISTEN_BACKLOG: i32 = MAX_CONNECTIONS as i32;
+/// Time within which an accepted connection has to send its hello.
+const HELLO_TIMEOUT: Span = Span::from_millis(3000);
+/// Delay before a daemon that could not be reached is dialed again.
+const REDIAL_DELAY: Span = Span::from_millis(200);
+/// Time after which a dialed connection with an older protocol version is closed, so that the current version is tried again.
+const OLDER_VERSION_RECHECK: Span = Span::from_millis(30_000);
+/// Election timeouts for which a peer may leave queued bytes unread before its connection is closed.
+const MAX_STALLED_ELECTIONS: f64 = 5.0;
+/// Delay before the data folder is opened again after its disk failed.
+const REOPEN_DELAY: Span = Span::from_millis(1000);
+/// Entries whose state digests are kept: replicas apply the same entry at different times.
+const MAX_DIGEST_ENTRIES: usize = 8;
 
-/// Danger: with the usual backlog of 128 most members of a large fleet that come together are dropped by the system without a
-/// word, and each tries again after a second, then two more, while its patience is over before.
+/// Danger: with the usual backlog of 128, the operating system silently drops most members of a large fleet that connect at
+/// once. TCP retries after one second, then after two more, while the member's own timeout expires first.
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     Ok(TcpListener::from_std(socket.into()))
 }
 
 struct Peer {
     connection: Connection,
     frames: FrameReader,
-    since: Moment,
-    /// When nothing waited to be sent last.
-    clear: Moment,
-    who: Option<Initiator>,
-    /// The version that this side has greeted with or would, and from the other's greeting on that of the connection.
-    speaks: u16,
-    /// What a member belongs to, as it has said.
+    /// Creation of the connection, or the latest report or request on it.
+    last_activity: Moment,
+    /// When the send queue was last empty.
+    last_flushed: Moment,
+    initiator: Option<Initiator>,
+    /// The version that this side offers, and from the peer's hello on the one negotiated for the connection.
+    protocol_version: u16,
+    /// The locality that a member has reported.
     locality: Locality,
-    /// The place that this connection was opened to.
+    /// The replica id that this connection was opened to; none for an accepted connection.
     dialed: Option<u16>,
-    /// Up to where a member has heard, and which process of it this is.
+    /// How far the member has read the evidence.
     cursor: Cursor,
+    /// The incarnation in the member's latest report.
     incarnation: u64,
-    /// How others' records are coded for a member.
+    /// Encodes other members' evidence for this member.
     encoder: Encoder,
 }
 
 impl Peer {
-    fn new(connection: Connection, now: Moment, dialed: Option<u16>, speaks: u16) -> Peer {
+    fn new(connection: Connection, now: Moment, dialed: Option<u16>, protocol_version: u16) -> Peer {
         let (frames, cursor, locality) = (FrameReader::default(), Cursor::default(), Locality::default());
-        let (who, incarnation) = (None, 0);
+        let (initiator, incarnation) = (None, 0);
         Peer {
             connection,
             frames,
-            since: now,
-            clear: now,
-            who,
-            speaks,
+            last_activity: now,
+            last_flushed: now,
+            initiator,
+            protocol_version,
             locality,
             dialed,
             cursor,
@@ -116,177 +119,189 @@
     }
 }
 
-/// A replica, from the opening of its folder to its end.
-struct Life {
+/// A running replica, from the opening of its folder until it stops serving.
+struct ActiveReplica {
     folder: Folder,
     replica: Replica,
     fleet: Fleet,
-    heard: Option<MemberTracker>,
-    /// What each member that was heard since this replica leads says it belongs to, where it says so.
+    /// Set on the leader alone, as are `allocator` and `runner`.
+    tracker: Option<MemberTracker>,
+    /// The localities that members have reported since this replica became leader.
     localities: BTreeMap<String, Locality>,
-    /// What is merged of several scopes, for members.
-    texts: scopes::Texts,
-    /// Up to where a write of settings may be under way that this replica proposed or came to lead with, and whether such a
-    /// one may be for a scope.
-    unsettled: (Index, bool),
-    divider: Option<Allocator>,
+    /// Caches the settings merged from several scopes.
+    merged_settings: scopes::MergedSettingsCache,
+    /// The last entry that may hold an unapplied settings write, proposed by this replica or already in its log when it
+    /// became leader; and whether such a write may be for a scope.
+    pending_settings: (Index, bool),
+    allocator: Option<Allocator>,
     runner: Option<ReleaseRunner>,
-    /// The endpoints that members are to look for, as of a version of the settings, and the mark of these.
-    looks: Option<(Version, (u64, Vec<String>))>,
-    compacted: Index,
+    /// The settings version that the watch list was made from, the hash of the list, and the endpoints in it.
+    watch_list: Option<(Version, (u64, Vec<String>))>,
+    compacted_index: Index,
 }
 
-impl Life {
-    /// The endpoints that members are to look for, found anew for other settings only: each report asks.
-    fn looks(&mut self) -> &(u64, Vec<String>) {
+impl ActiveReplica {
+    /// The endpoints that members are to watch. Cached per settings version, because every report needs it.
+    fn watch_list(&mut self) -> &(u64, Vec<String>) {
         let version = self.fleet.version();
-        let kept = self.looks.take().filter(|(of, _)| *of == version);
-        &self.looks.insert(kept.unwrap_or_else(|| (version, self.fleet.watch_list()))).1
+        let cached = self.watch_list.take().filter(|(of, _)| *of == version);
+        &self.watch_list.insert(cached.unwrap_or_else(|| (version, self.fleet.watch_list()))).1
     }
 }
 
-/// Whom a proposal's fate is to be told.
+/// Who is to be notified of the outcome of a proposal.
 #[derive(Clone, Copy)]
-enum Whom {
+enum Requester {
     Operator {
         number: u64,
     },
-    /// A member that asks whether it may go out.
+    /// A member that asks whether it may drain.
     Member {
-        ask: u64,
+        request: u64,
     },
 }
 
-struct Waiting {
+/// A requester that waits for the entry proposed at an index.
+struct PendingProposal {
     term: Term,
     key: Key,
-    whom: Whom,
+    requester: Requester,
 }
 
 pub struct Daemon {
     configuration: Configuration,
     template: Value,
-    vouched: bool,
+    trust_folder: bool,
     poll: Poll,
     signals: Signals,
     listener: TcpListener,
     start: Instant,
     now: Moment,
     next_tick: Moment,
-    next_look: Moment,
+    next_maintenance: Moment,
     peers: Slots<Peer>,
     dials: BTreeMap<u16, (SocketAddr, Option<Key>, Moment)>,
-    /// The version that each place is greeted with next.
-    greetings: BTreeMap<u16, VersionNegotiation>,
-    life: Option<Life>,
-    /// Why it does not serve.
-    apart: Option<String>,
-    reopen: Moment,
+    /// The protocol version that each replica is offered next.
+    negotiations: BTreeMap<u16, VersionNegotiation>,
+    active: Option<ActiveReplica>,
+    /// Why this daemon does not serve, as its status says.
+    not_serving_reason: Option<String>,
+    /// When the folder may be opened again.
+    reopen_at: Moment,
     evidence: EvidenceStore,
-    heard_records: u64,
-    tickets: u64,
-    reads: BTreeMap<u64, (Key, u64, OperatorRequest)>,
-    /// Reports that ask for grants, and those for which a majority is asked whether this replica leads still.
-    reports: Vec<(Key, Report)>,
-    confirming: Option<(u64, Vec<(Key, Report)>)>,
-    writes: BTreeMap<Index, Vec<Waiting>>,
-    /// Writes of settings that wait until another one's fate is known.
-    held: VecDeque<(Key, u64, OperatorRequest)>,
-    /// The one that is being checked.
-    checking: Option<scopes::Checking>,
-    /// Digests of the state after some entries, by place.
-    marks: BTreeMap<Index, BTreeMap<u16, u64>>,
+    evidence_records: u64,
+    next_read_id: u64,
+    /// Operator requests that wait for a linearizable read, by read id.
+    pending_reads: BTreeMap<u64, (Key, u64, OperatorRequest)>,
+    /// Reports that need grants and wait for the next leadership check; `leadership_check` holds the read id of the one under
+    /// way, in which a majority confirms that this replica still leads, and its reports.
+    pending_reports: Vec<(Key, Report)>,
+    leadership_check: Option<(u64, Vec<(Key, Report)>)>,
+    pending_proposals: BTreeMap<Index, Vec<PendingProposal>>,
+    /// Settings writes that wait for the outcome of an earlier one.
+    queued_writes: VecDeque<(Key, u64, OperatorRequest)>,
+    /// The settings write that is being validated.
+    validation: Option<scopes::Validation>,
+    /// State digests after some entries, by replica id.
+    digests: BTreeMap<Index, BTreeMap<u16, u64>>,
     role: Option<Role>,
-    /// Until when it waits for another to lead.
-    leaving: Option<Moment>,
+    /// Until when a daemon that shuts down waits for another replica to take over leadership.
+    shutdown_deadline: Option<Moment>,
 }
 
 impl Daemon {
+    /// Opens the data folder and the listener.
+    ///
     /// # Errors
-    /// What can't be opened, with its key where it has one.
-    pub fn start(configuration: Configuration, vouched: bool) -> Result<Daemon, String> {
+    /// What could not be opened, with its configuration key where it has one.
+    pub fn start(configuration: Configuration, trust_folder: bool) -> Result<Daemon, String> {
         let template = configuration.template()?;
         let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
         let mut signals = Signals::new([SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))?;
         poll.registry()
             .register(&mut signals, SIGNALS, Interest::READABLE)
             .map_err(|e| format!("signals: {e}"))?;
-        let told = |e: io::Error| format!("listen: {}: {e}", configuration.listen);
-        let mut listener = listen(configuration.listen).map_err(told)?;
-        poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(told)?;
+        let listen_error = |e: io::Error| format!("listen: {}: {e}", configuration.listen);
+        let mut listener = listen(configuration.listen).map_err(listen_error)?;
+        poll.registry().register(&mut listener, LISTENER, Interest::READABLE).map_err(listen_error)?;
         let now = Moment::default();
-        let dials = configuration.others().into_iter().map(|(place, at)| (place, (at, None, now))).collect();
+        let dials = configuration
+            .other_daemons()
+            .into_iter()
+            .map(|(replica_id, at)| (replica_id, (at, None, now)))
+            .collect();
         let mut daemon = Daemon {
             configuration,
             template,
-            vouched,
+            trust_folder,
             poll,
             signals,
             listener,
             start: Instant::now(),
             now,
             next_tick: now,
-            next_look: now,
+            next_maintenance: now,
             peers: Slots::default(),
             dials,
-            greetings: BTreeMap::new(),
-            life: None,
-            apart: None,
-            reopen: now,
+            negotiations: BTreeMap::new(),
+            active: None,
+            not_serving_reason: None,
+            reopen_at: now,
             evidence: EvidenceStore::default(),
-            heard_records: 0,
-            tickets: 0,
-            reads: BTreeMap::new(),
-            reports: Vec::new(),
-            confirming: None,
-            writes: BTreeMap::new(),
-            held: VecDeque::new(),
-            checking: None,
-            marks: BTreeMap::new(),
+            evidence_records: 0,
+            next_read_id: 0,
+            pending_reads: BTreeMap::new(),
+            pending_reports: Vec::new(),
+            leadership_check: None,
+            pending_proposals: BTreeMap::new(),
+            queued_writes: VecDeque::new(),
+            validation: None,
+            digests: BTreeMap::new(),
             role: None,
-            leaving: None,
+            shutdown_deadline: None,
         };
-        // A folder that is another's, or locked, is an operator's mistake, and told before anything is served.
-        if let Err(Closed::Refused(what)) = daemon.open() {
+        // A folder that is locked or belongs to another replica is an operator's mistake; report it before serving anything.
+        if let Err(OpenError::Refused(what)) = daemon.open() {
             return Err(format!("folder: {what}"));
         }
         let at = daemon.listener.local_addr().map_err(|e| format!("listen: {e}"))?;
-        let (place, fleet) = (daemon.configuration.place, &daemon.configuration.fleet);
-        tracing::info!(place, fleet, "place {place} of fleet {fleet} listens on {at}");
+        let (replica_id, fleet) = (daemon.configuration.replica_id, &daemon.configuration.fleet);
+        tracing::info!(place = replica_id, fleet, "place {replica_id} of fleet {fleet} listens on {at}");
         Ok(daemon)
     }
 
-    /// Serves until it is told to leave.
+    /// Serves until a signal asks for a shutdown.
     ///
     /// # Errors
-    /// What the system says when nothing can be waited for any more.
+    /// The operating system's error when polling fails.
     pub fn run(mut self) -> Result<(), String> {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
-            let next = self.next_tick.min(self.next_look);
+            let next = self.next_tick.min(self.next_maintenance);
             let wait = Duration::from_nanos(next.since(self.time()).nanos());
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 other => other.map_err(|e| format!("poll: {e}"))?,
             }
             self.now = self.time();
-            // Danger: one that was stopped must know that time has passed before it hears, and answers, anything.
-            self.ticks();
-            self.work();
+            // Danger: a process that was suspended has to advance its ticks before it handles any event, or it would answer as
+            // if no time had passed.
+            self.advance_ticks();
+            self.process_ready();
             for event in &events {
                 match event.token() {
                     LISTENER => self.accept(),
-                    SIGNALS => self.told(),
-                    token => Key::of_token(token).into_iter().for_each(|key| self.ready(key)),
+                    SIGNALS => self.on_signal(),
+                    token => Key::of_token(token).into_iter().for_each(|key| self.on_readable(key)),
                 }
             }
-            self.work();
-            if self.now >= self.next_look {
-                self.next_look = self.now + LOOK;
-                self.look();
-                self.work();
+            self.process_ready();
+            if self.now >= self.next_maintenance {
+                self.next_maintenance = self.now + MAINTENANCE_INTERVAL;
+                self.run_maintenance();
+                self.process_ready();
             }
-            if let Some(until) = self.leaving
+            if let Some(until) = self.shutdown_deadline
                 && (self.now >= until || self.role != Some(Role::Leader))
             {
                 tracing::info!("left");
@@ -299,159 +314,170 @@
         Moment::from_nanos(self.start.elapsed().as_nanos() as u64)
     }
 
-    fn in_ticks(millis: u64) -> u32 {
+    fn to_ticks(millis: u64) -> u32 {
         (Span::from_millis(millis).nanos() / TICK.nanos()).max(1) as u32
     }
 
-    fn ticks(&mut self) {
-        let most = 2 * Daemon::in_ticks(self.configuration.election_ms);
-        let mut ticks = 0;
+    fn advance_ticks(&mut self) {
+        let max_ticks = 2 * Daemon::to_ticks(self.configuration.election_ms);
+        let mut count = 0;
         while self.next_tick <= self.now {
-            self.next_tick = if ticks < most { self.next_tick + TICK } else { self.now + TICK };
-            ticks += 1;
-            self.life.iter_mut().for_each(|life| life.replica.tick());
+            self.next_tick = if count < max_ticks { self.next_tick + TICK } else { self.now + TICK };
+            count += 1;
+            self.active.iter_mut().for_each(|active| active.replica.tick());
         }
     }
 
-    // The folder, and the replica's lives.
+    // Opening, stopping and resetting the replica.
 
-    fn open(&mut self) -> Result<(), Closed> {
+    fn open(&mut self) -> Result<(), OpenError> {
         let c = &self.configuration;
-        let opened = match Folder::open(&c.folder, &c.fleet, c.place) {
-            Err(Closed::Damaged(what)) => {
-                let aside = Folder::set_aside(&c.folder)?;
-                tracing::error!("{what}: set aside as {}, comes back as another life", aside.display());
-                Folder::open(&c.folder, &c.fleet, c.place)
+        let opened = match Folder::open(&c.folder, &c.fleet, c.replica_id) {
+            Err(OpenError::Damaged(what)) => {
+                let backup_path = Folder::set_aside(&c.folder)?;
+                tracing::error!(
+                    "{what}: folder set aside as {}; starting with an empty folder and a new incarnation",
+                    backup_path.display()
+                );
+                Folder::open(&c.folder, &c.fleet, c.replica_id)
             }
             other => other,
         };
-        let (folder, kept, notes) = opened?;
+        let (folder, persisted, notes) = opened?;
         notes.iter().for_each(|note| tracing::warn!("{note}"));
         let settings = Settings {
             id: folder.id,
-            replica_ids: c.places(),
-            election_ticks: Daemon::in_ticks(c.election_ms),
-            heartbeat_ticks: Daemon::in_ticks(c.beat_ms),
+            replica_ids: c.replica_ids(),
+            election_ticks: Daemon::to_ticks(c.election_ms),
+            heartbeat_ticks: Daemon::to_ticks(c.heartbeat_ms),
             trailing_entries: c.compact_every,
-            trust_folder: std::mem::take(&mut self.vouched),
+            trust_folder: std::mem::take(&mut self.trust_folder),
         };
-        let seed = getrandom::u64().map_err(|e| Closed::Disk(format!("no random number: {e}")))?;
+        let seed = getrandom::u64().map_err(|e| OpenError::Disk(format!("no random number: {e}")))?;
         let id = folder.id;
-        let replica = Replica::new(settings, seed, kept);
-        tracing::info!(%id, last = replica.last_position().index, "replica {id} opens with entries up to {}", replica.last_position().index);
-        self.marks.clear();
-        self.life = Some(Life {
+        let replica = Replica::new(settings, seed, persisted);
+        tracing::info!(%id, last = replica.last_position().index, "replica {id} opened its folder with entries up to {}", replica.last_position().index);
+        self.digests.clear();
+        self.active = Some(ActiveReplica {
             folder,
             replica,
             fleet: Fleet::default(),
-            heard: None,
+            tracker: None,
             localities: BTreeMap::new(),
-            texts: scopes::Texts::default(),
-            unsettled: (0, false),
-            divider: None,
+            merged_settings: scopes::MergedSettingsCache::default(),
+            pending_settings: (0, false),
+            allocator: None,
             runner: None,
-            looks: None,
-            compacted: 0,
+            watch_list: None,
+            compacted_index: 0,
         });
-        self.apart = None;
+        self.not_serving_reason = None;
         Ok(())
     }
 
-    /// It does not serve from here on. Those that wait for it are told what it can say for sure.
-    fn close(&mut self, why: String) {
-        self.life = None;
-        (self.apart, self.reopen, self.role) = (Some(why), self.now + REOPEN, None);
-        self.unconfirmed();
-        for (_, (key, number, _)) in std::mem::take(&mut self.reads) {
+    /// Stops serving. Everyone who waits for an answer gets one that is certain to be true: not the leader for requests that
+    /// had no effect, unknown for those that may yet take effect.
+    fn stop_serving(&mut self, why: String) {
+        self.active = None;
+        (self.not_serving_reason, self.reopen_at, self.role) = (Some(why), self.now + REOPEN_DELAY, None);
+        self.answer_without_grants();
+        for (_, (key, number, _)) in std::mem::take(&mut self.pending_reads) {
             self.reply(key, number, OperatorReply::NotLeader(None));
         }
-        let checking = self.checking.take().map(|checking| checking.whose());
-        let held = std::mem::take(&mut self.held).into_iter().map(|(key, number, _)| (key, number));
-        for (key, number) in checking.into_iter().chain(held) {
+        let validation = self.validation.take().map(|validation| validation.requester());
+        let queued_writes =
+            std::mem::take(&mut self.queued_writes).into_iter().map(|(key, number, _)| (key, number));
+        for (key, number) in validation.into_iter().chain(queued_writes) {
             self.reply(key, number, OperatorReply::NotLeader(None));
         }
-        let writes = std::mem::take(&mut self.writes).into_values().flatten();
-        for Waiting { key, whom, .. } in writes {
-            if let Whom::Operator { number } = whom {
+        let writes = std::mem::take(&mut self.pending_proposals).into_values().flatten();
+        for PendingProposal { key, requester, .. } in writes {
+            if let Requester::Operator { number } = requester {
                 self.reply(key, number, OperatorReply::Unknown("the daemon stopped serving".to_string()));
             }
         }
     }
 
-    /// Its copy is not to be trusted: the folder is kept for a look, and its place begins another life.
-    fn begin_anew(&mut self, why: String) {
+    /// Stops serving because the replica's state cannot be trusted. The folder is set aside for inspection, and the daemon starts
+    /// again with an empty one as a new incarnation.
+    fn reset_replica(&mut self, why: String) {
         tracing::error!("stops serving: {why}");
-        self.close(why);
+        self.stop_serving(why);
         match Folder::set_aside(&self.configuration.folder) {
-            Ok(aside) => tracing::warn!("set aside as {}, comes back as another life", aside.display()),
+            Ok(path) => tracing::warn!(
+                "folder set aside as {}; starting with an empty folder and a new incarnation",
+                path.display()
+            ),
             Err(what) => tracing::error!("{what}"),
         }
-        self.reopen = self.now;
+        self.reopen_at = self.now;
     }
 
-    // What is not told by an event.
+    // Periodic work.
 
-    fn look(&mut self) {
-        if self.life.is_none()
-            && self.now >= self.reopen
+    fn run_maintenance(&mut self) {
+        if self.active.is_none()
+            && self.now >= self.reopen_at
             && let Err(what) = self.open()
         {
-            self.reopen = self.now + REOPEN;
+            self.reopen_at = self.now + REOPEN_DELAY;
             tracing::error!("folder: {what}");
         }
         let (id, now) = (self.id(), self.now);
-        for (place, (at, key, again)) in self.dials.clone() {
-            if key.is_none() && now >= again {
-                self.dial(place, at, id);
+        for (replica_id, (at, key, redial_at)) in self.dials.clone() {
+            if key.is_none() && now >= redial_at {
+                self.dial(replica_id, at, id);
             }
         }
-        let stuck = Span::from_millis(self.configuration.election_ms) * STUCK_ELECTIONS;
+        let stuck = Span::from_millis(self.configuration.election_ms) * MAX_STALLED_ELECTIONS;
         let idle = self.configuration.lease() * 10.0;
-        let over = self.peers.iter().filter(|(_, peer)| {
-            let silent = match peer.who {
-                None => peer.dialed.is_none() && now.since(peer.since) > GREETING_IN,
-                Some(Initiator::Member { .. } | Initiator::Operator) => now.since(peer.since) > idle,
+        let expired = self.peers.iter().filter(|(_, peer)| {
+            let silent = match peer.initiator {
+                None => peer.dialed.is_none() && now.since(peer.last_activity) > HELLO_TIMEOUT,
+                Some(Initiator::Member { .. } | Initiator::Operator) => now.since(peer.last_activity) > idle,
                 Some(Initiator::Replica(_)) => false,
             };
-            let older = peer.dialed.is_some() && peer.speaks < VERSION && now.since(peer.since) > OLDER;
-            silent || older || now.since(peer.clear) > stuck && peer.connection.unsent() > 0
+            let older = peer.dialed.is_some()
+                && peer.protocol_version < VERSION
+                && now.since(peer.last_activity) > OLDER_VERSION_RECHECK;
+            silent || older || now.since(peer.last_flushed) > stuck && peer.connection.unsent() > 0
         });
-        for key in over.map(|(key, _)| key).collect::<Vec<_>>() {
-            self.hang_up(key);
+        for key in expired.map(|(key, _)| key).collect::<Vec<_>>() {
+            self.close_connection(key);
         }
-        let Some(life) = &mut self.life else { return };
-        let Some(heard) = &mut life.heard else { return };
-        for command in heard.proposals(now, &life.fleet) {
-            let _ = life.replica.propose(command.to_bytes());
+        let Some(active) = &mut self.active else { return };
+        let Some(tracker) = &mut active.tracker else { return };
+        for command in tracker.proposals(now, &active.fleet) {
+            let _ = active.replica.propose(command.to_bytes());
         }
-        let Some(divider) = &mut life.divider else { return };
-        for change in divider.proposals(now, life.fleet.budgets()) {
-            let _ = life.replica.propose(Command::SetShares(change).to_bytes());
+        let Some(allocator) = &mut active.allocator else { return };
+        for change in allocator.proposals(now, active.fleet.budgets()) {
+            let _ = active.replica.propose(Command::SetShares(change).to_bytes());
         }
-        let Some(runner) = &mut life.runner else { return };
-        for order in runner.proposals(now, &life.fleet, heard) {
+        let Some(runner) = &mut active.runner else { return };
+        for order in runner.proposals(now, &active.fleet, tracker) {
             tracing::info!("proposes {order:?}");
-            let _ = life.replica.propose(Command::Release(order).to_bytes());
+            let _ = active.replica.propose(Command::Release(order).to_bytes());
         }
     }
 
     fn id(&self) -> Id {
-        let place = self.configuration.place;
-        self.life.as_ref().map_or(Id::any_incarnation(place), |life| life.replica.id())
+        let replica_id = self.configuration.replica_id;
+        self.active.as_ref().map_or(Id::any_incarnation(replica_id), |active| active.replica.id())
     }
 
-    fn told(&mut self) {
-        if self.signals.pending().count() == 0 || self.leaving.is_some() {
+    fn on_signal(&mut self) {
+        if self.signals.pending().count() == 0 || self.shutdown_deadline.is_some() {
             return;
         }
-        tracing::info!("told to leave");
-        self.leaving = Some(self.now + Span::from_millis(self.configuration.election_ms));
-        let Some(life) = &mut self.life else { return };
-        let heard = life.replica.peers().into_iter().filter(|(_, _, heard)| *heard);
-        let voters = heard.filter(|(id, _, _)| life.replica.voters().contains(id));
+        tracing::info!("shutting down on a signal");
+        self.shutdown_deadline = Some(self.now + Span::from_millis(self.configuration.election_ms));
+        let Some(active) = &mut self.active else { return };
+        let reachable = active.replica.peers().into_iter().filter(|(_, _, reachable)| *reachable);
+        let voters = reachable.filter(|(id, _, _)| active.replica.voters().contains(id));
         if let Some((id, _, _)) = voters.max_by_key(|(_, matched, _)| *matched) {
-            // Its place is taken without an election's wait.
-            let _ = life.replica.transfer_leadership(id);
+            // A transfer of leadership saves the fleet the wait for an election.
+            let _ = active.replica.transfer_leadership(id);
         }
     }
 }
--- a/crates/daemon/src/serve/connections.rs
+++ b/crates/daemon/src/serve/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: dialed and taken, greeted, read and written.
+//! Connections: dialing, accepting, hellos, reading and writing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,25 +8,25 @@
 use appledyke_sidecar::net::connection::{self, Connection};
 use appledyke_sidecar::net::slots::Key;
 
-use super::{CONNECTIONS_MOST, DIAL_AGAIN, Daemon, Peer, READ_MOST, UNSENT_MOST};
+use super::{Daemon, MAX_CONNECTIONS, MAX_READ_BYTES, MAX_UNSENT_BYTES, Peer, REDIAL_DELAY};
 
 impl Daemon {
-    pub(super) fn dial(&mut self, place: u16, at: SocketAddr, id: Id) {
-        let version = self.greetings.entry(place).or_default().version();
+    pub(super) fn dial(&mut self, replica_id: u16, at: SocketAddr, id: Id) {
+        let version = self.negotiations.entry(replica_id).or_default().version();
         let (now, registry) = (self.now, self.poll.registry());
         let opened = self.peers.insert_with(|key| {
             let connection = Connection::open(at, registry, key.only_token())?;
-            Ok::<_, io::Error>(Peer::new(connection, now, Some(place), version))
+            Ok::<_, io::Error>(Peer::new(connection, now, Some(replica_id), version))
         });
-        let entry = self.dials.get_mut(&place).expect("a place that is dialed");
-        (entry.1, entry.2) = (opened.as_ref().ok().copied(), now + DIAL_AGAIN);
+        let entry = self.dials.get_mut(&replica_id).expect("a replica id from dials");
+        (entry.1, entry.2) = (opened.as_ref().ok().copied(), now + REDIAL_DELAY);
         let Ok(key) = opened else { return };
         self.send(key, &Frame::hello_as(version, &self.configuration.fleet.clone(), Initiator::Replica(id)));
-        // What it knows of the state, for one that was not there to hear it.
-        let own = self.configuration.place;
-        let marks: Vec<_> =
-            self.marks.iter().filter_map(|(index, marks)| Some((*index, *marks.get(&own)?))).collect();
-        for (index, digest) in marks {
+        // The peer may have been away when these digests were sent.
+        let own = self.configuration.replica_id;
+        let digests: Vec<_> =
+            self.digests.iter().filter_map(|(index, digests)| Some((*index, *digests.get(&own)?))).collect();
+        for (index, digest) in digests {
             self.send(key, &Frame::Digest { index, digest });
         }
     }
@@ -38,8 +38,9 @@
                 Ok(None) => return,
                 Err(e) => return tracing::warn!("accept: {e}"),
             };
-            if self.peers.len() >= CONNECTIONS_MOST {
-                // Danger: kept waiting it would look like a daemon that hangs; closed, it goes to another.
+            if self.peers.len() >= MAX_CONNECTIONS {
+                // Danger: a connection left open without an answer looks like a daemon that hangs. Once it is closed, the peer
+                // turns to another daemon.
                 continue;
             }
             let (now, registry) = (self.now, self.poll.registry());
@@ -53,47 +54,51 @@
         }
     }
 
-    pub(super) fn hang_up(&mut self, key: Key) {
+    pub(super) fn close_connection(&mut self, key: Key) {
         let Some(peer) = self.peers.remove(key) else { return };
-        if let Some(entry) = peer.dialed.and_then(|place| self.dials.get_mut(&place)) {
-            (entry.1, entry.2) = (None, self.now + DIAL_AGAIN);
+        if let Some(entry) = peer.dialed.and_then(|replica_id| self.dials.get_mut(&replica_id)) {
+            (entry.1, entry.2) = (None, self.now + REDIAL_DELAY);
         }
-        // One that was reached and said nothing may be of an older version; one that has refused has said so itself.
-        if let Some(place) = peer.dialed.filter(|_| peer.who.is_none())
+        // A peer that was reached and sent no hello may speak an older version. One that rejected the hello was handled when
+        // its rejection arrived.
+        if let Some(replica_id) = peer.dialed.filter(|_| peer.initiator.is_none())
             && (peer.connection.unsent() == 0 || peer.connection.is_up().is_ok_and(|up| up))
-            && self.greetings.get(&place).is_some_and(|greeting| greeting.version() == peer.speaks)
+            && self
+                .negotiations
+                .get(&replica_id)
+                .is_some_and(|negotiation| negotiation.version() == peer.protocol_version)
         {
-            self.greetings.entry(place).or_default().on_closed();
+            self.negotiations.entry(replica_id).or_default().on_closed();
         }
         peer.connection.close(self.poll.registry());
     }
 
-    pub(super) fn ready(&mut self, key: Key) {
+    pub(super) fn on_readable(&mut self, key: Key) {
         loop {
             let now = self.now;
             let Some(peer) = self.peers.get_mut(key) else { return };
             let flushed = peer.connection.flush().is_ok();
-            // Danger: a refusal that came before the end would be lost with what could not be sent.
-            let works = peer.connection.fill(READ_MOST).is_ok() && flushed;
+            // Danger: read even where sending failed, or a rejection that the peer sent before it closed would be lost.
+            let intact = peer.connection.fill(MAX_READ_BYTES).is_ok() && flushed;
             if peer.connection.unsent() == 0 {
-                peer.clear = now;
+                peer.last_flushed = now;
             }
             peer.frames.push(&peer.connection.input);
             peer.connection.input.clear();
-            let (ended, more) = (!works || peer.connection.ended, peer.connection.full);
+            let (ended, more) = (!intact || peer.connection.ended, peer.connection.full);
             loop {
                 let Some(peer) = self.peers.get_mut(key) else { return };
                 match peer.frames.pop() {
-                    Ok(Some(frame)) => self.hear(key, frame),
+                    Ok(Some(frame)) => self.on_frame(key, frame),
                     Ok(None) => break,
                     Err(what) => {
-                        tracing::warn!("a connection is closed: {what}");
-                        return self.hang_up(key);
+                        tracing::warn!("closing a connection: {what}");
+                        return self.close_connection(key);
                     }
                 }
             }
             if ended {
-                return self.hang_up(key);
+                return self.close_connection(key);
             }
             if !more {
                 return;
@@ -106,22 +111,22 @@
         let Some(peer) = self.peers.get_mut(key) else { return };
         let mut bytes = Vec::new();
         if !frame.write(&mut bytes) {
-            return tracing::error!("a frame is too long and is not sent");
+            return tracing::error!("a frame exceeds the size limit and is not sent");
         }
         if peer.connection.unsent() == 0 {
-            peer.clear = now;
+            peer.last_flushed = now;
         }
         peer.connection.queue(&[&bytes], 0);
-        // One that is not up yet is written to once it is.
+        // Until the connection is established the bytes stay queued.
         let _ = peer.connection.flush();
-        if peer.connection.unsent() > UNSENT_MOST {
-            tracing::warn!("a connection is closed: its peer takes nothing");
-            self.hang_up(key);
+        if peer.connection.unsent() > MAX_UNSENT_BYTES {
+            tracing::warn!("closing a connection: its peer does not read");
+            self.close_connection(key);
         }
     }
 
-    pub(super) fn send_to(&mut self, place: u16, frame: &Frame) {
-        if let Some((_, Some(key), _)) = self.dials.get(&place).copied() {
+    pub(super) fn send_to(&mut self, replica_id: u16, frame: &Frame) {
+        if let Some((_, Some(key), _)) = self.dials.get(&replica_id).copied() {
             self.send(key, frame);
         }
     }
@@ -130,87 +135,102 @@
         self.send(key, &Frame::Reply { number, reply });
     }
 
-    pub(super) fn hear(&mut self, key: Key, frame: Frame) {
+    pub(super) fn on_frame(&mut self, key: Key, frame: Frame) {
         let Some(peer) = self.peers.get_mut(key) else { return };
-        let (who, dialed) = (peer.who.clone(), peer.dialed);
-        match (frame, who) {
+        let (initiator, dialed) = (peer.initiator.clone(), peer.dialed);
+        match (frame, initiator) {
             (Frame::Rejected(why), _) => {
-                tracing::warn!("not taken by another: {why}");
-                if let Some(place) = dialed {
-                    self.greetings.entry(place).or_default().on_rejected();
+                tracing::warn!("rejected by a peer: {why}");
+                if let Some(replica_id) = dialed {
+                    self.negotiations.entry(replica_id).or_default().on_rejected();
                 }
-                self.hang_up(key);
+                self.close_connection(key);
             }
             (frame @ Frame::Hello { .. }, None) => {
-                match check_hello(&frame, &self.configuration.fleet, peer.speaks) {
-                    Ok((who, speaks)) => self.greet(key, who, speaks, dialed),
+                match check_hello(&frame, &self.configuration.fleet, peer.protocol_version) {
+                    Ok((initiator, protocol_version)) => {
+                        self.on_hello(key, initiator, protocol_version, dialed)
+                    }
                     Err(why) => {
                         self.send(key, &Frame::Rejected(why.clone()));
-                        tracing::warn!("a connection is closed: {why}");
-                        self.hang_up(key);
+                        tracing::warn!("closing a connection: {why}");
+                        self.close_connection(key);
                     }
                 }
             }
             (Frame::Consensus(message), Some(Initiator::Replica(id)))
                 if dialed.is_none() && message.from == id =>
             {
-                if let Some(life) = &mut self.life {
-                    life.replica.receive(message);
-                    self.work();
+                if let Some(active) = &mut self.active {
+                    active.replica.receive(message);
+                    self.process_ready();
                 }
             }
             (Frame::Digest { index, digest }, Some(Initiator::Replica(id))) if dialed.is_none() => {
-                self.compare(index, id.replica_id, digest);
+                self.compare_digests(index, id.replica_id, digest);
             }
-            (Frame::Locality(locality), Some(Initiator::Member { .. })) if peer.speaks >= VERSION => {
+            (Frame::Locality(locality), Some(Initiator::Member { .. }))
+                if peer.protocol_version >= VERSION =>
+            {
                 match locality.check() {
                     Ok(()) => peer.locality = locality,
                     Err(why) => {
-                        tracing::warn!("a connection is closed: what a member belongs to: {why}");
-                        self.hang_up(key);
+                        tracing::warn!("closing a connection: locality of a member: {why}");
+                        self.close_connection(key);
                     }
                 }
             }
             (Frame::Report(report), Some(Initiator::Member { name })) if report.name == name => {
-                self.report(key, report)
+                self.on_report(key, report)
+            }
+            (Frame::DrainRequest { ask: request, anyway: force }, Some(Initiator::Member { name })) => {
+                self.on_drain_request(key, name, request, force)
             }
-            (Frame::DrainRequest { ask, anyway }, Some(Initiator::Member { name })) => {
-                self.asked_out(key, name, ask, anyway)
+            (Frame::Request { number, ask: request }, Some(Initiator::Operator)) => {
+                self.on_request(key, number, request)
             }
-            (Frame::Request { number, ask }, Some(Initiator::Operator)) => self.asked(key, number, ask),
             _ => {
-                tracing::warn!("a connection is closed: a frame that is not its to send");
-                self.hang_up(key);
+                tracing::warn!("closing a connection: its peer may not send this frame");
+                self.close_connection(key);
             }
         }
     }
 
-    pub(super) fn greet(&mut self, key: Key, who: Initiator, speaks: u16, dialed: Option<u16>) {
-        if let Some(place) = dialed {
-            self.greetings.entry(place).or_default().on_accepted();
+    pub(super) fn on_hello(
+        &mut self,
+        key: Key,
+        initiator: Initiator,
+        protocol_version: u16,
+        dialed: Option<u16>,
+    ) {
+        if let Some(replica_id) = dialed {
+            self.negotiations.entry(replica_id).or_default().on_accepted();
         } else {
-            if let Initiator::Replica(id) = &who {
-                // Danger: what an earlier process of this place left in a connection comes too late to be its word.
+            if let Initiator::Replica(id) = &initiator {
+                // Danger: messages that an earlier process of this replica left in its connection are stale, and must not be
+                // taken for messages of the new process.
                 let earlier = self.peers.iter().filter(|(_, peer)| {
                     peer.dialed.is_none()
-                        && matches!(&peer.who, Some(Initiator::Replica(other)) if other.replica_id == id.replica_id)
+                        && matches!(&peer.initiator, Some(Initiator::Replica(other)) if other.replica_id == id.replica_id)
                 });
                 for earlier in earlier.map(|(key, _)| key).collect::<Vec<_>>() {
-                    self.hang_up(earlier);
+                    self.close_connection(earlier);
                 }
-                // Danger: one that was replaced by an older version would count as one of this version by what its earlier
-                // process said; and one that was taken for an older one by mistake would stay so.
+                // Danger: a replica that was replaced by one of an older version would still count as one of this version, by
+                // the hello of its earlier process; and one mistaken for an older version would stay so.
                 let other = self.dials.get(&id.replica_id).and_then(|(_, key, _)| *key);
-                let differs = |peer: &&Peer| peer.who.is_some() && peer.speaks != speaks;
+                let differs =
+                    |peer: &&Peer| peer.initiator.is_some() && peer.protocol_version != protocol_version;
                 if let Some(other) = other.filter(|other| self.peers.get(*other).filter(differs).is_some()) {
-                    self.hang_up(other);
+                    self.close_connection(other);
                 }
             }
-            let hello = Frame::hello_as(speaks, &self.configuration.fleet, Initiator::Replica(self.id()));
+            let hello =
+                Frame::hello_as(protocol_version, &self.configuration.fleet, Initiator::Replica(self.id()));
             self.send(key, &hello);
         }
         if let Some(peer) = self.peers.get_mut(key) {
-            (peer.who, peer.speaks) = (Some(who), speaks);
+            (peer.initiator, peer.protocol_version) = (Some(initiator), protocol_version);
         }
     }
 }
--- a/crates/daemon/src/serve/members.rs
+++ b/crates/daemon/src/serve/members.rs
@@ -1,4 +1,4 @@
-//! Members: what they report, and what they are answered.
+//! Handles the reports and drain requests of members.
 
 use appledyke::ids;
 use appledyke::units::Moment;
@@ -11,113 +11,120 @@
 use appledyke_fleet::state::{Command, Fleet};
 use appledyke_sidecar::net::slots::Key;
 
-use super::{Daemon, Whom};
+use super::{Daemon, Requester};
 
-/// What a reporting holder is granted, and what its report says of others.
-fn grants(now: Moment, divider: &mut Allocator, fleet: &Fleet, report: &Report) -> Vec<Grant> {
+/// Records a holder's usage, and the end of earlier incarnations where its report implies it; returns its grants.
+fn renew_grants(now: Moment, allocator: &mut Allocator, fleet: &Fleet, report: &Report) -> Vec<Grant> {
     let holder = Holder { name: report.name.clone(), incarnation: report.incarnation };
     if report.sole_at_address {
-        // An earlier process of this name has ended: what it held is free.
+        // Earlier processes of this name have ended, so the shares they held are free.
         let earlier =
             Resource::ALL.into_iter().flat_map(|of| fleet.budgets().earlier_incarnations(of, &holder));
-        earlier.for_each(|earlier| divider.mark_ended(now, earlier));
+        earlier.for_each(|earlier| allocator.mark_ended(now, earlier));
     }
-    divider.record_report(now, &holder, &report.usage, report.status == MemberStatus::Gone);
-    divider.grants_for(&holder, fleet.budgets(), fleet.applied())
+    allocator.record_report(now, &holder, &report.usage, report.status == MemberStatus::Gone);
+    allocator.grants_for(&holder, fleet.budgets(), fleet.applied())
 }
 
 impl Daemon {
-    pub(super) fn report(&mut self, key: Key, report: Report) {
-        let grants = self.life.as_ref().is_some_and(|life| {
-            let divides = !report.usage.is_empty() || life.fleet.budgets().configured().next().is_some();
-            let releases = report.drained_by_release || life.fleet.releases().any_active();
-            (divides || releases) && life.replica.role() == Role::Leader
+    pub(super) fn on_report(&mut self, key: Key, report: Report) {
+        let needs_grants = self.active.as_ref().is_some_and(|active| {
+            let has_budgets =
+                !report.usage.is_empty() || active.fleet.budgets().configured().next().is_some();
+            let releases = report.drained_by_release || active.fleet.releases().any_active();
+            (has_budgets || releases) && active.replica.role() == Role::Leader
         });
-        if grants {
-            self.reports.push((key, report));
+        if needs_grants {
+            self.pending_reports.push((key, report));
         } else {
             self.answer_report(key, &report, false);
         }
     }
 
-    /// `granting`: a majority has said, after the report came, that this replica leads.
+    /// `granting`: after the report arrived, a majority confirmed that this replica leads.
     pub(super) fn answer_report(&mut self, key: Key, report: &Report, granting: bool) {
         let (now, writer) = (self.now, ids::name_hash(&report.name));
         let Some(peer) = self.peers.get_mut(key) else { return };
         let service = peer.locality.service_hash();
         let new = self.evidence.record(now, service, writer, report.incarnation, &report.observations);
-        self.heard_records += new as u64;
+        self.evidence_records += new as u64;
         let c = &self.configuration;
-        (peer.since, peer.incarnation) = (now, report.incarnation);
-        let passed = if report.wants_catch_up {
-            self.evidence.catch_up(now, service, writer, &mut peer.cursor, c.evidence_return)
+        (peer.last_activity, peer.incarnation) = (now, report.incarnation);
+        let observations = if report.wants_catch_up {
+            self.evidence.catch_up(now, service, writer, &mut peer.cursor, c.evidence_per_catch_up)
         } else {
-            let most = if service == 0 { c.evidence_each } else { c.evidence_service };
-            self.evidence.read_new(now, service, writer, &mut peer.cursor, most)
+            let limit = if service == 0 { c.evidence_per_answer } else { c.evidence_per_service_answer };
+            self.evidence.read_new(now, service, writer, &mut peer.cursor, limit)
         };
-        let mut told = ReportAnswer {
-            excluded: true,
-            observations: passed,
-            number: report.number,
-            ..ReportAnswer::default()
-        };
-        if let Some(life) = &mut self.life {
-            let role = life.replica.role();
-            told.excluded = !matches!(role, Role::Leader | Role::Follower | Role::Candidate);
-            told.is_leader = role == Role::Leader;
-            told.leader = life.replica.leader().map(|id| id.replica_id);
-            let found = life
-                .heard
+        let mut answer =
+            ReportAnswer { excluded: true, observations, number: report.number, ..ReportAnswer::default() };
+        if let Some(active) = &mut self.active {
+            let role = active.replica.role();
+            answer.excluded = !matches!(role, Role::Leader | Role::Follower | Role::Candidate);
+            answer.is_leader = role == Role::Leader;
+            answer.leader = active.replica.leader().map(|id| id.replica_id);
+            let found = active
+                .tracker
                 .as_mut()
-                .map(|heard| heard.record_report(now, report, &life.fleet))
+                .map(|tracker| tracker.record_report(now, report, &active.fleet))
                 .unwrap_or_default();
-            (told.duplicate_process, told.superseded) = (found.duplicate_process, found.superseded);
+            (answer.duplicate_process, answer.superseded) = (found.duplicate_process, found.superseded);
             if role == Role::Leader && !found.superseded {
-                life.belongs(&report.name, &peer.locality);
+                active.record_locality(&report.name, &peer.locality);
             }
-            if let Some(divider) = life.divider.as_mut().filter(|_| granting) {
-                told.grants = Some(grants(now, divider, &life.fleet, report));
+            if let Some(allocator) = active.allocator.as_mut().filter(|_| granting) {
+                answer.grants = Some(renew_grants(now, allocator, &active.fleet, report));
             }
-            // Danger: a leader that was would send out one whom the fleet has counted as back since.
-            told.drain_for_release =
-                granting.then(|| life.fleet.releases().is_to_drain(&report.name, report.incarnation));
-            let (mark, names) = life.looks();
-            told.watch_list = (*mark != report.watch_list_hash).then(|| (*mark, names.clone()));
-            let (since, outs) = life.fleet.drained_endpoints();
-            told.drained_endpoints = (since > report.endpoints_known_at && !told.excluded)
-                .then(|| (since, outs.iter().cloned().collect()));
-            // Only what is committed is ever applied, so nothing else is told; and only forwards.
-            if !told.excluded {
-                let knows = report.latest_known.max(report.version);
-                told.settings = life.texts.later(&life.fleet, &report.name, &peer.locality, knows);
+            // Danger: without the confirmation a former leader could drain a member that has since returned to service.
+            answer.drain_for_release =
+                granting.then(|| active.fleet.releases().is_to_drain(&report.name, report.incarnation));
+            let (hash, names) = active.watch_list();
+            answer.watch_list = (*hash != report.watch_list_hash).then(|| (*hash, names.clone()));
+            let (changed_at, drained) = active.fleet.drained_endpoints();
+            answer.drained_endpoints = (changed_at > report.endpoints_known_at && !answer.excluded)
+                .then(|| (changed_at, drained.iter().cloned().collect()));
+            // The state holds committed entries alone, so members never learn of uncommitted settings, and only of later ones.
+            if !answer.excluded {
+                let known_version = report.latest_known.max(report.version);
+                answer.settings = active.merged_settings.newer_than(
+                    &active.fleet,
+                    &report.name,
+                    &peer.locality,
+                    known_version,
+                );
             }
         }
-        // Who has said its service speaks version 3; who has not hears the whole fleet, and would fill dictionaries in vain.
+        // A member that names its service speaks version 3. One that does not gets the evidence of the whole fleet, which would
+        // fill the encoder's dictionary to no use.
         let Some(peer) = self.peers.get_mut(key).filter(|_| service != 0) else {
-            return self.send(key, &Frame::ReportAnswer(told));
+            return self.send(key, &Frame::ReportAnswer(answer));
         };
         if report.wants_catch_up {
             peer.encoder.reset();
         }
-        let (coded, rest) = peer.encoder.encode(std::mem::take(&mut told.observations));
-        told.observations = rest;
-        self.send(key, &Frame::CodedReportAnswer(told, coded));
+        let (encoded, rest) = peer.encoder.encode(std::mem::take(&mut answer.observations));
+        answer.observations = rest;
+        self.send(key, &Frame::CodedReportAnswer(answer, encoded));
     }
 
-    /// A member asks whether it may go out: an entry of the log says so, or why not.
-    pub(super) fn asked_out(&mut self, key: Key, name: String, ask: u64, anyway: Option<String>) {
+    /// Handles a member's request to drain, which the applied log entry grants or refuses with a reason.
+    pub(super) fn on_drain_request(&mut self, key: Key, name: String, request: u64, force: Option<String>) {
         let Some(incarnation) = self.peers.get(key).map(|peer| peer.incarnation) else { return };
-        if let Some(reason) = &anyway {
-            tracing::warn!(member = name, reason, "{name} goes out whatever is out already: {reason}");
+        if let Some(reason) = &force {
+            tracing::warn!(
+                member = name,
+                reason,
+                "{name} drains regardless of the limits on drains: {reason}"
+            );
         }
-        let command = Command::DrainMember { name, incarnation, request: ask, force: anyway };
-        match self.life.as_mut().map(|life| life.replica.propose(command.to_bytes())) {
+        let command = Command::DrainMember { name, incarnation, request, force };
+        match self.active.as_mut().map(|active| active.replica.propose(command.to_bytes())) {
             Some(Ok(at)) => {
-                self.wait(at, key, Whom::Member { ask });
+                self.track_proposal(at, key, Requester::Member { request });
             }
             _ => {
-                let refused = Some("the daemon that it asks does not lead".to_string());
-                self.send(key, &Frame::DrainAnswer { ask, refused });
+                let refused = Some("this daemon is not the leader".to_string());
+                self.send(key, &Frame::DrainAnswer { ask: request, refused });
             }
         }
     }
--- a/crates/daemon/src/serve/operators.rs
+++ b/crates/daemon/src/serve/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: what they ask and write, and what they are answered.
+//! Handles the requests of operators and of release agents.
 
 use std::collections::BTreeMap;
 
@@ -15,65 +15,70 @@
 use appledyke_sidecar::launch::check_agreed;
 use appledyke_sidecar::net::slots::Key;
 
-use super::{Daemon, Whom};
+use super::{Daemon, Requester};
 
 impl Daemon {
-    pub(super) fn asked(&mut self, key: Key, number: u64, ask: OperatorRequest) {
+    pub(super) fn on_request(&mut self, key: Key, number: u64, request: OperatorRequest) {
         if let Some(peer) = self.peers.get_mut(key) {
-            peer.since = self.now;
+            peer.last_activity = self.now;
         }
-        if ask == OperatorRequest::Status {
-            return self.answer(key, number, &ask);
+        if request == OperatorRequest::Status {
+            return self.answer_request(key, number, &request);
         }
-        if self.waits_for_another(key, number, &ask) {
+        if self.queue_if_blocked(key, number, &request) {
             return;
         }
-        let ticket = self.tickets;
-        let Some(life) = &mut self.life else {
+        let read_id = self.next_read_id;
+        let Some(active) = &mut self.active else {
             return self.reply(key, number, OperatorReply::NotLeader(None));
         };
-        let done = match ask {
+        let done = match request {
             OperatorRequest::Write(write) => self.write(key, number, &Scope::All, write),
             OperatorRequest::WriteScoped { scope, write } => self.write(key, number, &scope, write),
-            OperatorRequest::TransferLeadership(place) => {
-                let to = life.replica.voters().iter().copied().find(|id| id.replica_id == place);
+            OperatorRequest::TransferLeadership(replica_id) => {
+                let to = active.replica.voters().iter().copied().find(|id| id.replica_id == replica_id);
                 match to {
-                    Some(to) => life.replica.transfer_leadership(to).map(|()| Some(OperatorReply::Done)),
-                    None => Ok(Some(OperatorReply::Refused(format!("place {place} does not vote")))),
+                    Some(to) => active.replica.transfer_leadership(to).map(|()| Some(OperatorReply::Done)),
+                    None => Ok(Some(OperatorReply::Refused(format!("place {replica_id} is not a voter")))),
                 }
             }
-            OperatorRequest::RemoveReplica { replica: place, force: anyway } => {
-                self.take_out(key, number, place, anyway)
+            OperatorRequest::RemoveReplica { replica: replica_id, force } => {
+                self.remove_replica(key, number, replica_id, force)
             }
-            OperatorRequest::Endpoint { name, out, force: anyway } => {
-                if let Some(reason) = &anyway {
-                    tracing::warn!(name, reason, "{name} is taken whatever is out already: {reason}");
+            OperatorRequest::Endpoint { name, out, force } => {
+                if let Some(reason) = &force {
+                    tracing::warn!(
+                        name,
+                        reason,
+                        "{name} drains regardless of the limits on drains: {reason}"
+                    );
                 }
-                let missing = life.heard.as_ref().map(MemberTracker::missing_endpoints).unwrap_or_default();
-                self.propose(key, number, &Command::Endpoint { name, out, force: anyway, missing })
+                let missing =
+                    active.tracker.as_ref().map(MemberTracker::missing_endpoints).unwrap_or_default();
+                self.propose(key, number, &Command::Endpoint { name, out, force, missing })
             }
-            OperatorRequest::Release(order) => self.release(key, number, order),
+            OperatorRequest::Release(update) => self.on_release_request(key, number, update),
             OperatorRequest::Forget(name) => self.propose(key, number, &Command::Forget(name)),
-            OperatorRequest::MarkEnded { name, incarnation } => match &mut life.divider {
-                Some(divider) => {
-                    divider.mark_ended(self.now, &Holder { name, incarnation });
+            OperatorRequest::MarkEnded { name, incarnation } => match &mut active.allocator {
+                Some(allocator) => {
+                    allocator.mark_ended(self.now, &Holder { name, incarnation });
                     Ok(Some(OperatorReply::Done))
                 }
-                None => Err(ReplicaError::NotLeader(life.replica.leader())),
+                None => Err(ReplicaError::NotLeader(active.replica.leader())),
             },
             _ => {
-                self.tickets += 1;
-                life.replica.request_read(ticket).map(|()| {
-                    self.reads.insert(ticket, (key, number, ask));
+                self.next_read_id += 1;
+                active.replica.request_read(read_id).map(|()| {
+                    self.pending_reads.insert(read_id, (key, number, request));
                     None
                 })
             }
         };
-        self.outcome(key, number, done);
+        self.reply_outcome(key, number, done);
     }
 
-    /// Answers what has an answer already.
-    pub(super) fn outcome(
+    /// Replies unless the answer is still pending.
+    pub(super) fn reply_outcome(
         &mut self,
         key: Key,
         number: u64,
@@ -89,13 +94,14 @@
                 self.reply(key, number, OperatorReply::NotLeader(None))
             }
             Err(ReplicaError::VoterChangeRefused) => {
-                let why = "not now: another change is under way, or this one can't be made".to_string();
+                let why = "not now: another change of the voters is under way, or this one is not possible"
+                    .to_string();
                 self.reply(key, number, OperatorReply::Refused(why));
             }
         }
     }
 
-    /// Settings for a part of the fleet, or all of it.
+    /// Checks a settings write and proposes it, or queues it for validation against the settings of other scopes.
     pub(super) fn write(
         &mut self,
         key: Key,
@@ -103,15 +109,15 @@
         scope: &Scope,
         write: Write,
     ) -> Result<Option<OperatorReply>, ReplicaError> {
-        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
-        // What is applied is committed, whoever leads now.
-        match life.fleet.write_answer(write.id) {
+        let Some(active) = &mut self.active else { return Err(ReplicaError::NotLeader(None)) };
+        // The outcome of an applied write is final, whichever replica leads now.
+        match active.fleet.write_answer(write.id) {
             Some(Answer::Committed(version)) => return Ok(Some(OperatorReply::Committed(*version))),
             Some(Answer::Refused(why)) => return Ok(Some(OperatorReply::Refused(why.to_string()))),
             _ => {}
         }
-        if life.replica.role() != Role::Leader {
-            return Err(ReplicaError::NotLeader(life.replica.leader()));
+        if active.replica.role() != Role::Leader {
+            return Err(ReplicaError::NotLeader(active.replica.leader()));
         }
         if write.author.len() > MAX_TEXT_BYTES || write.reason.len() > MAX_TEXT_BYTES {
             return Ok(Some(OperatorReply::Invalid(format!(
@@ -130,108 +136,112 @@
                     "settings: expected {MAX_SETTINGS_BYTES} bytes at the most"
                 ))));
             }
-            // What is for a part is checked with what it stands above.
+            // Settings for a narrower scope are validated after they are merged with those of the wider scopes.
             if *scope == Scope::All
                 && let Err(what) = check_agreed(&self.template, settings)
             {
                 return Ok(Some(OperatorReply::Invalid(what)));
             }
         }
-        if *scope == Scope::All && life.fleet.scopes().is_empty() {
+        if *scope == Scope::All && active.fleet.scopes().is_empty() {
             return self.propose_settings(key, number, scope, write);
         }
         self.check_scoped(key, number, scope, write)
     }
 
-    /// Proposes what an operator asked for, who hears of its fate once that is known.
+    /// Proposes a command; the operator is answered once its entry is applied.
     pub(super) fn propose(
         &mut self,
         key: Key,
         number: u64,
         command: &Command,
     ) -> Result<Option<OperatorReply>, ReplicaError> {
-        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
-        let at = life.replica.propose(command.to_bytes())?;
-        self.wait(at, key, Whom::Operator { number });
+        let Some(active) = &mut self.active else { return Err(ReplicaError::NotLeader(None)) };
+        let at = active.replica.propose(command.to_bytes())?;
+        self.track_proposal(at, key, Requester::Operator { number });
         Ok(None)
     }
 
-    /// An operator's or an agent's word on a release; who goes next is the leader's own to say.
-    pub(super) fn release(
+    /// Handles a release update of an operator or an agent. Only the leader itself chooses the next target.
+    pub(super) fn on_release_request(
         &mut self,
         key: Key,
         number: u64,
-        order: ReleaseUpdate,
+        update: ReleaseUpdate,
     ) -> Result<Option<OperatorReply>, ReplicaError> {
-        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
-        let order = match order {
+        let Some(active) = &mut self.active else { return Err(ReplicaError::NotLeader(None)) };
+        let update = match update {
             ReleaseUpdate::Start(plan, _) => {
                 if let Err(what) = plan.check() {
                     return Ok(Some(OperatorReply::Invalid(what)));
                 }
-                let (now, fleet) = (self.now, &life.fleet);
-                let before =
-                    life.runner.as_ref().map(|r| r.baseline(now, fleet, &plan.group, plan.target_kind));
-                ReleaseUpdate::Start(plan, before.unwrap_or_default())
+                let (now, fleet) = (self.now, &active.fleet);
+                let baseline =
+                    active.runner.as_ref().map(|r| r.baseline(now, fleet, &plan.group, plan.target_kind));
+                ReleaseUpdate::Start(plan, baseline.unwrap_or_default())
             }
             ReleaseUpdate::BeginTransition { .. } | ReleaseUpdate::MarkReached { .. } => {
-                return Ok(Some(OperatorReply::Invalid("this is the leader's own to say".to_string())));
+                return Ok(Some(OperatorReply::Invalid("only the leader makes this update".to_string())));
             }
-            other => other,
+            update => update,
         };
-        self.propose(key, number, &Command::Release(order))
+        self.propose(key, number, &Command::Release(update))
     }
 
-    pub(super) fn take_out(
+    pub(super) fn remove_replica(
         &mut self,
         key: Key,
         number: u64,
-        place: u16,
-        anyway: bool,
+        replica_id: u16,
+        force: bool,
     ) -> Result<Option<OperatorReply>, ReplicaError> {
-        let Some(life) = &mut self.life else { return Err(ReplicaError::NotLeader(None)) };
-        let voters = life.replica.voters();
-        let Some(out) = voters.iter().copied().find(|id| id.replica_id == place) else {
-            return Ok(Some(OperatorReply::Refused(format!("place {place} does not vote"))));
+        let Some(active) = &mut self.active else { return Err(ReplicaError::NotLeader(None)) };
+        let voters = active.replica.voters();
+        let Some(removed) = voters.iter().copied().find(|id| id.replica_id == replica_id) else {
+            return Ok(Some(OperatorReply::Refused(format!("place {replica_id} is not a voter"))));
         };
-        if life.replica.role() != Role::Leader {
-            return Err(ReplicaError::NotLeader(life.replica.leader()));
+        if active.replica.role() != Role::Leader {
+            return Err(ReplicaError::NotLeader(active.replica.leader()));
         }
-        if out == life.replica.id() {
-            return Ok(Some(OperatorReply::Refused(format!("place {place} leads: hand over first"))));
+        if removed == active.replica.id() {
+            return Ok(Some(OperatorReply::Refused(format!(
+                "place {replica_id} is the leader: hand over first"
+            ))));
         }
-        let left: std::collections::BTreeSet<Id> = voters.iter().copied().filter(|id| *id != out).collect();
-        let peers = life.replica.peers();
-        let heard = peers.iter().filter(|(id, _, heard)| *heard && left.contains(id)).count() + 1;
-        // An operator's mistake must not lose the majority without a warning.
-        let spare = heard.saturating_sub(left.len() / 2 + 1);
-        if spare == 0 && !anyway {
+        let remaining: std::collections::BTreeSet<Id> =
+            voters.iter().copied().filter(|id| *id != removed).collect();
+        let peers = active.replica.peers();
+        let reachable =
+            peers.iter().filter(|(id, _, reachable)| *reachable && remaining.contains(id)).count() + 1;
+        // Guards against an operator who loses the majority by mistake.
+        let spare = reachable.saturating_sub(remaining.len() / 2 + 1);
+        if spare == 0 && !force {
             let why = format!(
-                "{heard} of the {} that would be left are heard: one more that fails ends all writing; say --anyway to do it",
-                left.len()
+                "{reachable} of the {} voters that would remain are reachable: one more failure would stop all writes; pass --anyway to proceed",
+                remaining.len()
             );
             return Ok(Some(OperatorReply::Refused(why)));
         }
-        let at = life.replica.change_voters(left)?;
-        self.wait(at, key, Whom::Operator { number });
+        let at = active.replica.change_voters(remaining)?;
+        self.track_proposal(at, key, Requester::Operator { number });
         Ok(None)
     }
 
-    /// Answers what may be answered now.
-    pub(super) fn answer(&mut self, key: Key, number: u64, ask: &OperatorRequest) {
-        let Some(life) = &self.life else {
-            let reply = match ask {
+    /// Answers a request whose read is confirmed, or that needs none.
+    pub(super) fn answer_request(&mut self, key: Key, number: u64, request: &OperatorRequest) {
+        let Some(active) = &self.active else {
+            let reply = match request {
                 OperatorRequest::Status => OperatorReply::Status(self.status()),
                 _ => OperatorReply::NotLeader(None),
             };
             return self.reply(key, number, reply);
         };
-        let reply = match ask {
+        let reply = match request {
             OperatorRequest::Status => OperatorReply::Status(self.status()),
             OperatorRequest::Members => {
                 let versions: BTreeMap<&str, Version> =
-                    life.heard.iter().flat_map(|heard| heard.active_versions(self.now)).collect();
-                let rows = life.fleet.members().iter().map(|(name, member)| MemberRow {
+                    active.tracker.iter().flat_map(|tracker| tracker.active_versions(self.now)).collect();
+                let rows = active.fleet.members().iter().map(|(name, member)| MemberRow {
                     name: name.clone(),
                     incarnation: member.incarnation,
                     status: member.status,
@@ -241,37 +251,37 @@
                 });
                 OperatorReply::Members(rows.collect())
             }
-            OperatorRequest::Get(None) => OperatorReply::Settings(life.fleet.settings().cloned()),
+            OperatorRequest::Get(None) => OperatorReply::Settings(active.fleet.settings().cloned()),
             OperatorRequest::Get(Some(version)) => OperatorReply::Settings(
-                life.fleet.history().find(|written| written.version == *version).cloned(),
+                active.fleet.history().find(|written| written.version == *version).cloned(),
             ),
-            OperatorRequest::History => OperatorReply::History(life.fleet.history().cloned().collect()),
-            OperatorRequest::Backup => OperatorReply::Backup(life.fleet.to_bytes()),
+            OperatorRequest::History => OperatorReply::History(active.fleet.history().cloned().collect()),
+            OperatorRequest::Backup => OperatorReply::Backup(active.fleet.to_bytes()),
             OperatorRequest::DrainedEndpoints => {
-                let (_, outs) = life.fleet.drained_endpoints();
-                let holders = |name: &String| match &life.heard {
-                    Some(heard) => heard.members_using(self.now, &life.fleet, name),
-                    None => life.fleet.members().keys().cloned().collect(),
+                let (_, drained) = active.fleet.drained_endpoints();
+                let holders = |name: &String| match &active.tracker {
+                    Some(tracker) => tracker.members_using(self.now, &active.fleet, name),
+                    None => active.fleet.members().keys().cloned().collect(),
                 };
                 OperatorReply::DrainedEndpoints(
-                    outs.iter().map(|name| (name.clone(), holders(name))).collect(),
+                    drained.iter().map(|name| (name.clone(), holders(name))).collect(),
                 )
             }
             OperatorRequest::Releases => {
-                let releases = life.fleet.releases().iter().map(|(_, release)| release.clone()).collect();
-                let runs = life.heard.iter().flat_map(|heard| heard.program_versions(self.now));
-                let runs = runs.map(|(who, runs)| (who.to_string(), runs.to_string())).collect();
+                let releases = active.fleet.releases().iter().map(|(_, release)| release.clone()).collect();
+                let runs = active.tracker.iter().flat_map(|tracker| tracker.program_versions(self.now));
+                let runs = runs.map(|(name, runs)| (name.to_string(), runs.to_string())).collect();
                 OperatorReply::Releases(releases, runs)
             }
-            OperatorRequest::AgentTask(who) => {
-                OperatorReply::AgentTask(life.fleet.releases().agent_task(who))
+            OperatorRequest::AgentTask(target) => {
+                OperatorReply::AgentTask(active.fleet.releases().agent_task(target))
             }
             OperatorRequest::Budgets => {
-                let budgets = life.fleet.budgets();
+                let budgets = active.fleet.budgets();
                 let row = |of: Resource| {
                     let budget = *budgets.budget(of)?;
                     let (granted, holders) =
-                        budgets.shares(of).fold((0, 0), |sum, (_, part)| (sum.0 + part.granted, sum.1 + 1));
+                        budgets.shares(of).fold((0, 0), |sum, (_, share)| (sum.0 + share.granted, sum.1 + 1));
                     Some(BudgetRow {
                         budget,
                         granted,
@@ -286,7 +296,7 @@
             | OperatorRequest::GetScoped { .. }
             | OperatorRequest::ScopeHistory(_)
             | OperatorRequest::MemberSettings(_)
-            | OperatorRequest::Localities => life.answer_scopes(self.now, ask),
+            | OperatorRequest::Localities => active.answer_scopes(self.now, request),
             OperatorRequest::Write(_)
             | OperatorRequest::WriteScoped { .. }
             | OperatorRequest::TransferLeadership(_)
@@ -314,17 +324,17 @@
             voters: Vec::new(),
             version: Version::default(),
             peers: Vec::new(),
-            excluded: self.apart.clone(),
-            evidence: self.heard_records,
+            excluded: self.not_serving_reason.clone(),
+            evidence: self.evidence_records,
         };
-        if let Some(life) = &self.life {
-            let replica = &life.replica;
+        if let Some(active) = &self.active {
+            let replica = &active.replica;
             status.role = format!("{:?}", replica.role());
             (status.term, status.leader) = (replica.term(), replica.leader());
-            (status.committed, status.applied) = (replica.commit_index(), life.fleet.applied());
-            (status.last, status.digest) = (replica.last_position().index, life.fleet.digest());
+            (status.committed, status.applied) = (replica.commit_index(), active.fleet.applied());
+            (status.last, status.digest) = (replica.last_position().index, active.fleet.digest());
             status.voters = replica.voters().iter().copied().collect();
-            (status.version, status.peers) = (life.fleet.version(), replica.peers());
+            (status.version, status.peers) = (active.fleet.version(), replica.peers());
         }
         status
     }
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -863,12 +863,12 @@
 fn operators_are_answered_by_a_daemon_of_version_two_and_told_what_it_does_not_know() {
     let at = stand_in(Id { replica_id: 1, incarnation: 1 });
     let one = |asked: &OperatorRequest, sent: &mut bool| {
-        appledyke_daemon::ask::one(at, FLEET, asked, PATIENCE, sent)
+        appledyke_daemon::client::ask_daemon(at, FLEET, asked, PATIENCE, sent)
     };
     let mut sent = false;
     assert_eq!(one(&OperatorRequest::Status, &mut sent), Ok(OperatorReply::Done));
     // Danger: sent all the same it could not be read, and a write of unknown fate would be told.
     let mut sent = false;
     let why = one(&OperatorRequest::Scopes, &mut sent).unwrap_err();
-    assert!(!sent && why.contains("speaks version 2, which knows nothing of scopes"), "{why}");
+    assert!(!sent && why.contains("speaks version 2, which does not support scopes"), "{why}");
 }
