--- a/crates/daemon/benches/apply.rs
+++ b/crates/daemon/benches/apply.rs
@@ -1,4 +1,4 @@
-//! What an entry costs: applied to the state, its digest, and its batch on the disk.
+//! Benchmarks the cost of a log entry: applying it to the state, digesting the state, and persisting its batch.
 
 use std::hint::black_box;
 
@@ -9,19 +9,12 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 
 fn put(number: u64) -> Command {
-    let (by, why, what) = (
+    let (author, reason, change) = (
         "bench".to_string(),
         String::new(),
         SettingsChange::Put("{\"rules\": {}}".repeat(20), Vec::new(), Vec::new()),
     );
-    Command::Write(Write {
-        id: WriteId(1, number),
-        expected_version: None,
-        author: by,
-        reason: why,
-        at_ms: 0,
-        change: what,
-    })
+    Command::Write(Write { id: WriteId(1, number), expected_version: None, author, reason, at_ms: 0, change })
 }
 
 fn apply(c: &mut Criterion) {
--- a/crates/daemon/tests/backlog.rs
+++ b/crates/daemon/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! A daemon whose members all come at one moment.
+//! Many members that connect to one daemon at once.
 
 use std::net::TcpStream;
 use std::path::Path;
@@ -7,32 +7,32 @@
 use appledyke_lab::rig::fleet::{Daemons, Shape};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
-/// More than the usual backlog of 128, and what a system that has its usual bound lets wait.
+/// More than the usual backlog of 128, and within the default limit of the operating system (`somaxconn`).
 const MEMBERS: usize = 1000;
-/// Under the second after which a system tries again to connect.
-const AT_ONCE: Duration = Duration::from_millis(700);
+/// Below the second after which TCP retries a connection attempt.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Danger: when a leader is lost all its members come to the next one together. Those for whom its backlog has no room are
-/// dropped without a word, and wait a second and more.
+/// Danger: when a leader is lost, all its members connect to the next one at once. Those that do not fit into its backlog are
+/// silently dropped, and retry only after a second or more.
 #[test]
-fn a_thousand_that_come_while_it_is_busy_are_all_taken_at_once() {
-    let bound = std::fs::read_to_string("/proc/sys/net/core/somaxconn").unwrap();
-    let bound: usize = bound.trim().parse().unwrap();
-    assert!(bound > MEMBERS, "this system lets {bound} wait at the most: the test says nothing there");
+fn a_suspended_daemon_queues_a_thousand_connections_at_once() {
+    let limit = std::fs::read_to_string("/proc/sys/net/core/somaxconn").unwrap();
+    let limit: usize = limit.trim().parse().unwrap();
+    assert!(limit > MEMBERS, "somaxconn is {limit}: too low for this test to be meaningful");
     let root = std::env::temp_dir().join(format!("appledyke-backlog-{}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
     let shape = Shape { daemons: 1, ..Shape::default() };
     let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
     daemons.begin().unwrap();
-    let place = daemons.places().next().unwrap();
-    let at = daemons.own_address(place).unwrap();
-    daemons.process(place).stop();
-    let mut taken = Vec::new();
+    let replica_id = daemons.places().next().unwrap();
+    let at = daemons.own_address(replica_id).unwrap();
+    daemons.process(replica_id).stop();
+    let mut streams = Vec::new();
     for number in 0..MEMBERS {
-        let came = TcpStream::connect_timeout(&at, AT_ONCE);
-        taken.push(came.unwrap_or_else(|e| panic!("{number} of {MEMBERS}: {e}")));
+        let stream = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT);
+        streams.push(stream.unwrap_or_else(|e| panic!("{number} of {MEMBERS}: {e}")));
     }
-    daemons.process(place).go_on();
+    daemons.process(replica_id).go_on();
     drop(daemons);
     let _ = std::fs::remove_dir_all(&root);
 }
--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -1,5 +1,5 @@
-//! Fleet-wide budgets among real daemons and sidecars. The endpoints count, by their own clock: at no moment do all sidecars
-//! together stand above the whole.
+//! Fleet-wide budgets with real daemons and sidecars. The endpoints count, by their own clock, that all sidecars together never
+//! exceed the quota.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -18,16 +18,16 @@
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 100;
 const WINDOW: Duration = Duration::from_millis(1000);
-/// Between two reports of each of three hundred holders.
+/// Report interval of each of three hundred holders.
 const HOLDERS_BEAT: Duration = Duration::from_millis(500);
-/// What is under way when it is counted: a write-out that a busy machine delivers this much later than another. Windows are
-/// counted shorter by it, which the flaw below shows to be enough to see one.
+/// Tolerance for attempts in flight: a busy machine may deliver one attempt this much later than another. Windows are counted
+/// shorter by it; the test with a flawed sidecar below shows that the count still detects a violation.
 const UNDER_WAY: Duration = Duration::from_millis(60);
 
-fn write_outs(whole: u64) -> Budget {
+fn attempts_budget(quota: u64) -> Budget {
     Budget {
         resource: Resource::Attempts,
-        quota: whole,
+        quota,
         window_ms: 1000,
         min_share: 2,
         standalone_share: 3,
@@ -35,17 +35,17 @@
     }
 }
 
-struct Both {
+struct Cluster {
     daemons: Daemons,
     sidecars: Sidecars,
 }
 
-impl Both {
-    fn begin(name: &str, members: usize, alone: serde_json::Value) -> Both {
-        Both::begin_shaped(name, members, alone, Shape::default())
+impl Cluster {
+    fn begin(name: &str, members: usize, alone: serde_json::Value) -> Cluster {
+        Cluster::begin_shaped(name, members, alone, Shape::default())
     }
 
-    fn begin_shaped(name: &str, members: usize, alone: serde_json::Value, shape: Shape) -> Both {
+    fn begin_shaped(name: &str, members: usize, alone: serde_json::Value, shape: Shape) -> Cluster {
         let root = std::env::temp_dir().join(format!("appledyke-budgets-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
@@ -53,9 +53,9 @@
         let mut sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
         sidecars.alone(alone);
-        let mut both = Both { daemons, sidecars };
-        (0..members).for_each(|number| both.start(&format!("s{number}")));
-        both
+        let mut cluster = Cluster { daemons, sidecars };
+        (0..members).for_each(|number| cluster.start(&format!("s{number}")));
+        cluster
     }
 
     fn start(&mut self, name: &str) {
@@ -79,16 +79,16 @@
         }
     }
 
-    /// Waits until so many holders have parts, and nearly all is granted.
-    fn divided(&self, holders: u64) {
+    /// Waits until this many holders have shares, and nearly the whole quota is granted.
+    fn wait_until_divided(&self, holders: u64) {
         let waited = self.daemons.wait("all is divided", |_| {
             let row = self.row();
             row.holders == holders && row.excess == 0 && row.granted * 10 >= row.budget.divisible() * 9
         });
-        waited.unwrap_or_else(|said| panic!("{said}\n{:?}", self.row()));
+        waited.unwrap_or_else(|error| panic!("{error}\n{:?}", self.row()));
     }
 
-    /// Clients that want far more than there is, some for each of these.
+    /// Starts three clients for each of these sidecars, which together want far more than the quota.
     fn load(&self, names: &[&str]) -> Clients {
         let to: Vec<SocketAddr> = names.iter().flat_map(|name| [self.sidecars.at(name); 3]).collect();
         Clients::start(&to, "/menu/1", Duration::from_millis(2))
@@ -99,68 +99,68 @@
         all.filter(|at| (from..to).contains(at)).collect()
     }
 
-    /// The most that all sidecars together sent within a window.
-    fn most(&self, from: Instant) -> usize {
+    /// The most attempts that all sidecars together sent within one window.
+    fn max_in_window(&self, from: Instant) -> usize {
         most_within(self.times(from, Instant::now()), WINDOW - UNDER_WAY).0
     }
 }
 
 #[test]
-fn write_outs_of_all_together_never_stand_above_the_whole_whatever_is_struck() {
+fn attempts_never_exceed_the_quota_under_faults() {
     let alone = json!({"write-outs": {"part": 3, "windowMs": 1000}});
-    let mut both = Both::begin("flow", 4, alone);
-    let whole = 120;
-    both.put(&[write_outs(whole)]);
+    let mut cluster = Cluster::begin("flow", 4, alone);
+    let quota = 120;
+    cluster.put(&[attempts_budget(quota)]);
     let start = Instant::now();
-    let clients = both.load(&["s0", "s1", "s2", "s3"]);
-    both.divided(4);
+    let clients = cluster.load(&["s0", "s1", "s2", "s3"]);
+    cluster.wait_until_divided(4);
     let steady = Instant::now();
     std::thread::sleep(2 * WINDOW);
-    let used = both.times(steady, steady + 2 * WINDOW).len();
-    // 24 of 120 are kept for eight that might be alone, of which four are there; two for newcomers.
+    let used = cluster.times(steady, steady + 2 * WINDOW).len();
+    // 24 of 120 are reserved for the standalone shares of eight members, of which four are present; two for newcomers.
     assert!(used >= 2 * (96 + 12) * 85 / 100, "{used} in two windows");
-    // Killed outright, and back under its name within a lease.
-    both.sidecars.kill("s0");
-    both.start("s0");
-    // Stopped for longer than its lease, and continued in the middle of whatever it did.
-    both.sidecars.process("s1").stop();
+    // Killed, and restarted under its name within its lease.
+    cluster.sidecars.kill("s0");
+    cluster.start("s0");
+    // Suspended for longer than its lease, and resumed.
+    cluster.sidecars.process("s1").stop();
     std::thread::sleep(Duration::from_millis(1500));
-    let leader = both.daemons.wait_for_leader().unwrap();
-    both.daemons.kill(leader);
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    cluster.daemons.kill(leader);
     std::thread::sleep(Duration::from_millis(3500));
-    both.sidecars.process("s1").go_on();
-    both.daemons.start(leader).unwrap();
-    // The leader is cut off from the others, and reaches all members still.
-    let leader = both.daemons.wait_for_leader().unwrap();
-    both.daemons.around(leader, Standing::cut());
+    cluster.sidecars.process("s1").go_on();
+    cluster.daemons.start(leader).unwrap();
+    // The leader is cut off from the other daemons, and still reaches all members.
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    cluster.daemons.around(leader, Standing::cut());
     std::thread::sleep(Duration::from_millis(2000));
-    both.daemons.around(leader, Standing::default());
-    both.daemons.wait_for_one_state().unwrap();
-    // The clients of what was started anew go to its new address.
-    let more = both.load(&["s0"]);
-    both.divided(4);
-    // All daemons away for longer than a lease: each has what it has alone.
-    both.daemons.places().for_each(|place| both.daemons.kill(place));
+    cluster.daemons.around(leader, Standing::default());
+    cluster.daemons.wait_for_one_state().unwrap();
+    // The restarted sidecar needs clients that use its new address.
+    let more = cluster.load(&["s0"]);
+    cluster.wait_until_divided(4);
+    // All daemons are down for longer than a lease: each sidecar has its standalone share.
+    cluster.daemons.places().for_each(|place| cluster.daemons.kill(place));
     std::thread::sleep(Duration::from_millis(4200));
     let (from, to) = (Instant::now() - WINDOW, Instant::now());
-    let without = both.times(from, to).len();
+    let without = cluster.times(from, to).len();
     assert!(without <= 4 * 3, "{without} without daemons");
-    for place in both.daemons.places() {
-        both.daemons.start(place).unwrap();
+    for place in cluster.daemons.places() {
+        cluster.daemons.start(place).unwrap();
     }
-    both.divided(4);
-    let most = both.most(start);
-    assert!(most as u64 <= whole, "{most} of {whole}");
-    // The whole is lowered: first it is taken back, then it holds.
-    both.put(&[write_outs(40)]);
-    both.divided(4);
+    cluster.wait_until_divided(4);
+    let most = cluster.max_in_window(start);
+    assert!(most as u64 <= quota, "{most} of {quota}");
+    // The quota is lowered: shares are first taken back, then the new quota holds.
+    cluster.put(&[attempts_budget(40)]);
+    cluster.wait_until_divided(4);
     let lowered = Instant::now();
     std::thread::sleep(3 * WINDOW);
     assert!(
-        both.most(lowered) <= 40 && both.most(start) as u64 <= whole,
+        cluster.max_in_window(lowered) <= 40 && cluster.max_in_window(start) as u64 <= quota,
         "{} and {}",
-        both.most(lowered),
-        both.most(start)
+        cluster.max_in_window(lowered),
+        cluster.max_in_window(start)
     );
     for clients in [clients, more] {
         clients.stop();
@@ -168,43 +168,43 @@
 }
 
 #[test]
-fn the_check_fails_where_a_sidecar_keeps_more_than_was_counted_with() {
-    // Its own file says that it may use far more alone than the fleet has set aside for it.
+fn the_check_detects_a_standalone_share_above_the_agreed_one() {
+    // The sidecar's own file allows a far larger standalone share than the fleet has reserved for it.
     let alone = json!({"write-outs": {"part": 200, "windowMs": 1000}});
-    let mut both = Both::begin("flaw", 2, alone);
-    both.put(&[write_outs(60)]);
-    both.daemons.places().for_each(|place| both.daemons.kill(place));
-    both.sidecars.names().iter().for_each(|name| both.sidecars.kill(name));
+    let mut cluster = Cluster::begin("flaw", 2, alone);
+    cluster.put(&[attempts_budget(60)]);
+    cluster.daemons.places().for_each(|place| cluster.daemons.kill(place));
+    cluster.sidecars.names().iter().for_each(|name| cluster.sidecars.kill(name));
     for name in ["s0", "s1"] {
-        let _ = std::fs::remove_file(both.sidecars.keep(name));
-        both.start(name);
+        let _ = std::fs::remove_file(cluster.sidecars.keep(name));
+        cluster.start(name);
     }
     let start = Instant::now();
-    let clients = both.load(&["s0", "s1"]);
+    let clients = cluster.load(&["s0", "s1"]);
     std::thread::sleep(2 * WINDOW);
     clients.stop();
-    assert!(both.most(start) > 60, "{}", both.most(start));
+    assert!(cluster.max_in_window(start) > 60, "{}", cluster.max_in_window(start));
 }
 
 #[test]
-fn a_hot_sidecar_has_what_others_do_not_want_within_seconds() {
+fn a_busy_sidecar_gets_the_unused_shares_within_seconds() {
     let alone = json!({"write-outs": {"part": 3, "windowMs": 1000}});
-    let mut both = Both::begin("hot", 4, alone);
-    both.put(&[write_outs(120)]);
-    let cool = both.load(&["s1", "s2", "s3"]);
-    both.divided(4);
+    let mut cluster = Cluster::begin("hot", 4, alone);
+    cluster.put(&[attempts_budget(120)]);
+    let cool = cluster.load(&["s1", "s2", "s3"]);
+    cluster.wait_until_divided(4);
     cool.stop();
-    let hot = both.load(&["s0"]);
+    let hot = cluster.load(&["s0"]);
     let start = Instant::now();
-    let allowed = || both.sidecars.figure("s0", "sidecar_fleet_allowed{of=\"write-outs\"}").unwrap_or(0);
-    both.daemons.wait("it is granted nearly all", |_| allowed() >= 80).unwrap();
+    let allowed = || cluster.sidecars.figure("s0", "sidecar_fleet_allowed{of=\"write-outs\"}").unwrap_or(0);
+    cluster.daemons.wait("it is granted nearly all", |_| allowed() >= 80).unwrap();
     let took = start.elapsed();
     assert!(took < Duration::from_secs(6), "{took:?}");
     hot.stop();
 }
 
 #[test]
-fn connections_of_one_that_is_stopped_stay_counted_and_an_operators_word_frees_them() {
+fn connections_of_a_suspended_holder_stay_reserved_until_an_operator_frees_them() {
     let budget = Budget {
         resource: Resource::Connections,
         quota: 8,
@@ -213,43 +213,46 @@
         standalone_share: 1,
         max_members: 3,
     };
-    let mut both = Both::begin("stock", 3, json!({"connections": {"part": 1}}));
-    both.put(&[budget]);
-    let clients = both.load(&["s0", "s1", "s2"]);
-    both.daemons.wait("all is divided", |_| both.row().holders == 3).unwrap();
-    both.sidecars.process("s2").stop();
-    let before = both.row();
-    // Longer than its lease: what it holds is nobody else's.
+    let mut cluster = Cluster::begin("stock", 3, json!({"connections": {"part": 1}}));
+    cluster.put(&[budget]);
+    let clients = cluster.load(&["s0", "s1", "s2"]);
+    cluster.daemons.wait("all is divided", |_| cluster.row().holders == 3).unwrap();
+    cluster.sidecars.process("s2").stop();
+    let before = cluster.row();
+    // Longer than its lease: what it holds is granted to no other holder.
     std::thread::sleep(Duration::from_millis(4500));
-    let row = both.row();
+    let row = cluster.row();
     assert_eq!(row.holders, 3, "{before:?} {row:?}");
-    let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
+    let most: Vec<u64> = cluster.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
-    both.sidecars.kill("s2");
-    let Ok(OperatorReply::Members(rows)) = both.daemons.ask(&OperatorRequest::Members, PATIENCE) else {
+    cluster.sidecars.kill("s2");
+    let Ok(OperatorReply::Members(rows)) = cluster.daemons.ask(&OperatorRequest::Members, PATIENCE) else {
         panic!()
     };
     let gone = rows.into_iter().find(|row| row.name == "s2").unwrap();
     let ended = OperatorRequest::MarkEnded { name: gone.name, incarnation: gone.incarnation };
-    assert_eq!(both.daemons.ask(&ended, PATIENCE), Ok(OperatorReply::Done));
-    both.daemons.wait("what it held is free", |_| both.row().holders == 2).unwrap();
-    // One that comes back says by its lock that no other process of its name is there.
-    both.sidecars.kill("s1");
-    both.start("s1");
-    both.daemons
-        .wait("its earlier life holds nothing", |_| both.row().holders == 2 && both.row().excess == 0)
+    assert_eq!(cluster.daemons.ask(&ended, PATIENCE), Ok(OperatorReply::Done));
+    cluster.daemons.wait("what it held is free", |_| cluster.row().holders == 2).unwrap();
+    // A restarted sidecar proves by its lock that no other process of its name exists.
+    cluster.sidecars.kill("s1");
+    cluster.start("s1");
+    cluster
+        .daemons
+        .wait("its earlier incarnation holds nothing", |_| {
+            cluster.row().holders == 2 && cluster.row().excess == 0
+        })
         .unwrap();
-    let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
+    let most: Vec<u64> = cluster.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     clients.stop();
 }
 
 #[test]
-fn faulty_budgets_are_refused_by_key() {
-    let both = Both::begin("faulty", 0, json!({}));
-    let config = both.daemons.configuration(1).display().to_string();
-    let file = both.daemons.root.join("new.json");
-    for (budgets, said) in [
+fn invalid_budgets_are_refused_by_key() {
+    let cluster = Cluster::begin("faulty", 0, json!({}));
+    let config = cluster.daemons.configuration(1).display().to_string();
+    let file = cluster.daemons.root.join("new.json");
+    for (budgets, expected) in [
         (
             json!([{"of": "write-outs", "whole": 10, "windowMs": 1000, "least": 1, "alone": 5, "members": 2}]),
             "budgets.write-outs.alone: ",
@@ -265,8 +268,8 @@
     ] {
         std::fs::write(&file, json!({"budgets": budgets}).to_string()).unwrap();
         let (status, text) =
-            both.daemons.command(&["put", "--config", &config, &file.display().to_string()]).unwrap();
-        assert!(status == Some(1) && text.contains(said), "{text}");
+            cluster.daemons.command(&["put", "--config", &config, &file.display().to_string()]).unwrap();
+        assert!(status == Some(1) && text.contains(expected), "{text}");
     }
 }
 
@@ -280,42 +283,42 @@
         standalone_share: 0,
         max_members: 1,
     };
-    let mut both = Both::begin("cap", 1, json!({}));
-    both.put(&[budget]);
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Waits));
-    let most = |both: &Both| both.sidecars.endpoints.iter().map(Endpoint::most_open).max().unwrap();
-    both.daemons.wait("it has its part", |_| both.row().holders == 1).unwrap();
-    let clients = both.load(&["s0"; 3]);
+    let mut cluster = Cluster::begin("cap", 1, json!({}));
+    cluster.put(&[budget]);
+    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Waits));
+    let most = |cluster: &Cluster| cluster.sidecars.endpoints.iter().map(Endpoint::most_open).max().unwrap();
+    cluster.daemons.wait("it has its share", |_| cluster.row().holders == 1).unwrap();
+    let clients = cluster.load(&["s0"; 3]);
     std::thread::sleep(WINDOW);
-    assert!(most(&both) <= 1, "{}", most(&both));
-    both.put(&[]);
-    both.daemons.wait("it has more", |_| most(&both) > 1).unwrap();
+    assert!(most(&cluster) <= 1, "{}", most(&cluster));
+    cluster.put(&[]);
+    cluster.daemons.wait("it has more", |_| most(&cluster) > 1).unwrap();
     clients.stop();
 }
 
 #[test]
-fn calls_to_the_list_that_is_away_never_stand_above_the_whole() {
+fn discovery_calls_never_exceed_the_quota_during_an_outage() {
     let window = Duration::from_millis(2000);
-    // Eight sidecars that ask again after 0.2 to 0.4 s, and later.
+    // Eight sidecars that retry discovery after 0.2 to 0.4 s, and later.
     let most = |name: &str, budgets: &[Budget]| {
-        let mut both = Both::begin(name, 8, json!({}));
-        both.put(budgets);
+        let mut cluster = Cluster::begin(name, 8, json!({}));
+        cluster.put(budgets);
         let known = || {
-            both.sidecars.names().iter().all(|name| {
-                let allowed = both.sidecars.figure(name, "sidecar_fleet_allowed{of=\"list-calls\"}");
+            cluster.sidecars.names().iter().all(|name| {
+                let allowed = cluster.sidecars.figure(name, "sidecar_fleet_allowed{of=\"list-calls\"}");
                 budgets.is_empty() || allowed.is_some_and(|allowed| allowed > 0)
             })
         };
-        both.daemons.wait("all know of the budget", |_| known()).unwrap();
-        // What they called before they knew is past.
+        cluster.daemons.wait("all know of the budget", |_| known()).unwrap();
+        // Calls made before they knew of the budget fall out of the window.
         std::thread::sleep(window);
         let from = Instant::now();
-        both.sidecars.list.is_away(true);
+        cluster.sidecars.list.is_away(true);
         std::thread::sleep(2 * window);
-        both.sidecars.list.is_away(false);
-        let calls = || both.sidecars.list.calls().into_iter().filter(|at| *at >= from).collect::<Vec<_>>();
+        cluster.sidecars.list.is_away(false);
+        let calls = || cluster.sidecars.list.calls().into_iter().filter(|at| *at >= from).collect::<Vec<_>>();
         let before = calls().len();
-        both.daemons.wait("some have called it again", |_| calls().len() >= before + 4).unwrap();
+        cluster.daemons.wait("some have called it again", |_| calls().len() >= before + 4).unwrap();
         most_within(calls(), window - UNDER_WAY).0
     };
     let of = Resource::DiscoveryCalls;
@@ -332,31 +335,31 @@
 }
 
 #[test]
-fn write_outs_to_what_has_just_started_have_one_credit_for_the_fleet() {
+fn attempts_to_a_cold_endpoint_share_one_credit_across_the_fleet() {
     let most = |name: &str, budgets: &[Budget]| {
         let alone = match budgets {
             [] => json!({}),
             _ => json!({"cold-write-outs": {"part": 1, "windowMs": 1000}}),
         };
-        let mut both = Both::begin(name, 4, alone);
-        both.put(budgets);
-        let clients = both.load(&["s0", "s1", "s2", "s3"]);
+        let mut cluster = Cluster::begin(name, 4, alone);
+        cluster.put(budgets);
+        let clients = cluster.load(&["s0", "s1", "s2", "s3"]);
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-        let mut started = entry(1, both.sidecars.endpoints[1].at, "up");
+        let mut started = entry(1, cluster.sidecars.endpoints[1].at, "up");
         started["since_ms"] = (now.as_millis() as u64).into();
-        both.sidecars.list.tell(&[started]);
-        // What was on its way when the list said so is not counted.
+        cluster.sidecars.list.tell(&[started]);
+        // Attempts in flight when the list announced the start are not counted.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
-        let granted = |both: &Both| matches!(both.daemons.ask(&OperatorRequest::Budgets, PATIENCE), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
-        both.daemons.wait("its parts are granted", |_| granted(&both)).unwrap();
+        let granted = |cluster: &Cluster| matches!(cluster.daemons.ask(&OperatorRequest::Budgets, PATIENCE), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
+        cluster.daemons.wait("its shares are granted", |_| granted(&cluster)).unwrap();
         std::thread::sleep(2 * WINDOW);
         let reqs = |at: usize| {
-            both.sidecars.endpoints[at].times().into_iter().filter(|at| *at >= from).collect::<Vec<_>>()
+            cluster.sidecars.endpoints[at].times().into_iter().filter(|at| *at >= from).collect::<Vec<_>>()
         };
         let (cold, other) = (most_within(reqs(1), WINDOW - UNDER_WAY).0, most_within(reqs(0), WINDOW).0);
         clients.stop();
-        assert!(other > 60, "the others serve on: {other}");
+        assert!(other > 60, "the other endpoints keep serving: {other}");
         cold
     };
     let of = Resource::ColdAttempts;
@@ -373,37 +376,38 @@
 }
 
 #[test]
-fn thirty_that_come_at_once_to_three_hundred_have_their_least_and_the_sum_stays_below() {
+fn thirty_holders_that_join_three_hundred_get_their_minimum_within_the_quota() {
     let of = Resource::Attempts;
-    // Danger: on a busy machine another daemon comes to lead, who knows nobody, and what has to come within so many reports
-    // begins anew. Elections have tests of their own.
+    // Danger: on a busy machine a new leader may be elected. It knows no holders yet, and the count of reports would start over.
+    // Elections have tests of their own.
     let calm = Shape { election_ms: 2000, lease_ms: 2000, ..Shape::default() };
-    let mut both = Both::begin_shaped("crowd", 0, json!({}), calm);
-    let whole = 3000;
-    both.put(&[Budget {
+    let mut cluster = Cluster::begin_shaped("crowd", 0, json!({}), calm);
+    let quota = 3000;
+    cluster.put(&[Budget {
         resource: of,
-        quota: whole,
+        quota,
         window_ms: 1000,
         min_share: 2,
         standalone_share: 1,
         max_members: 400,
     }]);
-    both.daemons.wait_for_leader().unwrap();
-    let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), HOLDERS_BEAT, &[of]);
+    cluster.daemons.wait_for_leader().unwrap();
+    let mut holders = Holders::new(cluster.daemons.own_addresses().unwrap(), HOLDERS_BEAT, &[of]);
     holders.come(300, 20);
     let most = std::cell::Cell::new(0);
     let believed = || {
         most.set(most.get().max(holders.believed(of, false)));
         most.get()
     };
-    // What they believe to hold, each by its own clock, at every look.
-    both.daemons.wait("nearly all is held", |_| believed() * 10 >= whole * 8).unwrap();
+    // What the holders believe to hold, each by its own clock, at every poll.
+    cluster.daemons.wait("nearly all is held", |_| believed() * 10 >= quota * 8).unwrap();
     holders.come(30, 20);
     let most = std::cell::Cell::new(most.get());
-    // Within 6 s as each counts time, by its reports: on a busy machine these come late, and so do the answers.
+    // Within 6 s, measured in each holder's reports: on a busy machine reports and answers are late.
     let reported = std::cell::Cell::new(0);
-    both.daemons
-        .wait("each that came has its least part", |_| {
+    cluster
+        .daemons
+        .wait("each new holder has its minimum share", |_| {
             most.set(most.get().max(holders.believed(of, false)));
             let lack: Vec<_> = (300..330).filter(|who| holders.holds(*who, of) < 3).collect();
             let reports = lack.iter().map(|who| holders.reports(*who)).max();
@@ -413,24 +417,25 @@
         .unwrap();
     let most_reports = Duration::from_secs(6).as_millis() / HOLDERS_BEAT.as_millis();
     assert!(u128::from(reported.get()) < most_reports, "{} reports", reported.get());
-    assert!(most.get() <= whole, "{} of {whole}", most.get());
-    // The sum shows it where clocks stand still: a third says nothing more, and its parts go to the others.
+    assert!(most.get() <= quota, "{} of {quota}", most.get());
+    // Control: with the clocks of a third of the holders frozen, their shares go to the others and the sum exceeds the quota.
     holders.freeze(0..110);
-    both.daemons
-        .wait("others have their parts", |_| {
+    cluster
+        .daemons
+        .wait("others have their shares", |_| {
             most.set(most.get().max(holders.believed(of, false)));
-            holders.believed(of, true) > whole
+            holders.believed(of, true) > quota
         })
         .unwrap();
-    assert!(most.get() <= whole, "{} of {whole}", most.get());
+    assert!(most.get() <= quota, "{} of {quota}", most.get());
 }
 
-/// Danger: holders that went on asking the one that led before were granted nothing, and what they were awaited to hold never came.
+/// Danger: holders that kept asking the former leader were granted nothing, and a test that waited for their grants hung.
 #[test]
-fn holders_of_the_rig_go_on_under_another_leader() {
+fn holders_of_the_rig_continue_under_a_new_leader() {
     let of = Resource::Attempts;
-    let mut both = Both::begin("after", 0, json!({}));
-    both.put(&[Budget {
+    let mut cluster = Cluster::begin("after", 0, json!({}));
+    cluster.put(&[Budget {
         resource: of,
         quota: 1000,
         window_ms: 1000,
@@ -438,50 +443,55 @@
         standalone_share: 1,
         max_members: 30,
     }]);
-    let leader = both.daemons.wait_for_leader().unwrap();
-    let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    let mut holders =
+        Holders::new(cluster.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
     holders.come(20, 10);
-    both.daemons
+    cluster
+        .daemons
         .wait("all have what they want", |_| (0..20).all(|who| holders.holds(who, of) >= 10))
         .unwrap();
-    both.daemons.kill(leader);
+    cluster.daemons.kill(leader);
     holders.wants(7, 300);
-    both.daemons.wait("the next leader grants one more", |_| holders.holds(7, of) >= 250).unwrap();
+    cluster.daemons.wait("the next leader grants one more", |_| holders.holds(7, of) >= 250).unwrap();
 }
 
 #[test]
-fn more_holders_than_least_parts_and_a_whole_lowered_to_a_tenth_stay_within_it() {
+fn grants_stay_within_a_quota_lowered_below_the_minimum_of_all_holders() {
     let of = Resource::Attempts;
-    let mut both = Both::begin("many", 0, json!({}));
-    let budget = |whole| Budget {
+    let mut cluster = Cluster::begin("many", 0, json!({}));
+    let budget = |quota| Budget {
         resource: of,
-        quota: whole,
+        quota,
         window_ms: 1000,
         min_share: 2,
         standalone_share: 1,
         max_members: 60,
     };
-    both.put(&[budget(1000)]);
-    both.daemons.wait_for_leader().unwrap();
-    let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
+    cluster.put(&[budget(1000)]);
+    cluster.daemons.wait_for_leader().unwrap();
+    let mut holders =
+        Holders::new(cluster.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
     holders.come(50, 40);
     let all = |holders: &Holders| holders.believed(of, false);
-    both.daemons.wait("nearly all is held", |_| all(&holders) >= 850).unwrap();
-    // A tenth: first it is taken back, and then it holds. 40 are left for 50 holders of two at least: some have what is theirs alone.
-    both.put(&[budget(100)]);
+    cluster.daemons.wait("nearly all is held", |_| all(&holders) >= 850).unwrap();
+    // Lowered to a tenth: shares are first taken back, then the new quota holds. 40 are left for 50 holders with a minimum of
+    // two each, so some keep only their standalone share.
+    cluster.put(&[budget(100)]);
     let most = std::cell::Cell::new(0);
-    both.daemons
+    cluster
+        .daemons
         .wait("it is taken back", |_| {
             most.set(most.get().max(all(&holders)));
-            both.row().excess == 0 && all(&holders) <= 100
+            cluster.row().excess == 0 && all(&holders) <= 100
         })
         .unwrap();
     assert!(most.get() <= 1000, "{}", most.get());
     let until = Instant::now() + 4 * WINDOW;
     while Instant::now() < until {
-        let (held, counted) = (all(&holders), both.row().reserved);
+        let (held, counted) = (all(&holders), cluster.row().reserved);
         assert!(held <= 100 && counted <= 40, "{held} held, {counted} counted");
     }
     let with = (0..50).filter(|who| holders.holds(*who, of) > 1).count();
-    assert!((10..=20).contains(&with), "{with} have a part");
+    assert!((10..=20).contains(&with), "{with} have a share");
 }
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Drains that a fleet agrees on, among real daemons and sidecars. The referee counts health checks that say no.
+//! Drains that a fleet agrees on, with real daemons and sidecars. The tests count failing health checks.
 
 use std::path::Path;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 80;
 
-struct Both {
+struct Cluster {
     daemons: Daemons,
     sidecars: Sidecars,
 }
 
-impl Both {
-    /// So many members of one group.
-    fn begin(name: &str, members: usize, groups: &[Group]) -> Both {
+impl Cluster {
+    /// Starts this many members of one group.
+    fn begin(name: &str, members: usize, groups: &[Group]) -> Cluster {
         let root = std::env::temp_dir().join(format!("appledyke-drains-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
@@ -35,10 +35,10 @@
         let mut sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
         sidecars.groups(&["zone a"]);
-        let mut both = Both { daemons, sidecars };
-        (0..members).for_each(|number| both.start(&format!("s{number}")));
-        both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
-        both
+        let mut cluster = Cluster { daemons, sidecars };
+        (0..members).for_each(|number| cluster.start(&format!("s{number}")));
+        cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
+        cluster
     }
 
     fn start(&mut self, name: &str) {
@@ -55,14 +55,14 @@
 
     fn wait(&self, what: &str, check: impl Fn(&[MemberRow]) -> bool) {
         let waited = self.daemons.wait(what, |_| check(&self.rows()));
-        waited.unwrap_or_else(|said| panic!("{said}\n{:?}", self.rows()));
+        waited.unwrap_or_else(|error| panic!("{error}\n{:?}", self.rows()));
     }
 
     fn out(&self) -> usize {
         self.rows().iter().filter(|row| row.out).count()
     }
 
-    /// What each of these answers, asked in the same moment.
+    /// Asks all of these to drain at the same moment, and returns their answers.
     fn drain(&self, names: &[String]) -> Vec<String> {
         std::thread::scope(|scope| {
             let asked: Vec<_> = names
@@ -73,13 +73,13 @@
         })
     }
 
-    /// Those whose health check says no, or that are not there.
-    fn away(&self, names: &[String]) -> usize {
+    /// How many of these fail their health check or do not answer.
+    fn unhealthy(&self, names: &[String]) -> usize {
         names.iter().filter(|name| request(self.sidecars.at(name), "/healthz") != Some(200)).count()
     }
 }
 
-fn most(number: u32) -> Vec<Group> {
+fn max_out(number: u32) -> Vec<Group> {
     vec![Group {
         name: "zone a".into(),
         max_out: Some(Amount::Number(number)),
@@ -93,157 +93,167 @@
 }
 
 #[test]
-fn of_all_that_are_told_in_one_moment_no_more_drain_than_may_be_out() {
-    let both = Both::begin("moment", 5, &most(2));
+fn of_members_asked_to_drain_at_once_no_more_than_the_limit_drain() {
+    let cluster = Cluster::begin("moment", 5, &max_out(2));
     let names = names(5);
-    let said = both.drain(&names);
-    let yes: Vec<&String> =
-        names.iter().zip(&said).filter(|(_, said)| *said == "200 drains\n").map(|(n, _)| n).collect();
-    assert_eq!((yes.len(), both.away(&names), both.out()), (2, 2, 2), "{said:?}");
-    let no = said.iter().find(|said| said.starts_with("400")).unwrap();
-    assert!(no.starts_with("400 not now: 2 of 2 out in zone a, which has 5: s"), "{no}");
-    // Who is out says so again, and has one permission.
-    assert_eq!(both.drain(std::slice::from_ref(yes[0])), ["200 drains\n"]);
-    assert_eq!(both.out(), 2);
-    // One is back, so another may go; and only one.
-    both.sidecars.told(yes[0], "resume\n").unwrap();
-    both.wait("it is back", |rows| rows.iter().filter(|row| row.out).count() == 1);
-    let said = both.drain(&names);
-    assert_eq!((both.away(&names), both.out()), (2, 2), "{said:?}");
-    // An operator insists.
-    let third = names.iter().zip(&said).find(|(_, said)| said.starts_with("400")).unwrap().0;
-    assert_eq!(both.sidecars.told(third, "drain anyway the rack burns\n").unwrap(), "200 drains\n");
-    both.wait("three are out", |rows| rows.iter().filter(|row| row.out).count() == 3);
-    assert_eq!(both.away(&names), 3);
+    let answers = cluster.drain(&names);
+    let granted: Vec<&String> =
+        names.iter().zip(&answers).filter(|(_, answer)| *answer == "200 drains\n").map(|(n, _)| n).collect();
+    assert_eq!((granted.len(), cluster.unhealthy(&names), cluster.out()), (2, 2, 2), "{answers:?}");
+    let refusal = answers.iter().find(|answer| answer.starts_with("400")).unwrap();
+    assert!(refusal.starts_with("400 not now: 2 of 2 out in zone a, which has 5: s"), "{refusal}");
+    // A member that is already draining gets the same answer, and no second permission.
+    assert_eq!(cluster.drain(std::slice::from_ref(granted[0])), ["200 drains\n"]);
+    assert_eq!(cluster.out(), 2);
+    // One is back, so one other member may drain, and only one.
+    cluster.sidecars.told(granted[0], "resume\n").unwrap();
+    cluster.wait("it is back", |rows| rows.iter().filter(|row| row.out).count() == 1);
+    let answers = cluster.drain(&names);
+    assert_eq!((cluster.unhealthy(&names), cluster.out()), (2, 2), "{answers:?}");
+    // An operator overrides the limit.
+    let third = names.iter().zip(&answers).find(|(_, answer)| answer.starts_with("400")).unwrap().0;
+    assert_eq!(cluster.sidecars.told(third, "drain anyway the rack burns\n").unwrap(), "200 drains\n");
+    cluster.wait("three are out", |rows| rows.iter().filter(|row| row.out).count() == 3);
+    assert_eq!(cluster.unhealthy(&names), 3);
 }
 
 #[test]
-fn the_check_fails_where_no_group_is_agreed_on() {
-    let both = Both::begin("nothing", 3, &[]);
+fn without_groups_all_members_may_drain_at_once() {
+    let cluster = Cluster::begin("nothing", 3, &[]);
     let names = names(3);
-    assert_eq!(both.drain(&names), ["200 drains\n"; 3]);
-    assert_eq!(both.away(&names), 3);
+    assert_eq!(cluster.drain(&names), ["200 drains\n"; 3]);
+    assert_eq!(cluster.unhealthy(&names), 3);
 }
 
 #[test]
-fn what_failed_by_itself_holds_everybody_else_back_until_it_is_back_or_forgotten() {
-    let mut both = Both::begin("failed", 3, &most(1));
-    both.sidecars.kill("s0");
-    both.wait("it is missed", |rows| rows.iter().any(|row| row.name == "s0" && row.out));
-    let said = both.drain(&["s1".to_string()]);
-    assert_eq!(said, ["400 not now: 1 of 1 out in zone a, which has 3: s0\n"]);
-    // Stopped past its lease: the same.
-    both.start("s0");
-    both.wait("it is back", |rows| rows.iter().all(|row| !row.out));
-    both.sidecars.process("s2").stop();
-    both.wait("it is missed", |rows| rows.iter().any(|row| row.name == "s2" && row.out));
-    assert!(both.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
-    // It cannot be forgotten by mistake while it serves; one that never comes back makes the group smaller.
+fn a_failed_member_counts_as_out_until_it_returns_or_is_forgotten() {
+    let mut cluster = Cluster::begin("failed", 3, &max_out(1));
+    cluster.sidecars.kill("s0");
+    cluster.wait("it counts as out", |rows| rows.iter().any(|row| row.name == "s0" && row.out));
+    let answers = cluster.drain(&["s1".to_string()]);
+    assert_eq!(answers, ["400 not now: 1 of 1 out in zone a, which has 3: s0\n"]);
+    // The same for a member suspended for longer than its lease.
+    cluster.start("s0");
+    cluster.wait("it is back", |rows| rows.iter().all(|row| !row.out));
+    cluster.sidecars.process("s2").stop();
+    cluster.wait("it counts as out", |rows| rows.iter().any(|row| row.name == "s2" && row.out));
+    assert!(cluster.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
+    // A serving member cannot be forgotten by mistake. Forgetting one that never returns makes the group smaller.
     assert!(matches!(
-        both.daemons.ask(&OperatorRequest::Forget("s1".into()), PATIENCE),
+        cluster.daemons.ask(&OperatorRequest::Forget("s1".into()), PATIENCE),
         Ok(OperatorReply::Refused(_))
     ));
-    both.sidecars.kill("s2");
-    assert_eq!(both.daemons.ask(&OperatorRequest::Forget("s2".into()), PATIENCE), Ok(OperatorReply::Done));
-    assert_eq!(both.drain(&["s1".to_string()]), ["200 drains\n"]);
-    // SIGTERM is not refused: who leaves is out, and holds the others back.
-    both.sidecars.told("s1", "resume\n").unwrap();
-    both.wait("it is back", |rows| rows.iter().all(|row| !row.out));
-    both.sidecars.process("s0").leave();
-    both.wait("it leaves", |rows| rows.iter().any(|row| row.name == "s0" && row.out));
-    assert!(both.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
+    cluster.sidecars.kill("s2");
+    assert_eq!(cluster.daemons.ask(&OperatorRequest::Forget("s2".into()), PATIENCE), Ok(OperatorReply::Done));
+    assert_eq!(cluster.drain(&["s1".to_string()]), ["200 drains\n"]);
+    // SIGTERM is never refused: a leaving member counts as out, and the others have to wait.
+    cluster.sidecars.told("s1", "resume\n").unwrap();
+    cluster.wait("it is back", |rows| rows.iter().all(|row| !row.out));
+    cluster.sidecars.process("s0").leave();
+    cluster.wait("it leaves", |rows| rows.iter().any(|row| row.name == "s0" && row.out));
+    assert!(cluster.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
 }
 
 #[test]
-fn a_permission_whose_answer_is_lost_sends_nobody_out_and_is_one_when_it_is_asked_for_again() {
-    let both = Both::begin("lost", 3, &most(1));
-    // All that the daemons answer is held back: the permission is given, and never heard.
+fn a_permission_whose_answer_is_lost_drains_nobody_and_is_granted_once_on_retry() {
+    let cluster = Cluster::begin("lost", 3, &max_out(1));
+    // All answers of the daemons are held back: the permission is granted, and never arrives.
     let hold = |way| {
-        both.daemons
+        cluster
+            .daemons
             .places()
-            .for_each(|place| both.daemons.door(place).stand(Link { back: way, ..Link::default() }))
+            .for_each(|place| cluster.daemons.door(place).stand(Link { back: way, ..Link::default() }))
     };
     hold(Way::Held);
-    assert_eq!(both.drain(&["s0".to_string()]), ["400 not now: no daemon heard\n"]);
-    assert_eq!(both.away(&names(3)), 0);
+    assert_eq!(cluster.drain(&["s0".to_string()]), ["400 not now: no daemon heard\n"]);
+    assert_eq!(cluster.unhealthy(&names(3)), 0);
     hold(Way::Open);
-    // What comes late sends nobody out, and is taken back.
-    both.wait("it is taken back", |rows| rows.len() == 3 && rows.iter().all(|row| !row.out));
-    assert_eq!(both.away(&names(3)), 0);
-    assert_eq!(both.drain(&["s0".to_string()]), ["200 drains\n"]);
-    assert_eq!((both.out(), both.away(&names(3))), (1, 1));
+    // A late permission drains nobody, and is revoked.
+    cluster.wait("it is revoked", |rows| rows.len() == 3 && rows.iter().all(|row| !row.out));
+    assert_eq!(cluster.unhealthy(&names(3)), 0);
+    assert_eq!(cluster.drain(&["s0".to_string()]), ["200 drains\n"]);
+    assert_eq!((cluster.out(), cluster.unhealthy(&names(3))), (1, 1));
 }
 
 #[test]
-fn a_permission_outlives_its_leader_and_its_holder_keeps_it_when_killed() {
-    let mut both = Both::begin("leader", 3, &most(1));
-    assert_eq!(both.drain(&["s0".to_string()]), ["200 drains\n"]);
-    let leader = both.daemons.wait_for_leader().unwrap();
-    both.daemons.kill(leader);
-    both.daemons.wait("another leader", |fleet| fleet.leader().is_some_and(|other| other != leader)).unwrap();
-    // The new leader knows of it, and so does everybody who asks.
-    let refused = |both: &Both| {
-        both.daemons.wait("it is refused by the log", |_| {
-            both.drain(&["s1".to_string()])[0]
+fn a_permission_survives_its_leader_and_the_crash_of_its_holder() {
+    let mut cluster = Cluster::begin("leader", 3, &max_out(1));
+    assert_eq!(cluster.drain(&["s0".to_string()]), ["200 drains\n"]);
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    cluster.daemons.kill(leader);
+    cluster
+        .daemons
+        .wait("another leader", |fleet| fleet.leader().is_some_and(|other| other != leader))
+        .unwrap();
+    // The new leader knows of the permission, and refuses other members.
+    let refused = |cluster: &Cluster| {
+        cluster.daemons.wait("it is refused by the log", |_| {
+            cluster.drain(&["s1".to_string()])[0]
                 .starts_with("400 not now: 1 of 1 out in zone a, which has 3: s0")
         })
     };
-    refused(&both).unwrap();
-    both.sidecars.kill("s0");
-    refused(&both).unwrap();
-    assert_eq!(both.away(&names(3)[1..]), 0);
-    // Its successor takes its place, and is back once it serves.
-    both.start("s0");
-    both.wait("it is back", |rows| rows.iter().all(|row| !row.out));
-    both.daemons.wait("another may go", |_| both.drain(&["s1".to_string()]) == ["200 drains\n"]).unwrap();
+    refused(&cluster).unwrap();
+    cluster.sidecars.kill("s0");
+    refused(&cluster).unwrap();
+    assert_eq!(cluster.unhealthy(&names(3)[1..]), 0);
+    // The restarted process takes over the permission, which ends once it serves.
+    cluster.start("s0");
+    cluster.wait("it is back", |rows| rows.iter().all(|row| !row.out));
+    cluster
+        .daemons
+        .wait("another may drain", |_| cluster.drain(&["s1".to_string()]) == ["200 drains\n"])
+        .unwrap();
 }
 
 #[test]
-fn without_a_majority_nobody_goes_out_but_by_an_operators_second_word() {
-    let mut both = Both::begin("majority", 2, &most(1));
-    let leader = both.daemons.wait_for_leader().unwrap();
-    let others: Vec<u16> = both.daemons.places().filter(|place| *place != leader).collect();
-    others.iter().for_each(|place| both.daemons.kill(*place));
-    let said = both.drain(&names(2));
-    assert!(said.iter().all(|said| said.starts_with("400 not now: ")), "{said:?}");
-    assert_eq!(both.away(&names(2)), 0);
-    both.daemons.kill(leader);
+fn without_a_majority_only_an_operators_override_drains() {
+    let mut cluster = Cluster::begin("majority", 2, &max_out(1));
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    let others: Vec<u16> = cluster.daemons.places().filter(|place| *place != leader).collect();
+    others.iter().for_each(|place| cluster.daemons.kill(*place));
+    let answers = cluster.drain(&names(2));
+    assert!(answers.iter().all(|answer| answer.starts_with("400 not now: ")), "{answers:?}");
+    assert_eq!(cluster.unhealthy(&names(2)), 0);
+    cluster.daemons.kill(leader);
     std::thread::sleep(Duration::from_millis(4 * BEAT_MS));
-    assert_eq!(both.drain(&names(2)), ["400 not now: no daemon heard\n"; 2]);
-    assert_eq!(both.sidecars.told("s0", "drain anyway\n").unwrap(), "200 drains\n");
-    assert_eq!(both.away(&names(2)), 1);
-    for place in both.daemons.places() {
-        both.daemons.start(place).unwrap();
+    assert_eq!(cluster.drain(&names(2)), ["400 not now: no daemon heard\n"; 2]);
+    assert_eq!(cluster.sidecars.told("s0", "drain anyway\n").unwrap(), "200 drains\n");
+    assert_eq!(cluster.unhealthy(&names(2)), 1);
+    for place in cluster.daemons.places() {
+        cluster.daemons.start(place).unwrap();
     }
-    // Once daemons are back they know of it.
-    both.wait("it is known", |rows| {
+    // Once the daemons are back they learn of it.
+    cluster.wait("it is known", |rows| {
         rows.iter().any(|row| row.name == "s0" && row.status == MemberStatus::Drained)
     });
-    both.daemons
-        .wait("the other is refused", |_| both.drain(&["s1".to_string()])[0].contains("1 of 1 out in zone a"))
+    cluster
+        .daemons
+        .wait("the other is refused", |_| {
+            cluster.drain(&["s1".to_string()])[0].contains("1 of 1 out in zone a")
+        })
         .unwrap();
-    // Danger: the reason that was given without daemons must not speak for a later drain that gives none.
-    both.sidecars.told("s0", "resume\n").unwrap();
-    both.wait("it is back", |rows| rows.iter().all(|row| !row.out));
-    assert_eq!(both.drain(&["s1".to_string()]), ["200 drains\n"]);
-    let said = both.drain(&["s0".to_string()]);
-    assert!(said[0].starts_with("400 not now: 1 of 1 out"), "{said:?}");
-    assert_eq!(both.away(&names(2)), 1);
+    // Danger: the override given while no daemon was reachable must not apply to a later drain without one.
+    cluster.sidecars.told("s0", "resume\n").unwrap();
+    cluster.wait("it is back", |rows| rows.iter().all(|row| !row.out));
+    assert_eq!(cluster.drain(&["s1".to_string()]), ["200 drains\n"]);
+    let answers = cluster.drain(&["s0".to_string()]);
+    assert!(answers[0].starts_with("400 not now: 1 of 1 out"), "{answers:?}");
+    assert_eq!(cluster.unhealthy(&names(2)), 1);
 }
 
 #[test]
-fn a_group_of_one_with_a_share_never_goes_out_and_faulty_groups_are_refused_by_key() {
+fn a_group_of_one_with_a_share_limit_never_drains_and_invalid_groups_are_refused_by_key() {
     let half = Group {
         name: "zone a".into(),
         max_out: Some(Amount::Share(0.5)),
         min_serving: None,
         endpoints: Vec::new(),
     };
-    let both = Both::begin("one", 1, &[half]);
-    assert_eq!(both.drain(&["s0".to_string()]), ["400 not now: 0 of 0 out in zone a, which has 1\n"]);
-    let config = both.daemons.configuration(1).display().to_string();
-    let file = both.daemons.root.join("new.json");
-    for (group, said) in [
+    let cluster = Cluster::begin("one", 1, &[half]);
+    assert_eq!(cluster.drain(&["s0".to_string()]), ["400 not now: 0 of 0 out in zone a, which has 1\n"]);
+    let config = cluster.daemons.configuration(1).display().to_string();
+    let file = cluster.daemons.root.join("new.json");
+    for (group, expected) in [
         (r#"{"name": "a", "mostOut": {"number": 0}}"#, "groups.a.mostOut: expected at least 1"),
         (
             r#"{"name": "a", "leastServing": {"share": 1.5}}"#,
@@ -254,66 +264,67 @@
     ] {
         std::fs::write(&file, format!("{{\"groups\": [{group}]}}")).unwrap();
         let (status, text) =
-            both.daemons.command(&["put", "--config", &config, &file.display().to_string()]).unwrap();
-        assert!(status == Some(1) && text.contains(said), "{text}");
+            cluster.daemons.command(&["put", "--config", &config, &file.display().to_string()]).unwrap();
+        assert!(status == Some(1) && text.contains(expected), "{text}");
     }
 }
 
 #[test]
-fn an_endpoint_out_of_service_is_empty_only_once_every_member_says_so() {
-    let mut both = Both::begin("endpoint", 3, &most(1));
-    let ask = |both: &Both, asked: OperatorRequest| both.daemons.ask(&asked, PATIENCE).unwrap();
-    let view = |both: &Both| {
+fn a_drained_endpoint_is_empty_only_once_every_member_reports_it() {
+    let mut cluster = Cluster::begin("endpoint", 3, &max_out(1));
+    let ask = |cluster: &Cluster, asked: OperatorRequest| cluster.daemons.ask(&asked, PATIENCE).unwrap();
+    let request_all = |cluster: &Cluster| {
         for name in names(3).iter().cycle().take(60) {
-            let _ = request(both.sidecars.at(name), "/menu/1");
+            let _ = request(cluster.sidecars.at(name), "/menu/1");
         }
     };
-    view(&both);
-    assert!(both.sidecars.endpoints.iter().all(|endpoint| endpoint.requests() > 0));
-    both.sidecars.process("s2").stop();
+    request_all(&cluster);
+    assert!(cluster.sidecars.endpoints.iter().all(|endpoint| endpoint.requests() > 0));
+    cluster.sidecars.process("s2").stop();
     assert_eq!(
-        ask(&both, OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None }),
+        ask(&cluster, OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None }),
         OperatorReply::Done
     );
-    let holders = |both: &Both| match ask(both, OperatorRequest::DrainedEndpoints) {
+    let holders = |cluster: &Cluster| match ask(cluster, OperatorRequest::DrainedEndpoints) {
         OperatorReply::DrainedEndpoints(rows) if rows.len() == 1 && rows[0].0 == "e0" => rows[0].1.clone(),
         other => panic!("{other:?}"),
     };
-    // Two have said that they hold nothing there; one is stopped, and holds its connections past its lease.
-    let waited = both.daemons.wait("two have left it", |_| holders(&both) == ["s2"]);
-    waited.unwrap_or_else(|_| panic!("{:?} {:?}", holders(&both), both.sidecars.process("s0").log()));
-    both.wait("it is missed", |rows| {
+    // Two report that they hold nothing there. One is suspended, and holds its connections past its lease.
+    let waited = cluster.daemons.wait("two have left it", |_| holders(&cluster) == ["s2"]);
+    waited.unwrap_or_else(|_| panic!("{:?} {:?}", holders(&cluster), cluster.sidecars.process("s0").log()));
+    cluster.wait("it counts as out", |rows| {
         rows.iter().any(|row| row.name == "s2" && row.status == MemberStatus::Silent)
     });
-    assert_eq!(holders(&both), ["s2"]);
-    // A new leader takes nobody's word for given, and hears all.
-    let leader = both.daemons.wait_for_leader().unwrap();
-    both.daemons.kill(leader);
-    both.daemons.wait("two have said so to another", |_| holders(&both) == ["s2"]).unwrap();
-    both.daemons.start(leader).unwrap();
-    both.sidecars.process("s2").go_on();
-    both.daemons.wait("it is empty", |_| holders(&both).is_empty()).unwrap();
-    let before = both.sidecars.endpoints[0].requests();
-    both.daemons.wait("nothing is open there", |_| both.sidecars.endpoints[0].open() == 0).unwrap();
-    view(&both);
-    // One that starts now hears of it before it is counted on, or does not know and holds it up.
-    both.start("s3");
-    both.wait("it serves", |rows| {
+    assert_eq!(holders(&cluster), ["s2"]);
+    // A new leader relies on no earlier report, and waits for those of all members.
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    cluster.daemons.kill(leader);
+    cluster.daemons.wait("two have reported to the new leader", |_| holders(&cluster) == ["s2"]).unwrap();
+    cluster.daemons.start(leader).unwrap();
+    cluster.sidecars.process("s2").go_on();
+    cluster.daemons.wait("it is empty", |_| holders(&cluster).is_empty()).unwrap();
+    let before = cluster.sidecars.endpoints[0].requests();
+    cluster.daemons.wait("nothing is open there", |_| cluster.sidecars.endpoints[0].open() == 0).unwrap();
+    request_all(&cluster);
+    // A newly started member learns of the drain before its report counts; until then the endpoint is not empty.
+    cluster.start("s3");
+    cluster.wait("it serves", |rows| {
         rows.iter().any(|row| row.name == "s3" && row.status == MemberStatus::Serving)
     });
-    both.daemons.wait("it knows too", |_| holders(&both).is_empty()).unwrap();
-    let all = both.sidecars.endpoints[0].requests();
-    view(&both);
-    assert_eq!((both.sidecars.endpoints[0].requests(), all), (before, before));
-    // Back in service it has reqs again.
+    cluster.daemons.wait("it knows too", |_| holders(&cluster).is_empty()).unwrap();
+    let all = cluster.sidecars.endpoints[0].requests();
+    request_all(&cluster);
+    assert_eq!((cluster.sidecars.endpoints[0].requests(), all), (before, before));
+    // Back in service, the endpoint gets requests again.
     assert_eq!(
-        ask(&both, OperatorRequest::Endpoint { name: "e0".into(), out: false, force: None }),
+        ask(&cluster, OperatorRequest::Endpoint { name: "e0".into(), out: false, force: None }),
         OperatorReply::Done
     );
-    both.daemons
-        .wait("it has reqs again", |_| {
-            view(&both);
-            both.sidecars.endpoints[0].requests() > before
+    cluster
+        .daemons
+        .wait("it gets requests again", |_| {
+            request_all(&cluster);
+            cluster.sidecars.endpoints[0].requests() > before
         })
         .unwrap();
 }
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -1,4 +1,4 @@
-//! Real sidecars as members of a fleet of real daemons, and what strikes both.
+//! Real sidecars as members of a fleet of real daemons, under faults of both.
 
 use std::path::Path;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 60;
 
-struct Both {
+struct Cluster {
     daemons: Daemons,
     sidecars: Sidecars,
 }
 
-impl Both {
-    fn begin(name: &str, members: usize) -> Both {
+impl Cluster {
+    fn begin(name: &str, members: usize) -> Cluster {
         let root = std::env::temp_dir().join(format!("appledyke-members-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
         daemons.begin().unwrap();
         let sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
-        let mut both = Both { daemons, sidecars };
+        let mut cluster = Cluster { daemons, sidecars };
         for number in 0..members {
-            both.start(&format!("s{number}"));
+            cluster.start(&format!("s{number}"));
         }
-        both.wait_for("all serve", |rows| {
-            rows.iter().filter(|(_, standing, _)| *standing == MemberStatus::Serving).count() == members
+        cluster.wait_for("all serve", |rows| {
+            rows.iter().filter(|(_, status, _)| *status == MemberStatus::Serving).count() == members
         });
-        both
+        cluster
     }
 
     fn start(&mut self, name: &str) {
@@ -54,16 +54,16 @@
 
     fn wait_for(&self, what: &str, check: impl Fn(&[(String, MemberStatus, Option<Version>)]) -> bool) {
         let waited = self.daemons.wait(what, |_| check(&self.members()));
-        waited.unwrap_or_else(|said| panic!("{said}\n{:?}", self.members()));
+        waited.unwrap_or_else(|error| panic!("{error}\n{:?}", self.members()));
     }
 
-    fn stands(&self, name: &str, standing: MemberStatus) {
-        self.wait_for(&format!("{name} is {}", standing.name()), |rows| {
-            rows.iter().any(|(row, stands, _)| row == name && *stands == standing)
+    fn wait_for_status(&self, name: &str, expected: MemberStatus) {
+        self.wait_for(&format!("{name} is {}", expected.name()), |rows| {
+            rows.iter().any(|(row, status, _)| row == name && *status == expected)
         });
     }
 
-    fn acts_on(&self, names: &[&str], version: Version) {
+    fn wait_for_version(&self, names: &[&str], version: Version) {
         for name in names {
             let number = |sidecars: &Sidecars| sidecars.figure(name, "sidecar_fleet_settings_number");
             self.sidecars.wait("the version", |sidecars| number(sidecars) == Some(version.number)).unwrap();
@@ -71,7 +71,7 @@
     }
 }
 
-/// Settings by which a req to this method is taken: what a client is answered shows which settings a sidecar acts on.
+/// Settings with this method: the answer to a client shows which settings a sidecar has applied.
 fn with_method(name: &str) -> String {
     let base: serde_json::Value = serde_json::from_str(BASE).unwrap();
     let mut methods = base["settings"]["methods"].clone();
@@ -80,201 +80,209 @@
 }
 
 #[test]
-fn members_act_on_what_is_agreed_and_on_nothing_else() {
-    let mut both = Both::begin("agreed", 3);
+fn members_apply_only_committed_settings() {
+    let mut cluster = Cluster::begin("agreed", 3);
     let names = ["s0", "s1", "s2"];
-    assert!(names.iter().all(|name| request(both.sidecars.at(name), "/menu/1") == Some(200)));
-    let first = both.daemons.put(&with_method("soup")).unwrap();
-    both.acts_on(&names, first);
+    assert!(names.iter().all(|name| request(cluster.sidecars.at(name), "/menu/1") == Some(200)));
+    let first = cluster.daemons.put(&with_method("soup")).unwrap();
+    cluster.wait_for_version(&names, first);
     for name in names {
         assert_eq!(
-            (request(both.sidecars.at(name), "/menu/1"), request(both.sidecars.at(name), "/soup/1")),
+            (request(cluster.sidecars.at(name), "/menu/1"), request(cluster.sidecars.at(name), "/soup/1")),
             (Some(404), Some(200))
         );
     }
-    // A leader that is cut off with all members takes a put that is never committed: nobody acts on it.
-    let old = both.daemons.wait_for_leader().unwrap();
-    both.daemons.around(old, Link::cut());
-    let write = both.daemons.a_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
-    let at = both.daemons.at(old);
+    // A leader cut off together with all members accepts a put that is never committed: no member applies it.
+    let old = cluster.daemons.wait_for_leader().unwrap();
+    cluster.daemons.around(old, Link::cut());
+    let write =
+        cluster.daemons.a_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
+    let at = cluster.daemons.at(old);
     let asked = std::thread::spawn(move || {
         appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), PATIENCE)
     });
-    both.daemons.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
-    let second = both.daemons.put(&with_method("bread")).unwrap();
-    both.acts_on(&names, second);
+    cluster
+        .daemons
+        .wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old))
+        .unwrap();
+    let second = cluster.daemons.put(&with_method("bread")).unwrap();
+    cluster.wait_for_version(&names, second);
     for name in names {
         assert_eq!(
-            (request(both.sidecars.at(name), "/never/1"), request(both.sidecars.at(name), "/bread/1")),
+            (request(cluster.sidecars.at(name), "/never/1"), request(cluster.sidecars.at(name), "/bread/1")),
             (Some(404), Some(200))
         );
     }
-    both.daemons.around(old, Link::default());
+    cluster.daemons.around(old, Link::default());
     assert!(!matches!(asked.join().unwrap(), Ok(OperatorReply::Committed(version)) if version <= second));
-    // A way back is a way forwards.
-    let back = both.daemons.a_write(SettingsChange::Rollback(first), None);
-    let OperatorReply::Committed(third) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+    // A rollback is a new version.
+    let back = cluster.daemons.a_write(SettingsChange::Rollback(first), None);
+    let OperatorReply::Committed(third) =
+        cluster.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
     else {
         panic!()
     };
-    both.acts_on(&names, third);
-    assert!(names.iter().all(|name| request(both.sidecars.at(name), "/soup/1") == Some(200)));
+    cluster.wait_for_version(&names, third);
+    assert!(names.iter().all(|name| request(cluster.sidecars.at(name), "/soup/1") == Some(200)));
 }
 
 #[test]
-fn who_leaves_is_gone_who_is_killed_or_stopped_is_silent_and_who_goes_on_catches_up() {
-    let mut both = Both::begin("standing", 3);
-    both.sidecars.process("s0").leave();
-    assert!(both.sidecars.process("s0").ended(PATIENCE).unwrap().success());
-    both.stands("s0", MemberStatus::Gone);
-    both.sidecars.kill("s1");
-    both.stands("s1", MemberStatus::Silent);
-    // Stopped for longer than a lease, while the settings change and change back.
-    both.sidecars.process("s2").stop();
-    both.stands("s2", MemberStatus::Silent);
-    let first = both.daemons.put(&with_method("soup")).unwrap();
-    let back = both.daemons.a_write(SettingsChange::Rollback(first), None);
-    let OperatorReply::Committed(second) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+fn a_leaving_member_is_gone_a_killed_or_suspended_one_silent_and_a_resumed_one_catches_up() {
+    let mut cluster = Cluster::begin("standing", 3);
+    cluster.sidecars.process("s0").leave();
+    assert!(cluster.sidecars.process("s0").ended(PATIENCE).unwrap().success());
+    cluster.wait_for_status("s0", MemberStatus::Gone);
+    cluster.sidecars.kill("s1");
+    cluster.wait_for_status("s1", MemberStatus::Silent);
+    // Suspended for longer than a lease, while the settings change and are rolled back.
+    cluster.sidecars.process("s2").stop();
+    cluster.wait_for_status("s2", MemberStatus::Silent);
+    let first = cluster.daemons.put(&with_method("soup")).unwrap();
+    let back = cluster.daemons.a_write(SettingsChange::Rollback(first), None);
+    let OperatorReply::Committed(second) =
+        cluster.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
     else {
         panic!()
     };
-    both.sidecars.process("s2").go_on();
-    both.stands("s2", MemberStatus::Serving);
-    both.acts_on(&["s2"], second);
-    both.start("s1");
-    both.stands("s1", MemberStatus::Serving);
-    both.acts_on(&["s1"], second);
-    both.sidecars.told("s1", "drain\n").unwrap();
-    both.stands("s1", MemberStatus::Drained);
-    both.sidecars.told("s1", "resume\n").unwrap();
-    both.stands("s1", MemberStatus::Serving);
+    cluster.sidecars.process("s2").go_on();
+    cluster.wait_for_status("s2", MemberStatus::Serving);
+    cluster.wait_for_version(&["s2"], second);
+    cluster.start("s1");
+    cluster.wait_for_status("s1", MemberStatus::Serving);
+    cluster.wait_for_version(&["s1"], second);
+    cluster.sidecars.told("s1", "drain\n").unwrap();
+    cluster.wait_for_status("s1", MemberStatus::Drained);
+    cluster.sidecars.told("s1", "resume\n").unwrap();
+    cluster.wait_for_status("s1", MemberStatus::Serving);
 }
 
 #[test]
-fn reqs_are_served_while_all_daemons_are_away_and_a_start_takes_the_last_good_settings() {
-    let mut both = Both::begin("away", 2);
-    let version = both.daemons.put(&with_method("soup")).unwrap();
-    both.acts_on(&["s0", "s1"], version);
-    both.daemons.places().for_each(|place| both.daemons.kill(place));
-    let clients = Clients::start(&[both.sidecars.at("s0")], "/soup/1", Duration::from_millis(2));
-    both.sidecars.kill("s1");
-    both.start("s1");
-    // A member that none has ever heard serves by its own file.
-    both.start("s2");
+fn requests_are_served_without_daemons_and_a_restart_uses_the_last_valid_settings() {
+    let mut cluster = Cluster::begin("away", 2);
+    let version = cluster.daemons.put(&with_method("soup")).unwrap();
+    cluster.wait_for_version(&["s0", "s1"], version);
+    cluster.daemons.places().for_each(|place| cluster.daemons.kill(place));
+    let clients = Clients::start(&[cluster.sidecars.at("s0")], "/soup/1", Duration::from_millis(2));
+    cluster.sidecars.kill("s1");
+    cluster.start("s1");
+    // A member that has never reached a daemon serves with its own file.
+    cluster.start("s2");
     assert_eq!(
-        (request(both.sidecars.at("s1"), "/soup/1"), request(both.sidecars.at("s2"), "/menu/1")),
+        (request(cluster.sidecars.at("s1"), "/soup/1"), request(cluster.sidecars.at("s2"), "/menu/1")),
         (Some(200), Some(200))
     );
-    assert_eq!(both.sidecars.figure("s1", "sidecar_fleet_settings_number"), Some(1));
-    assert_eq!(both.sidecars.figure("s2", "sidecar_fleet_daemon_heard"), Some(0));
-    // A faulty copy of the last good ones is said, and passed over.
-    both.sidecars.kill("s1");
-    std::fs::write(both.sidecars.keep("s1"), "{\"version\": \"0.9\", \"settings\": {\"methods\": []}}")
+    assert_eq!(cluster.sidecars.figure("s1", "sidecar_fleet_settings_number"), Some(1));
+    assert_eq!(cluster.sidecars.figure("s2", "sidecar_fleet_daemon_heard"), Some(0));
+    // An invalid copy of the last settings is logged and ignored.
+    cluster.sidecars.kill("s1");
+    std::fs::write(cluster.sidecars.keep("s1"), "{\"version\": \"0.9\", \"settings\": {\"methods\": []}}")
         .unwrap();
-    both.start("s1");
-    let (line, _) = both
+    cluster.start("s1");
+    let (line, _) = cluster
         .sidecars
         .process("s1")
         .line(0, PATIENCE, |line| line.contains("it starts with the file's own"))
         .unwrap();
     assert!(line.contains("settings.methods"), "{line}");
-    assert_eq!(request(both.sidecars.at("s1"), "/menu/1"), Some(200));
-    for place in both.daemons.places() {
-        both.daemons.start(place).unwrap();
+    assert_eq!(request(cluster.sidecars.at("s1"), "/menu/1"), Some(200));
+    for place in cluster.daemons.places() {
+        cluster.daemons.start(place).unwrap();
     }
-    both.acts_on(&["s0", "s1", "s2"], version);
+    cluster.wait_for_version(&["s0", "s1", "s2"], version);
     let answers = clients.stop()[0];
     assert!(answers.served > 100 && answers.share() == 1.0, "{answers:?}");
 }
 
 #[test]
-fn a_member_that_finds_agreed_settings_faulty_goes_on_with_its_own_and_says_so() {
-    let mut both = Both::begin("faulty", 1);
-    // By its own file the watch decides by the same methods; other ones agreed on do not fit it.
+fn a_member_that_rejects_agreed_settings_keeps_its_own_and_reports_it() {
+    let mut cluster = Cluster::begin("faulty", 1);
+    // Its own file configures the watch for the methods in that file, so agreed settings with other methods are invalid for it.
     let mut base: serde_json::Value = serde_json::from_str(BASE).unwrap();
     base["watch"] = serde_json::json!({"methods": base["settings"]["methods"].clone()});
     let mut odd = Sidecars::new(
-        &both.daemons.root.join("odd"),
+        &cluster.daemons.root.join("odd"),
         &beside("appledyke-sidecar").unwrap(),
         &base.to_string(),
         1,
     )
     .unwrap();
-    let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
+    let at: Vec<_> = cluster.daemons.places().map(|place| (place, cluster.daemons.at(place))).collect();
     odd.start("odd", &at, BEAT_MS).unwrap();
-    let version = both.daemons.put(&with_method("soup")).unwrap();
-    both.acts_on(&["s0"], version);
-    odd.wait("it is found faulty", |odd| odd.figure("odd", "sidecar_fleet_settings_faulty") == Some(1))
+    let version = cluster.daemons.put(&with_method("soup")).unwrap();
+    cluster.wait_for_version(&["s0"], version);
+    odd.wait("it is found invalid", |odd| odd.figure("odd", "sidecar_fleet_settings_faulty") == Some(1))
         .unwrap();
     assert_eq!(
         (request(odd.at("odd"), "/menu/1"), request(odd.at("odd"), "/soup/1")),
         (Some(200), Some(404))
     );
-    // It says which version it acts on, and is not told the faulty one at each beat.
-    both.wait_for("its version", |rows| {
-        rows.iter().any(|(name, _, acts_on)| name == "odd" && *acts_on == Some(Version::default()))
+    // It reports the version it has applied, and is not sent the invalid one with each answer.
+    cluster.wait_for("its version", |rows| {
+        rows.iter().any(|(name, _, applied)| name == "odd" && *applied == Some(Version::default()))
     });
     assert_eq!(odd.figure("odd", "sidecar_fleet_settings_faulty"), Some(1));
 }
 
 #[test]
-fn what_one_has_learnt_is_heard_by_those_that_return() {
-    let mut both = Both::begin("evidence", 2);
-    both.sidecars.endpoints[0].answers(How::Fails);
+fn evidence_reaches_other_members_and_new_ones() {
+    let mut cluster = Cluster::begin("evidence", 2);
+    cluster.sidecars.endpoints[0].answers(How::Fails);
     for _ in 0..60 {
-        let _ = request(both.sidecars.at("s0"), "/menu/1");
+        let _ = request(cluster.sidecars.at("s0"), "/menu/1");
     }
-    both.sidecars
-        .wait("the other hears", |sidecars| {
+    cluster
+        .sidecars
+        .wait("the other member receives evidence", |sidecars| {
             sidecars.figure("s1", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 60)
         })
         .unwrap();
-    both.start("s2");
-    both.sidecars
-        .wait("who starts hears the latest", |sidecars| {
+    cluster.start("s2");
+    cluster
+        .sidecars
+        .wait("a new member receives the latest evidence", |sidecars| {
             sidecars.figure("s2", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 8)
         })
         .unwrap();
-    // Not what is counted twice: nobody hears more than was told.
-    let told: u64 = ["s0", "s1", "s2"]
+    // Nothing is counted twice: no member receives more than was reported.
+    let reported: u64 = ["s0", "s1", "s2"]
         .iter()
-        .filter_map(|name| both.sidecars.figure(name, "sidecar_fleet_ends_told"))
+        .filter_map(|name| cluster.sidecars.figure(name, "sidecar_fleet_ends_told"))
         .sum();
-    let heard = both.sidecars.figure("s1", "sidecar_fleet_ends_heard").unwrap();
-    assert!(heard <= told, "{heard} of {told}");
+    let heard = cluster.sidecars.figure("s1", "sidecar_fleet_ends_heard").unwrap();
+    assert!(heard <= reported, "{heard} of {reported}");
 }
 
 #[test]
-fn of_two_processes_with_one_name_the_earlier_one_is_told() {
-    let mut both = Both::begin("twins", 1);
+fn of_two_processes_with_one_name_the_earlier_one_is_notified() {
+    let mut cluster = Cluster::begin("twins", 1);
     let mut twin =
-        Sidecars::new(&both.daemons.root.join("twin"), &beside("appledyke-sidecar").unwrap(), BASE, 1)
+        Sidecars::new(&cluster.daemons.root.join("twin"), &beside("appledyke-sidecar").unwrap(), BASE, 1)
             .unwrap();
-    let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
+    let at: Vec<_> = cluster.daemons.places().map(|place| (place, cluster.daemons.at(place))).collect();
     twin.start("s0", &at, BEAT_MS).unwrap();
     let later = |line: &str| line.contains("a later process has taken this name");
-    both.sidecars.process("s0").line(0, PATIENCE, later).unwrap();
+    cluster.sidecars.process("s0").line(0, PATIENCE, later).unwrap();
     assert!(!twin.process("s0").log().iter().any(|line| later(line)));
 }
 
 #[test]
-fn thirty_that_return_at_once_are_back_and_the_fleet_goes_on() {
-    let mut both = Both::begin("thirty", 30);
-    let leader = both.daemons.wait_for_leader().unwrap();
-    let term = both.daemons.status(leader).unwrap().term;
+fn thirty_members_that_restart_at_once_do_not_depose_the_leader() {
+    let mut cluster = Cluster::begin("thirty", 30);
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    let term = cluster.daemons.status(leader).unwrap().term;
     let names: Vec<String> = (0..30).map(|number| format!("s{number}")).collect();
-    names.iter().for_each(|name| both.sidecars.kill(name));
-    names.iter().for_each(|name| both.start(name));
-    let version = both.daemons.put(&with_method("soup")).unwrap();
+    names.iter().for_each(|name| cluster.sidecars.kill(name));
+    names.iter().for_each(|name| cluster.start(name));
+    let version = cluster.daemons.put(&with_method("soup")).unwrap();
     let all: Vec<&str> = names.iter().map(String::as_str).collect();
-    both.acts_on(&all, version);
-    both.wait_for("all serve", |rows| rows.iter().all(|(_, standing, _)| *standing == MemberStatus::Serving));
-    // Nobody was unseated by them.
-    assert_eq!(both.daemons.status(leader).unwrap().term, term);
+    cluster.wait_for_version(&all, version);
+    cluster.wait_for("all serve", |rows| rows.iter().all(|(_, status, _)| *status == MemberStatus::Serving));
+    // The leader kept its term.
+    assert_eq!(cluster.daemons.status(leader).unwrap().term, term);
 }
 
 #[test]
-fn without_the_key_there_is_no_descriptor_thread_or_figure_of_it() {
+fn without_a_fleet_configuration_there_are_no_extra_descriptors_threads_or_metrics() {
     let root = std::env::temp_dir().join(format!("appledyke-members-{}-without", std::process::id()));
     let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("alone", &[], BEAT_MS).unwrap();
@@ -282,7 +290,9 @@
     sidecars.start("member", &[(1, nobody)], BEAT_MS).unwrap();
     for name in ["alone", "member"] {
         sidecars
-            .wait("ready", |sidecars| sidecars.told(name, "ready\n").is_ok_and(|said| said == "200 ready\n"))
+            .wait("ready", |sidecars| {
+                sidecars.told(name, "ready\n").is_ok_and(|reply| reply == "200 ready\n")
+            })
             .unwrap();
     }
     let text = sidecars.told("alone", "show-stat\n").unwrap();
@@ -292,13 +302,13 @@
         let id = sidecars.process(name).id();
         let count = |what: &str| std::fs::read_dir(format!("/proc/{id}/{what}")).unwrap().count();
         assert_eq!(count("task"), 1);
-        // Standard streams, poll, its waker's copies, signals, two listeners, the list, its file of presence, an operator.
+        // Standard streams, poll, the waker's duplicates, signals, two listeners, the list, the presence file, an operator.
         assert!(count("fd") <= 16, "{name}: {}", count("fd"));
     }
     std::fs::remove_dir_all(&root).unwrap();
 }
 
-/// One report over a connection of its own, and what the daemon answers.
+/// Sends one report over a connection of its own, and returns the daemon's answer.
 fn report(
     at: std::net::SocketAddr,
     incarnation: u64,
@@ -314,33 +324,33 @@
     Frame::hello("rig", Initiator::Member { name: name.clone() }).write(&mut out);
     Frame::Report(Report { name, incarnation, process_nonce: process, ..Report::default() }).write(&mut out);
     stream.write_all(&out).unwrap();
-    let (mut frames, mut piece) = (FrameReader::default(), [0; 4096]);
+    let (mut frames, mut buffer) = (FrameReader::default(), [0; 4096]);
     loop {
         while let Some(frame) = frames.pop().unwrap() {
-            if let Frame::ReportAnswer(told) = frame {
-                return told;
+            if let Frame::ReportAnswer(answer) = frame {
+                return answer;
             }
         }
-        let read = stream.read(&mut piece).unwrap();
-        assert!(read > 0, "it is answered");
-        frames.push(&piece[..read]);
+        let read = stream.read(&mut buffer).unwrap();
+        assert!(read > 0, "the daemon closed the connection");
+        frames.push(&buffer[..read]);
     }
 }
 
 #[test]
-fn two_processes_of_one_name_and_incarnation_are_noticed_and_both_told() {
-    let both = Both::begin("copies", 0);
-    let at = both.daemons.at(both.daemons.wait_for_leader().unwrap());
-    // A machine was copied with all that its sidecar drew at its start but the process's number.
+fn two_processes_of_one_name_and_incarnation_are_detected_and_both_notified() {
+    let cluster = Cluster::begin("copies", 0);
+    let at = cluster.daemons.at(cluster.daemons.wait_for_leader().unwrap());
+    // A copied machine: both sidecars have the same incarnation, and differ only in the process nonce.
     assert!(!report(at, 7, 1).duplicate_process);
     assert!(report(at, 7, 2).duplicate_process && report(at, 7, 1).duplicate_process);
-    // A restart of either follows both.
+    // A restart of either supersedes both.
     assert!(!report(at, 8, 3).duplicate_process);
     assert!(report(at, 7, 1).superseded && report(at, 7, 2).superseded && !report(at, 8, 3).superseded);
 }
 
 #[test]
-fn what_a_daemon_said_before_a_frame_that_cannot_be_read_is_taken() {
+fn frames_before_a_malformed_one_are_handled() {
     use std::io::Write;
 
     use appledyke_fleet::messages::{Frame, Initiator, ReportAnswer};
@@ -355,13 +365,13 @@
         let settings = Some((Version { generation: 0, number: 1 }, with_method("soup")));
         Frame::ReportAnswer(ReportAnswer { is_leader: true, settings, ..ReportAnswer::default() })
             .write(&mut out);
-        // All in one piece: the settings are known from here on, and are not told again.
+        // In one write with the answer: the settings are sent only this once.
         out.extend([4, 0, 0, 0, 99, 99, 99, 99]);
         stream.write_all(&out).unwrap();
         let _kept = (stream, listener.accept());
     });
     let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
-    sidecars.wait("it acts on them", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
+    sidecars.wait("it applies them", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     std::fs::remove_dir_all(&root).unwrap();
 }
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -1,4 +1,5 @@
-//! A sidecar of today beside a daemon of version 2, which takes no other greeting: it says so, or ends the connection.
+//! A sidecar of the current protocol version and a daemon of version 2, which accepts no other hello: it rejects it with a
+//! reason, or closes the connection.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,12 +21,12 @@
     let _ = stream.write_all(&bytes);
 }
 
-/// Hears one connection out, as a daemon of version 2 does; it answers one report, and ends the connection behind it.
-fn hear(mut stream: TcpStream, says_why: bool, heard: &Sender<Frame>) {
-    let (mut frames, mut piece) = (FrameReader::default(), [0; 4096]);
+/// Serves one connection like a daemon of version 2: answers one report, then closes the connection.
+fn serve_connection(mut stream: TcpStream, sends_reason: bool, heard: &Sender<Frame>) {
+    let (mut frames, mut buffer) = (FrameReader::default(), [0; 4096]);
     loop {
-        match stream.read(&mut piece) {
-            Ok(read) if read > 0 => frames.push(&piece[..read]),
+        match stream.read(&mut buffer) {
+            Ok(read) if read > 0 => frames.push(&buffer[..read]),
             _ => return,
         }
         while let Ok(Some(frame)) = frames.pop() {
@@ -36,7 +37,7 @@
                     write(&mut stream, &Frame::hello_as(2, "rig", Initiator::Replica(id)));
                 }
                 Frame::Hello { version, .. } => {
-                    if says_why {
+                    if sends_reason {
                         let why = format!("frames here are of version 2, not {version}");
                         write(&mut stream, &Frame::Rejected(why));
                     }
@@ -59,37 +60,37 @@
     }
 }
 
-fn daemon_of_version_2(says_why: bool) -> (SocketAddr, Receiver<Frame>) {
+fn daemon_of_version_2(sends_reason: bool) -> (SocketAddr, Receiver<Frame>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let (heard, hears) = channel();
+    let (heard, received) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            hear(stream, says_why, &heard);
+            serve_connection(stream, sends_reason, &heard);
         }
     });
-    (at, hears)
+    (at, received)
 }
 
-/// Danger: a fleet is upgraded one process at a time, and sidecars would be without daemons meanwhile; or, once the daemon is of
-/// today, go on as if it were not.
+/// Danger: a fleet is upgraded one process at a time. Sidecars must not be without daemons meanwhile, nor keep to the older
+/// version once the daemon is upgraded.
 #[test]
-fn a_daemon_of_version_2_is_greeted_as_such_and_as_one_of_today_the_next_time() {
-    for says_why in [true, false] {
-        let name = format!("appledyke-older-{}-{says_why}", std::process::id());
+fn a_sidecar_falls_back_to_version_2_and_tries_the_current_version_on_the_next_connection() {
+    for sends_reason in [true, false] {
+        let name = format!("appledyke-older-{}-{sends_reason}", std::process::id());
         let root = std::env::temp_dir().join(name);
-        let (at, heard) = daemon_of_version_2(says_why);
+        let (at, heard) = daemon_of_version_2(sends_reason);
         let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
         sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
-        let next = || heard.recv_timeout(PATIENCE).expect("the sidecar says something");
+        let next = || heard.recv_timeout(PATIENCE).expect("a frame from the sidecar");
         let version = || match next() {
             Frame::Hello { version, who: Initiator::Member { name }, .. } if name == "s0" => version,
             other => panic!("{other:?}"),
         };
         for _ in 0..2 {
             assert_eq!(version(), 3);
-            // One that only ends the connection may have ended by itself.
-            if !says_why {
+            // A daemon that only closes the connection may have failed, so the current version is tried twice.
+            if !sends_reason {
                 assert_eq!(version(), 3);
             }
             assert_eq!(version(), 2);
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -1,5 +1,4 @@
-//! Several daemons as processes, and what strikes them. A referee outside says what holds: what they answered, and what
-//! they hold in the end.
+//! Several daemon processes under faults. The tests check their answers and their final states from outside.
 
 use std::io::{Read, Write as _};
 use std::net::TcpStream;
@@ -18,7 +17,7 @@
 use appledyke_store::format::Change;
 
 const TEMPLATE: &str = include_str!("../../../examples/sidecar.json");
-const SOON: Duration = Duration::from_secs(2);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn root(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("appledyke-processes-{}-{name}", std::process::id()))
@@ -29,13 +28,13 @@
     Daemons::new(&root(name), program, TEMPLATE, shape).unwrap()
 }
 
-fn begun(name: &str) -> Daemons {
+fn start_fleet(name: &str) -> Daemons {
     let mut fleet = daemons(name, Shape::default());
     fleet.begin().unwrap();
     fleet
 }
 
-/// Settings like no others.
+/// Settings that are unique to this number.
 fn settings(number: u64) -> String {
     format!(
         "{{\"rules\": {{\"startCapacity\": 0.3, \"coldNs\": {}, \"overloadForNs\": 1500000000}}}}",
@@ -48,8 +47,8 @@
 }
 
 #[test]
-fn settings_are_put_by_the_command_line_and_faulty_ones_refused_by_key() {
-    let fleet = begun("command");
+fn settings_are_put_by_the_command_line_and_invalid_ones_refused_by_key() {
+    let fleet = start_fleet("command");
     let config = fleet.configuration(2).display().to_string();
     let file = fleet.root.join("new.json");
     let put = |text: &str, more: &[&str]| {
@@ -60,14 +59,14 @@
             .unwrap()
     };
     assert_eq!(put(&settings(1), &["--expects", "0.0"]), (Some(0), "committed: 0.1\n".to_string()));
-    let (status, said) = put(&settings(2), &["--expects", "0.0"]);
-    assert_eq!((status, said.as_str()), (Some(1), "refused: version 0.1 holds, another was expected\n"));
-    let (status, said) = put("{\"methods\": []}", &[]);
-    assert_eq!((status, said.starts_with("refused: settings.methods: ")), (Some(1), true), "{said}");
-    let (status, said) = put("{\"zone\": \"a\"}", &[]);
-    assert_eq!((status, said.contains("settings.zone")), (Some(1), true), "{said}");
+    let (status, output) = put(&settings(2), &["--expects", "0.0"]);
+    assert_eq!((status, output.as_str()), (Some(1), "refused: version 0.1 holds, another was expected\n"));
+    let (status, output) = put("{\"methods\": []}", &[]);
+    assert_eq!((status, output.starts_with("refused: settings.methods: ")), (Some(1), true), "{output}");
+    let (status, output) = put("{\"zone\": \"a\"}", &[]);
+    assert_eq!((status, output.contains("settings.zone")), (Some(1), true), "{output}");
     assert_eq!(put("{", &[]).0, Some(1));
-    // The same write said again, by its id: it has taken effect once.
+    // The same write repeated with its id takes effect once.
     let one = put(&settings(3), &["--id", "a-1"]);
     assert_eq!(
         (one.clone(), put(&settings(3), &["--id", "a-1"])),
@@ -85,14 +84,14 @@
     let rows: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!(rows.as_array().unwrap().len(), 3);
     assert_eq!(run(&["check"]).0, Some(0));
-    // A second fleet of this name beside the first is no slip of a finger.
-    let (status, said) = run(&["found"]);
-    assert!(status == Some(1) && said.contains("serves fleet rig already"), "{said}");
+    // A second fleet of the same name is not created by mistake.
+    let (status, output) = run(&["found"]);
+    assert!(status == Some(1) && output.contains("serves fleet rig already"), "{output}");
 }
 
 #[test]
-fn a_killed_leader_is_followed_by_another_that_holds_all_that_was_committed() {
-    let mut fleet = begun("leader");
+fn a_new_leader_holds_all_committed_entries_after_a_crash() {
+    let mut fleet = start_fleet("leader");
     let mut versions = Vec::new();
     for round in 0..3 {
         versions.push(fleet.put(&settings(round)).unwrap());
@@ -107,8 +106,8 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_with_all_that_was_committed() {
-    let mut fleet = begun("all");
+fn all_committed_entries_survive_a_crash_of_all_daemons() {
+    let mut fleet = start_fleet("all");
     for round in 0..40 {
         fleet.put(&settings(round)).unwrap();
     }
@@ -123,14 +122,14 @@
 }
 
 #[test]
-fn a_leader_stopped_past_an_election_answers_nothing_by_its_old_authority() {
-    let mut fleet = begun("stopped");
+fn a_leader_suspended_past_an_election_does_not_answer_as_leader() {
+    let mut fleet = start_fleet("stopped");
     fleet.put(&settings(1)).unwrap();
     let old = fleet.wait_for_leader().unwrap();
     fleet.process(old).stop();
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let later = fleet.put(&settings(2)).unwrap();
-    // What is asked of it while it stands still is the first that it reads when it goes on.
+    // Requests sent while it is suspended are the first that it reads when it resumes.
     let write = fleet.a_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
     let at = fleet.at(old);
     let asked = [OperatorRequest::Get(None), OperatorRequest::Write(write)]
@@ -152,11 +151,11 @@
 }
 
 #[test]
-fn a_leader_cut_off_with_its_clients_commits_nothing_and_the_others_go_on() {
-    let mut fleet = begun("cut");
+fn a_leader_cut_off_with_its_clients_commits_nothing_and_the_others_continue() {
+    let mut fleet = start_fleet("cut");
     fleet.put(&settings(1)).unwrap();
     let old = fleet.wait_for_leader().unwrap();
-    // Cut off from the others, silently; all operators reach it still.
+    // Silently cut off from the other daemons; operators still reach it.
     fleet.around(old, Standing::cut());
     let write = fleet.a_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
     let at = fleet.at(old);
@@ -164,28 +163,28 @@
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let version = fleet.put(&settings(3)).unwrap();
     fleet.around(old, Standing::default());
-    let said = put.join().unwrap();
-    assert!(!matches!(said, Ok(OperatorReply::Committed(_))), "{said:?}");
+    let reply = put.join().unwrap();
+    assert!(!matches!(reply, Ok(OperatorReply::Committed(_))), "{reply:?}");
     fleet.wait_for_one_state().unwrap();
     let history = fleet.history().unwrap();
     assert_eq!(
         history.last().map(|written| (written.version, written.settings.as_str())),
         Some((version, &*settings(3)))
     );
-    // Whatever became of the put whose fate was unknown, it is the same for all, and once at the most.
+    // The put with an unknown outcome has the same outcome on all replicas, and took effect at most once.
     assert!(history.iter().filter(|written| written.settings == settings(2)).count() <= 1);
 }
 
 #[test]
-fn two_that_do_not_reach_one_another_agree_through_the_third() {
-    let mut fleet = begun("between");
+fn two_daemons_without_a_link_agree_through_the_third() {
+    let mut fleet = start_fleet("between");
     let leader = fleet.wait_for_leader().unwrap();
     let other = fleet.places().find(|place| *place != leader).unwrap();
     fleet.between(leader, other, Standing::cut());
     for round in 0..5 {
         fleet.put(&settings(round)).unwrap();
     }
-    // One way only, then the other.
+    // Cut in one direction only, then in the other.
     fleet.between(leader, other, Standing::default());
     fleet.link(leader, other).stand(Standing { to: Way::Held, ..Standing::default() });
     fleet.put(&settings(6)).unwrap();
@@ -196,31 +195,31 @@
     assert_eq!(fleet.history().unwrap().len(), 7);
 }
 
-/// A put is committed by two, one of which then comes back with a copy from before, and the other is away. Whether the
-/// two that are left elect a leader, and what the history is in the end.
-fn with_an_old_copy(name: &str, more: &[&str]) -> (bool, Version, Vec<Version>) {
-    let mut fleet = begun(name);
+/// Commits a put on two of three daemons. Then one of the two is down, and the other restarts with a copy of its folder from
+/// before the put. Returns whether this one and the third daemon elect a leader, the version of the put, and the final history.
+fn restart_with_an_old_copy(name: &str, more: &[&str]) -> (bool, Version, Vec<Version>) {
+    let mut fleet = start_fleet(name);
     fleet.put(&settings(0)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
-    let (struck, third) = {
+    let (failed, third) = {
         let mut others = fleet.places().filter(|place| *place != leader);
         (others.next().unwrap(), others.next().unwrap())
     };
     fleet.wait_for_one_state().unwrap();
-    let (folder, copy) = (fleet.folder(struck), fleet.root.join("copy"));
-    fleet.kill(struck);
+    let (folder, copy) = (fleet.folder(failed), fleet.root.join("copy"));
+    fleet.kill(failed);
     folders::copy(&folder, &copy).unwrap();
-    fleet.start(struck).unwrap();
+    fleet.start(failed).unwrap();
     fleet.wait_for_one_state().unwrap();
     fleet.kill(third);
     let version = fleet.put(&settings(1)).unwrap();
-    fleet.kill(struck);
+    fleet.kill(failed);
     folders::copy(&copy, &folder).unwrap();
     fleet.kill(leader);
-    fleet.start_with(struck, more).unwrap();
+    fleet.start_with(failed, more).unwrap();
     fleet.start_with(third, more).unwrap();
     let is_leader = |line: &str| line.contains("is Leader");
-    let elected = fleet.process(struck).line(0, Duration::from_millis(1500), is_leader).is_ok()
+    let elected = fleet.process(failed).line(0, Duration::from_millis(1500), is_leader).is_ok()
         || fleet.process(third).line(0, Duration::ZERO, is_leader).is_ok();
     fleet.start(leader).unwrap();
     fleet.wait_for_one_state().unwrap();
@@ -228,20 +227,20 @@
 }
 
 #[test]
-fn a_daemon_with_an_old_copy_of_its_folder_does_not_vote_on_it_and_catches_up() {
-    // Danger: the two are a majority, and neither holds what was committed.
-    let (elected, version, history) = with_an_old_copy("old", &[]);
+fn a_daemon_with_an_old_copy_of_its_folder_does_not_vote_until_it_has_caught_up() {
+    // Danger: the two are a majority, and neither holds the committed put.
+    let (elected, version, history) = restart_with_an_old_copy("old", &[]);
     assert!(!elected && history.last() == Some(&version), "{elected}, {version} in {history:?}");
-    // Where an operator's word is taken for the old copy, what was committed is lost: so it is this that holds it.
-    let (elected, version, history) = with_an_old_copy("vouched", &["--vouched"]);
+    // Control: with `--vouched` the old copy is trusted and the committed put is lost, so the protection above is what keeps it.
+    let (elected, version, history) = restart_with_an_old_copy("vouched", &["--vouched"]);
     assert!(elected && !history.contains(&version), "{elected}, {version} in {history:?}");
 }
 
 #[test]
-fn an_emptied_folder_comes_back_as_another_life_and_the_old_one_votes_no_more() {
-    let mut fleet = begun("empty");
+fn an_emptied_folder_gets_a_new_incarnation_and_the_old_one_loses_its_vote() {
+    let mut fleet = start_fleet("empty");
     for round in 0..60 {
-        // More than the entries that are kept behind a snapshot.
+        // More than the trailing entries that are kept after a snapshot.
         fleet.put(&settings(round)).unwrap();
     }
     let before = fleet.wait_for_one_state().unwrap();
@@ -257,44 +256,44 @@
 }
 
 #[test]
-fn one_of_five_with_damage_in_both_copies_is_set_aside_and_comes_back() {
+fn a_folder_with_both_copies_damaged_is_set_aside_and_its_daemon_rejoins() {
     let mut fleet = daemons("damage", Shape { daemons: 5, ..Shape::default() });
     fleet.begin().unwrap();
     for round in 0..10 {
         fleet.put(&settings(round)).unwrap();
     }
     fleet.wait_for_one_state().unwrap();
-    let (struck, also_down) = (2, 3);
-    let before = fleet.status(struck).unwrap().id;
-    fleet.kill(struck);
+    let (failed, also_down) = (2, 3);
+    let before = fleet.status(failed).unwrap().id;
+    fleet.kill(failed);
     fleet.kill(also_down);
     for copy in ["log.0", "log.1"] {
-        folders::damage(&fleet.folder(struck).join(copy), 2000).unwrap();
+        folders::damage(&fleet.folder(failed).join(copy), 2000).unwrap();
     }
-    fleet.start(struck).unwrap();
+    fleet.start(failed).unwrap();
     fleet
         .wait("it is back", |fleet| {
             fleet
-                .status(struck)
+                .status(failed)
                 .is_some_and(|status| status.id != before && status.voters.contains(&status.id))
         })
         .unwrap();
     fleet.start(also_down).unwrap();
     fleet.wait_for_one_state().unwrap();
-    // A copy that is damaged alone is mended from the other.
-    fleet.kill(struck);
+    // Damage to one copy is repaired from the other.
+    fleet.kill(failed);
     let id =
-        fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.replica_id == struck);
-    folders::cut_short(&fleet.folder(struck).join("log.1"), 700).unwrap();
-    fleet.start(struck).unwrap();
+        fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.replica_id == failed);
+    folders::cut_short(&fleet.folder(failed).join("log.1"), 700).unwrap();
+    fleet.start(failed).unwrap();
     fleet.wait_for_one_state().unwrap();
-    assert_eq!(fleet.status(struck).map(|status| status.id), id);
+    assert_eq!(fleet.status(failed).map(|status| status.id), id);
     assert_eq!(fleet.history().unwrap().len(), 10);
 }
 
 #[test]
-fn a_disk_that_refuses_stops_its_daemon_and_nobody_else() {
-    let mut fleet = begun("disk");
+fn a_failing_disk_stops_only_its_own_daemon() {
+    let mut fleet = start_fleet("disk");
     fleet.put(&settings(0)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
     let (log, away) = (fleet.folder(leader).join("log.1"), fleet.folder(leader).join("log.1.away"));
@@ -312,15 +311,15 @@
 }
 
 #[test]
-fn a_put_whose_answer_is_lost_is_said_again_elsewhere_and_takes_effect_once() {
-    let mut fleet = begun("answer");
+fn a_put_whose_answer_is_lost_takes_effect_once_when_repeated_elsewhere() {
+    let mut fleet = start_fleet("answer");
     let leader = fleet.wait_for_leader().unwrap();
     fleet.door(leader).stand(Standing { back: Way::Held, ..Standing::default() });
     let write = OperatorRequest::Write(
         fleet.a_write(SettingsChange::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))),
     );
     assert!(ask(fleet.at(leader), &write, Duration::from_millis(400)).is_err());
-    // It took effect, and its teller never heard. The leader goes; another says what came of it.
+    // It took effect, but the answer was lost. The leader is killed, and its successor reports the outcome.
     fleet.kill(leader);
     fleet.door(leader).stand(Standing::default());
     assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
@@ -330,11 +329,11 @@
     assert_eq!(fleet.history().unwrap().len(), 1);
 }
 
-/// Changes a committed entry in a folder, as no daemon would.
+/// Alters a committed entry in a folder.
 fn tamper(folder: &Path) {
     let (mut store, _) = Store::open(Folder::new(folder.to_path_buf())).unwrap();
-    let mut kept = storage::load(store.iter()).unwrap();
-    let altered = kept.entries.iter_mut().rev().find_map(|entry| match &mut entry.content {
+    let mut persisted = storage::load(store.iter()).unwrap();
+    let altered = persisted.entries.iter_mut().rev().find_map(|entry| match &mut entry.content {
         appledyke_consensus::Content::Command(bytes) => match Command::from_bytes(bytes) {
             Ok(Command::Write(mut write)) => {
                 write.reason = "altered".to_string();
@@ -352,22 +351,22 @@
 }
 
 #[test]
-fn a_copy_that_differs_stops_serving_and_comes_back_by_a_snapshot() {
-    let mut fleet = begun("differs");
+fn a_replica_with_a_diverged_state_stops_serving_and_rejoins_by_snapshot() {
+    let mut fleet = start_fleet("differs");
     for round in 0..5 {
         fleet.put(&settings(round)).unwrap();
     }
     let before = fleet.wait_for_one_state().unwrap();
-    let struck = fleet.places().find(|place| Some(*place) != fleet.leader()).unwrap();
-    fleet.kill(struck);
-    tamper(&fleet.folder(struck));
-    fleet.start(struck).unwrap();
+    let failed = fleet.places().find(|place| Some(*place) != fleet.leader()).unwrap();
+    fleet.kill(failed);
+    tamper(&fleet.folder(failed));
+    fleet.start(failed).unwrap();
     // The next comparisons come with the next entries.
     for round in 5..30 {
         fleet.put(&settings(round)).unwrap();
     }
     let (line, _) =
-        fleet.process(struck).line(0, PATIENCE, |line| line.contains("differs from a majority's")).unwrap();
+        fleet.process(failed).line(0, PATIENCE, |line| line.contains("differs from a majority's")).unwrap();
     assert!(line.contains("stops serving"), "{line}");
     let after = fleet.wait_for_one_state().unwrap();
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
@@ -375,24 +374,24 @@
 }
 
 #[test]
-fn what_is_foreign_or_no_frame_ends_its_own_connection_and_harms_no_other() {
-    let mut fleet = begun("foreign");
+fn foreign_or_malformed_frames_close_only_their_own_connection() {
+    let mut fleet = start_fleet("foreign");
     let leader = fleet.wait_for_leader().unwrap();
     let at = fleet.at(leader);
-    let mut greeting = Vec::new();
-    Frame::hello("rig", Initiator::Operator).write(&mut greeting);
-    let mut long = greeting.clone();
+    let mut hello = Vec::new();
+    Frame::hello("rig", Initiator::Operator).write(&mut hello);
+    let mut long = hello.clone();
     long.extend(u32::MAX.to_le_bytes());
-    let mut not_its = greeting.clone();
-    Frame::Digest { index: 8, digest: 1 }.write(&mut not_its);
+    let mut not_allowed = hello.clone();
+    Frame::Digest { index: 8, digest: 1 }.write(&mut not_allowed);
     let mut other = Vec::new();
     Frame::hello("other", Initiator::Operator).write(&mut other);
-    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &long, &not_its, &other] {
+    for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &long, &not_allowed, &other] {
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(SOON)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         stream.write_all(bytes).unwrap();
         let mut answer = Vec::new();
-        // It ends, by a close or a reset.
+        // The connection ends with a close or a reset.
         match stream.read_to_end(&mut answer) {
             Ok(_) => {}
             Err(e) => assert!(e.kind() == std::io::ErrorKind::ConnectionReset, "{e}"),
@@ -400,39 +399,39 @@
     }
     fleet.put(&settings(1)).unwrap();
     assert_eq!(fleet.leader(), Some(leader));
-    // A folder has one process, one fleet and one place.
+    // A folder is used by one process, and belongs to one fleet and one replica.
     let config = fleet.configuration(leader).display().to_string();
-    let (status, said) = fleet.command(&["serve", "--config", &config]).unwrap();
-    assert!(status == Some(1) && said.contains("another process has it"), "{said}");
+    let (status, output) = fleet.command(&["serve", "--config", &config]).unwrap();
+    assert!(status == Some(1) && output.contains("another process has it"), "{output}");
     fleet.kill(leader);
     let text = std::fs::read_to_string(&config).unwrap();
     let moved = fleet.root.join("moved.toml");
     std::fs::write(&moved, text.replacen("fleet = \"rig\"", "fleet = \"other\"", 1)).unwrap();
-    let (status, said) = fleet.command(&["serve", "--config", &moved.display().to_string()]).unwrap();
-    assert!(status == Some(1) && said.contains("it is of fleet rig, not other"), "{said}");
+    let (status, output) = fleet.command(&["serve", "--config", &moved.display().to_string()]).unwrap();
+    assert!(status == Some(1) && output.contains("it is of fleet rig, not other"), "{output}");
 }
 
 #[test]
-fn a_backup_begins_a_later_generation_and_taking_out_warns_before_the_majority_is_at_stake() {
-    let mut fleet = begun("backup");
+fn a_restored_backup_starts_a_later_generation_and_removing_a_voter_warns_before_the_majority_is_at_risk() {
+    let mut fleet = start_fleet("backup");
     fleet.put(&settings(1)).unwrap();
     let config = fleet.configuration(1).display().to_string();
     let file = fleet.root.join("backup").display().to_string();
     let run =
         |fleet: &Daemons, line: &[&str]| fleet.command(&[line, &["--config", &config]].concat()).unwrap();
-    let (status, said) = run(&fleet, &["backup", &file]);
-    assert!(status == Some(0) && said.starts_with("version 0.1"), "{said}");
+    let (status, output) = run(&fleet, &["backup", &file]);
+    assert!(status == Some(0) && output.starts_with("version 0.1"), "{output}");
     assert_eq!(run(&fleet, &["backup", &file]).0, Some(1), "a backup is never written over");
     fleet.put(&settings(2)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
     let out = fleet.places().find(|place| *place != leader).unwrap().to_string();
-    let (status, said) = run(&fleet, &["take-out", &out]);
-    assert!(status == Some(1) && said.contains("--anyway"), "{said}");
-    let (status, said) = run(&fleet, &["take-out", &leader.to_string()]);
-    assert!(status == Some(1) && said.contains("hand over first"), "{said}");
-    let (status, said) = run(&fleet, &["restore", &file]);
-    assert!(status == Some(1) && said.contains("already"), "{said}");
-    // All is lost but the backup.
+    let (status, output) = run(&fleet, &["take-out", &out]);
+    assert!(status == Some(1) && output.contains("--anyway"), "{output}");
+    let (status, output) = run(&fleet, &["take-out", &leader.to_string()]);
+    assert!(status == Some(1) && output.contains("hand over first"), "{output}");
+    let (status, output) = run(&fleet, &["restore", &file]);
+    assert!(status == Some(1) && output.contains("already"), "{output}");
+    // Everything but the backup is lost.
     for place in fleet.places() {
         fleet.kill(place);
         folders::empty(&fleet.folder(place)).unwrap();
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -1,5 +1,5 @@
-//! Releases among real daemons, sidecars and agents. The referee asks health checks from outside, counts what reached endpoints
-//! and how often an action was run.
+//! Releases with real daemons, sidecars and agents. The tests poll health checks from outside, and count the requests that
+//! reach endpoints and the runs of each action.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -22,11 +22,11 @@
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 80;
-/// Danger: on a busy machine a sidecar that is not heard for a moment counts as silent, and a release halts as more are out than
-/// may be. That is as it has to be; where no member is made silent by the test, it is so only after many beats.
+/// Danger: on a busy machine a delayed sidecar counts as silent, and a release rightly halts because more members are out than
+/// allowed. Tests that make no member silent use this longer lease, of many report intervals.
 const LEASE_MS: u64 = 5000;
 
-struct Both {
+struct Cluster {
     daemons: Daemons,
     sidecars: Sidecars,
     operators: Operators,
@@ -63,18 +63,18 @@
     (0..count).map(|number| format!("s{number}")).collect()
 }
 
-impl Both {
-    /// So many members of one group, of which two may be out; and two endpoints of another, of which one may.
-    fn begin(name: &str, members: usize) -> Both {
-        Both::begin_shaped(name, members, Shape::default())
+impl Cluster {
+    /// Starts this many members of one group, of which two may be out, and two endpoints of another, of which one may be out.
+    fn begin(name: &str, members: usize) -> Cluster {
+        Cluster::begin_shaped(name, members, Shape::default())
     }
 
-    /// The same, where nobody is to fall silent.
-    fn begin_heard(name: &str, members: usize) -> Both {
-        Both::begin_shaped(name, members, Shape { lease_ms: LEASE_MS, ..Shape::default() })
+    /// The same with a long lease, for tests in which no member should become silent.
+    fn begin_with_long_lease(name: &str, members: usize) -> Cluster {
+        Cluster::begin_shaped(name, members, Shape { lease_ms: LEASE_MS, ..Shape::default() })
     }
 
-    fn begin_shaped(name: &str, members: usize, shape: Shape) -> Both {
+    fn begin_shaped(name: &str, members: usize, shape: Shape) -> Cluster {
         let root = std::env::temp_dir().join(format!("appledyke-releases-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
@@ -97,9 +97,9 @@
         sidecars.version("1", false);
         let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
         names(members).iter().for_each(|name| sidecars.start(name, &at, BEAT_MS).unwrap());
-        let both = Both { daemons, sidecars, operators: Operators::default() };
-        both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
-        both
+        let cluster = Cluster { daemons, sidecars, operators: Operators::default() };
+        cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
+        cluster
     }
 
     fn rows(&self) -> Vec<MemberRow> {
@@ -112,16 +112,16 @@
     fn wait(&self, what: &str, check: impl Fn(&[MemberRow]) -> bool) {
         self.daemons
             .wait(what, |_| check(&self.rows()))
-            .unwrap_or_else(|said| panic!("{said}\n{:?}", self.rows()));
+            .unwrap_or_else(|error| panic!("{error}\n{:?}", self.rows()));
     }
 
-    fn say(&self, order: ReleaseUpdate) -> OperatorReply {
-        self.daemons.ask(&OperatorRequest::Release(order), PATIENCE).unwrap()
+    fn send_update(&self, update: ReleaseUpdate) -> OperatorReply {
+        self.daemons.ask(&OperatorRequest::Release(update), PATIENCE).unwrap()
     }
 
     fn start(&self, plan: &Plan) {
         assert_eq!(
-            self.say(ReleaseUpdate::Start(Box::new(plan.clone()), RequestCounts::default())),
+            self.send_update(ReleaseUpdate::Start(Box::new(plan.clone()), RequestCounts::default())),
             OperatorReply::Done
         );
     }
@@ -131,7 +131,7 @@
         Operators::release(&self.daemons, name).expect("a release that was started")
     }
 
-    /// The operators go on until this holds of the release.
+    /// Runs the operators' steps until the release satisfies this condition.
     fn until(&mut self, name: &str, what: &str, check: impl Fn(&Release) -> bool) -> Release {
         let start = std::time::Instant::now();
         loop {
@@ -147,39 +147,39 @@
     }
 }
 
-/// Counts, until it is told to stop, how many of these say no to their health check, or do not answer, at once.
-struct Referee {
-    over: Arc<AtomicBool>,
+/// Tracks the highest number of these that fail their health check, or do not answer, at the same time.
+struct HealthMonitor {
+    stop: Arc<AtomicBool>,
     most: Arc<AtomicUsize>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Referee {
+impl HealthMonitor {
     fn watch(
         at: impl Fn(&str) -> Option<std::net::SocketAddr> + Send + 'static,
         names: Vec<String>,
-    ) -> Referee {
-        let (over, most) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let (own, counted) = (over.clone(), most.clone());
+    ) -> HealthMonitor {
+        let (stop, most) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (own, counted) = (stop.clone(), most.clone());
         let thread = std::thread::spawn(move || {
             while !own.load(Ordering::Relaxed) {
-                let says_no = |name: &&String| at(name).and_then(|at| request(at, "/healthz")) != Some(200);
-                counted.fetch_max(names.iter().filter(says_no).count(), Ordering::Relaxed);
+                let unhealthy = |name: &&String| at(name).and_then(|at| request(at, "/healthz")) != Some(200);
+                counted.fetch_max(names.iter().filter(unhealthy).count(), Ordering::Relaxed);
                 std::thread::sleep(Duration::from_millis(5));
             }
         });
-        Referee { over, most, thread: Some(thread) }
+        HealthMonitor { stop, most, thread: Some(thread) }
     }
 
     fn most(mut self) -> usize {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         self.thread.take().into_iter().for_each(|thread| thread.join().unwrap());
         self.most.load(Ordering::Relaxed)
     }
 }
 
-fn front(both: &Both, count: usize) -> Clients {
-    Clients::front(&both.sidecars, &names(count), 2, "/menu/1", Duration::from_millis(4))
+fn front(cluster: &Cluster, count: usize) -> Clients {
+    Clients::front(&cluster.sidecars, &names(count), 2, "/menu/1", Duration::from_millis(4))
 }
 
 fn ended(how: &'static str) -> impl Fn(&Release) -> bool {
@@ -187,208 +187,208 @@
 }
 
 #[test]
-fn all_are_moved_once_under_the_most_with_every_req_answered_though_the_leader_is_killed() {
-    let mut both = Both::begin_heard("all", 5);
-    let clients = front(&both, 5);
-    let referee = Referee::watch(both.sidecars.lookup(), names(5));
-    both.start(&plan("r"));
-    both.until("r", "two are moved", |release| release.reached(Side::New).count() >= 2);
-    // In the middle of a step: it goes on under another leader where it stood.
-    let leader = both.daemons.wait_for_leader().unwrap();
-    both.daemons.kill(leader);
-    both.until("r", "it ends", ended("all are moved"));
-    both.daemons.start(leader).unwrap();
-    let most = referee.most();
+fn a_release_moves_each_member_once_within_the_limit_and_loses_no_request_when_the_leader_is_killed() {
+    let mut cluster = Cluster::begin_with_long_lease("all", 5);
+    let clients = front(&cluster, 5);
+    let monitor = HealthMonitor::watch(cluster.sidecars.lookup(), names(5));
+    cluster.start(&plan("r"));
+    cluster.until("r", "two are moved", |release| release.reached(Side::New).count() >= 2);
+    // In the middle of a step: the release continues under another leader from the same point.
+    let leader = cluster.daemons.wait_for_leader().unwrap();
+    cluster.daemons.kill(leader);
+    cluster.until("r", "it ends", ended("all are moved"));
+    cluster.daemons.start(leader).unwrap();
+    let most = monitor.most();
     let answers = clients.stop();
     let lost: u64 = answers.iter().map(|a| a.none + a.failed + a.rejected).sum();
     assert!(most <= 2, "{most} were out at once");
     assert_eq!(lost, 0, "{answers:?}");
     assert!(answers.iter().all(|a| a.served > 20), "{answers:?}");
-    assert!(names(5).iter().all(|who| both.operators.moves(who, "2") == 1));
+    assert!(names(5).iter().all(|target| cluster.operators.moves(target, "2") == 1));
 }
 
 #[test]
-fn a_flawed_candidate_is_halted_at_its_first_step_and_undone_by_itself() {
-    let mut both = Both::begin_heard("flawed", 5);
-    both.operators.flawed.push("2".into());
-    let clients = front(&both, 5);
+fn a_faulty_version_is_halted_at_its_first_step_and_rolled_back_automatically() {
+    let mut cluster = Cluster::begin_with_long_lease("flawed", 5);
+    cluster.operators.flawed.push("2".into());
+    let clients = front(&cluster, 5);
     std::thread::sleep(Duration::from_millis(1500));
-    both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
-    let release = both.until("r", "it goes back", ended("all are back"));
+    cluster.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
+    let release = cluster.until("r", "it goes back", ended("all are back"));
     let (why, worse) = release.halted.clone().unwrap();
     assert!(worse && why.contains("not served, against"), "{why}");
-    // No more than one step of it was ever moved, and each that was is back.
-    let moved: usize = names(5).iter().map(|who| both.operators.moves(who, "2")).sum();
-    let back: usize = names(5).iter().map(|who| both.operators.moves(who, "1")).sum();
+    // At most one step was moved, and each moved member is back.
+    let moved: usize = names(5).iter().map(|target| cluster.operators.moves(target, "2")).sum();
+    let back: usize = names(5).iter().map(|target| cluster.operators.moves(target, "1")).sum();
     assert!((1..=2).contains(&moved) && back == moved, "{moved} moved, {back} back");
     drop(clients.stop());
 }
 
 #[test]
-fn an_outage_that_it_did_not_cause_halts_it_and_sends_nobody_back() {
-    let mut both = Both::begin_heard("outage", 6);
-    let clients = front(&both, 6);
+fn an_outage_that_the_release_did_not_cause_halts_it_without_a_rollback() {
+    let mut cluster = Cluster::begin_with_long_lease("outage", 6);
+    let clients = front(&cluster, 6);
     std::thread::sleep(Duration::from_millis(2500));
-    both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
-    both.until("r", "one is moved", |release| release.reached(Side::New).count() >= 1);
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Fails));
-    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+    cluster.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
+    cluster.until("r", "one is moved", |release| release.reached(Side::New).count() >= 1);
+    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Fails));
+    let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     let (why, worse) = release.halted.clone().unwrap();
-    let told = why.starts_with("those not moved do worse than before") || why.contains("nobody is left");
-    assert!(!worse && told, "{why}");
-    // Those under way come back, and nobody else goes; then it goes on by an operator's word.
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Well));
-    let release = both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
+    let expected = why.starts_with("those not moved do worse than before") || why.contains("nobody is left");
+    assert!(!worse && expected, "{why}");
+    // Members in progress come back, and no other is drained; an operator resumes the release.
+    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Well));
+    let release = cluster.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(release.state, ReleaseState::Halted);
-    both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
+    cluster.wait("all are back", |rows| rows.iter().all(|row| !row.out));
     std::thread::sleep(Duration::from_millis(1000));
-    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
-    both.until("r", "it ends", ended("all are moved"));
+    assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
+    cluster.until("r", "it ends", ended("all are moved"));
     drop(clients.stop());
 }
 
 #[test]
-fn one_killed_while_it_drains_is_moved_all_the_same_and_one_that_falls_silent_halts_it() {
-    let mut both = Both::begin("killed", 4);
-    let clients = front(&both, 4);
-    both.start(&Plan { max_out: 1, drain_timeout_ms: 60_000, ..plan("r") });
-    let first = both
+fn a_member_killed_while_draining_is_still_moved_and_silent_members_halt_the_release() {
+    let mut cluster = Cluster::begin("killed", 4);
+    let clients = front(&cluster, 4);
+    cluster.start(&Plan { max_out: 1, drain_timeout_ms: 60_000, ..plan("r") });
+    let first = cluster
         .daemons
         .wait("one is sent out", |daemons| {
             Operators::release(daemons, "r")
                 .is_some_and(|r| r.transitions().any(|(_, g)| g.stage == Stage::Draining))
         })
-        .map(|()| both.release("r").transitions().next().map(|(who, _)| who.clone()));
+        .map(|()| cluster.release("r").transitions().next().map(|(target, _)| target.clone()));
     let first = first.unwrap().unwrap_or("s0".to_string());
-    // Killed outright before it is empty, and back by itself with the old version: its place in the release stands.
-    let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
-    both.sidecars.kill(&first);
-    both.sidecars.start(&first, &at, BEAT_MS).unwrap();
-    let release = both.until("r", "it halts, or goes on", |release| {
+    // Killed before it is drained, and restarted with the old version: its step in the release stays.
+    let at: Vec<_> = cluster.daemons.places().map(|place| (place, cluster.daemons.at(place))).collect();
+    cluster.sidecars.kill(&first);
+    cluster.sidecars.start(&first, &at, BEAT_MS).unwrap();
+    let release = cluster.until("r", "it halts, or goes on", |release| {
         release.state == ReleaseState::Halted || release.reached(Side::New).count() >= 1
     });
-    // Either it came back with the old version, and the release says so, or the operators were quicker.
+    // Either it came back with the old version, and the release halts with that reason, or the operators were faster.
     if let (ReleaseState::Halted, Some((why, worse))) = (&release.state, &release.halted) {
         assert!(why.contains("came back with 1, 2 was expected") && !worse, "{why}");
-        both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
-        assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
+        cluster.until("r", "nobody is under way", |release| release.transitions().next().is_none());
+        assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     }
-    both.until("r", "some are moved", |release| release.reached(Side::New).count() >= 2);
-    // Two that fall silent beside it are more than may be out.
-    let left: Vec<String> = both
+    cluster.until("r", "some are moved", |release| release.reached(Side::New).count() >= 2);
+    // Two silent members in addition are more than may be out.
+    let left: Vec<String> = cluster
         .release("r")
         .order
         .iter()
-        .filter(|who| both.release("r").steps[*who].reached.is_some())
+        .filter(|target| cluster.release("r").steps[*target].reached.is_some())
         .cloned()
         .collect();
-    left.iter().take(2).for_each(|who| both.sidecars.process(who).stop());
+    left.iter().take(2).for_each(|target| cluster.sidecars.process(target).stop());
     let release =
-        both.until("r", "it halts", |release| release.state == ReleaseState::Halted || release.is_ended());
+        cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted || release.is_ended());
     let why = release.halted.clone().map_or(String::new(), |(why, _)| why);
     assert!(
         release.state == ReleaseState::Halted && why.starts_with("more out than may be"),
         "{}",
         release.summary()
     );
-    left.iter().take(2).for_each(|who| both.sidecars.process(who).go_on());
-    both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
-    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
-    both.until("r", "it ends", ended("all are moved"));
+    left.iter().take(2).for_each(|target| cluster.sidecars.process(target).go_on());
+    cluster.wait("all are back", |rows| rows.iter().all(|row| !row.out));
+    assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
+    cluster.until("r", "it ends", ended("all are moved"));
     drop(clients.stop());
 }
 
 #[test]
-fn too_few_reqs_are_not_well_and_a_backup_put_back_halts_it() {
-    let mut both = Both::begin_heard("few", 3);
-    // Nobody asks anything: what was moved cannot be judged.
-    both.start(&Plan { max_out: 1, max_watch_ms: 1500, ..plan("r") });
-    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+fn too_few_requests_to_judge_halt_a_release_and_so_does_a_restored_backup() {
+    let mut cluster = Cluster::begin_with_long_lease("few", 3);
+    // Without requests the moved member cannot be judged.
+    cluster.start(&Plan { max_out: 1, max_watch_ms: 1500, ..plan("r") });
+    let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("too few reqs to judge s0 after 1500 ms"), "{}", release.summary());
-    let release = both.until("r", "s0 stays moved", |release| release.transitions().next().is_none());
+    let release = cluster.until("r", "s0 stays moved", |release| release.transitions().next().is_none());
     assert_eq!(release.reached(Side::New).collect::<Vec<_>>(), ["s0"]);
-    // A backup of the middle of a release, put back: it is halted, and says why.
-    let config = both.daemons.configuration(1).display().to_string();
-    let file = both.daemons.root.join("backup").display().to_string();
-    let (status, text) = both.daemons.command(&["backup", "--config", &config, &file]).unwrap();
+    // A release restored from a backup taken in its middle is halted, with that reason.
+    let config = cluster.daemons.configuration(1).display().to_string();
+    let file = cluster.daemons.root.join("backup").display().to_string();
+    let (status, text) = cluster.daemons.command(&["backup", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
-    assert_eq!(both.say(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
-    for place in both.daemons.places() {
-        both.daemons.kill(place);
-        std::fs::remove_dir_all(both.daemons.folder(place)).unwrap();
+    assert_eq!(cluster.send_update(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
+    for place in cluster.daemons.places() {
+        cluster.daemons.kill(place);
+        std::fs::remove_dir_all(cluster.daemons.folder(place)).unwrap();
     }
-    let (status, text) = both.daemons.command(&["restore", "--config", &config, &file]).unwrap();
+    let (status, text) = cluster.daemons.command(&["restore", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
-    both.daemons.places().for_each(|place| both.daemons.start(place).unwrap());
-    both.daemons.wait_for_leader().unwrap();
-    let release = both.until("r", "it is there", |_| true);
+    cluster.daemons.places().for_each(|place| cluster.daemons.start(place).unwrap());
+    cluster.daemons.wait_for_leader().unwrap();
+    let release = cluster.until("r", "it is there", |_| true);
     assert!(release.summary().contains("halted: restored from a backup"), "{}", release.summary());
-    // It goes back by what its members say that they run.
-    both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 3);
-    let clients = front(&both, 3);
-    assert_eq!(both.say(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
-    both.until("r", "it ends", |release| release.is_ended() || release.state == ReleaseState::Halted);
-    assert_eq!(both.operators.moves("s0", "1"), 1);
+    // The rollback goes by the versions that the members report.
+    cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 3);
+    let clients = front(&cluster, 3);
+    assert_eq!(cluster.send_update(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
+    cluster.until("r", "it ends", |release| release.is_ended() || release.state == ReleaseState::Halted);
+    assert_eq!(cluster.operators.moves("s0", "1"), 1);
     drop(clients.stop());
 }
 
 #[test]
-fn a_zone_that_is_cut_off_in_the_middle_of_a_step_counts_as_out_and_sends_nobody_out_itself() {
-    let mut both = Both::begin("zone", 3);
-    // Two more, behind links of their own: the zone that is cut off.
-    let links: Vec<_> = both.daemons.places().map(|place| (place, Link::new(None).unwrap())).collect();
-    links.iter().for_each(|(place, link)| link.lead_to(both.daemons.at(*place)));
+fn a_zone_cut_off_in_the_middle_of_a_step_counts_as_out_and_drains_nobody_itself() {
+    let mut cluster = Cluster::begin("zone", 3);
+    // Two more members behind links of their own are the zone that is cut off.
+    let links: Vec<_> = cluster.daemons.places().map(|place| (place, Link::new(None).unwrap())).collect();
+    links.iter().for_each(|(place, link)| link.lead_to(cluster.daemons.at(*place)));
     let at: Vec<_> = links.iter().map(|(place, link)| (*place, link.at())).collect();
-    ["s3", "s4"].iter().for_each(|name| both.sidecars.start(name, &at, BEAT_MS).unwrap());
-    both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 5);
-    let clients = front(&both, 5);
-    both.start(&plan("r"));
-    both.until("r", "one is on its way", |release| release.transitions().next().is_some());
+    ["s3", "s4"].iter().for_each(|name| cluster.sidecars.start(name, &at, BEAT_MS).unwrap());
+    cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 5);
+    let clients = front(&cluster, 5);
+    cluster.start(&plan("r"));
+    cluster.until("r", "one is on its way", |release| release.transitions().next().is_some());
     links.iter().for_each(|(_, link)| link.stand(Way::cut()));
-    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+    let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("more out than may be"), "{}", release.summary());
-    both.until("r", "nobody is under way", |release| {
-        release.transitions().all(|(who, _)| ["s3", "s4"].contains(&who.as_str()))
+    cluster.until("r", "nobody is under way", |release| {
+        release.transitions().all(|(target, _)| ["s3", "s4"].contains(&target.as_str()))
     });
-    // On its own side nobody goes out, and all that were not sent before serve on.
-    let sent: Vec<String> = both.release("r").transitions().map(|(who, _)| who.clone()).collect();
+    // In the cut-off zone nobody drains, and members that were not draining before keep serving.
+    let sent: Vec<String> = cluster.release("r").transitions().map(|(target, _)| target.clone()).collect();
     for name in ["s3", "s4"].iter().filter(|name| !sent.contains(&name.to_string())) {
-        assert_eq!(both.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
-        assert_eq!(request(both.sidecars.at(name), "/healthz"), Some(200));
+        assert_eq!(cluster.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
+        assert_eq!(request(cluster.sidecars.at(name), "/healthz"), Some(200));
     }
     links.iter().for_each(|(_, link)| link.stand(Way::default()));
-    both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
-    both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
-    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
-    both.until("r", "it ends", ended("all are moved"));
+    cluster.wait("all are back", |rows| rows.iter().all(|row| !row.out));
+    cluster.until("r", "nobody is under way", |release| release.transitions().next().is_none());
+    assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
+    cluster.until("r", "it ends", ended("all are moved"));
     let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
     assert_eq!(lost, 0);
 }
 
-/// An agent beside one, as a process.
-fn agent(both: &Both, who: &str) -> Process {
-    let config = both.daemons.configuration(1).display().to_string();
+/// Starts an agent process for a target.
+fn agent(cluster: &Cluster, target: &str) -> Process {
+    let config = cluster.daemons.configuration(1).display().to_string();
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
-    Recipe::new(&format!("agent {who}"), program, &["agent", "--config", &config, who]).start().unwrap()
+    Recipe::new(&format!("agent {target}"), program, &["agent", "--config", &config, target]).start().unwrap()
 }
 
-fn act(both: &Both, script: &str) -> Option<Action> {
-    let log = both.daemons.root.join("acts").display().to_string();
+fn action(cluster: &Cluster, script: &str) -> Option<Action> {
+    let log = cluster.daemons.root.join("acts").display().to_string();
     let line = format!("echo {{name}} {{version}} >> {log}; {script}");
     Some(Action { command: vec!["/bin/sh".into(), "-c".into(), line], timeout_ms: 3000 })
 }
 
-fn acts(both: &Both) -> Vec<String> {
-    let text = std::fs::read_to_string(both.daemons.root.join("acts")).unwrap_or_default();
+fn runs(cluster: &Cluster) -> Vec<String> {
+    let text = std::fs::read_to_string(cluster.daemons.root.join("acts")).unwrap_or_default();
     text.lines().map(ToString::to_string).collect()
 }
 
 #[test]
-fn endpoints_are_moved_one_by_one_by_their_agents_and_nothing_is_sent_to_one_that_is_acted_on() {
-    let mut both = Both::begin("endpoints", 3);
-    let clients = front(&both, 3);
+fn agents_move_endpoints_one_by_one_and_an_endpoint_gets_no_traffic_during_its_action() {
+    let mut cluster = Cluster::begin("endpoints", 3);
+    let clients = front(&cluster, 3);
     let order = vec!["e1".to_string(), "e0".to_string()];
-    let action = act(&both, "sleep 0.3");
+    let action = action(&cluster, "sleep 0.3");
     let moved = Plan {
         target_kind: TargetKind::Endpoints,
         group: "pool".into(),
@@ -397,25 +397,27 @@
         action,
         ..plan("r")
     };
-    let agents = [agent(&both, "e0"), agent(&both, "e1")];
-    both.start(&moved);
-    // While it is acted on, no connection is open to it and nothing reaches it.
-    let acting = |who: &'static str| {
-        move |r: &Release| r.transitions().any(|(g, going)| g == who && going.stage == Stage::ActionRunning)
+    let agents = [agent(&cluster, "e0"), agent(&cluster, "e1")];
+    cluster.start(&moved);
+    // During the action, no connection is open to the endpoint and no request reaches it.
+    let acting = |target: &'static str| {
+        move |r: &Release| {
+            r.transitions().any(|(g, going)| g == target && going.stage == Stage::ActionRunning)
+        }
     };
-    both.until("r", "e1 is acted on", acting("e1"));
-    assert_eq!(both.sidecars.endpoints[1].open(), 0);
-    // An operator may not take the other one beside it.
-    let beside = OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None };
-    let said = both.daemons.ask(&beside, PATIENCE).unwrap();
-    assert_eq!(said, OperatorReply::Refused("1 of 1 out in pool, which has 2: e1".into()));
-    let before = both.sidecars.endpoints[1].requests();
-    both.until("r", "it is back", |release| {
+    cluster.until("r", "e1 is acted on", acting("e1"));
+    assert_eq!(cluster.sidecars.endpoints[1].open(), 0);
+    // An operator may not take the other endpoint out of service at the same time.
+    let other = OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None };
+    let reply = cluster.daemons.ask(&other, PATIENCE).unwrap();
+    assert_eq!(reply, OperatorReply::Refused("1 of 1 out in pool, which has 2: e1".into()));
+    let before = cluster.sidecars.endpoints[1].requests();
+    cluster.until("r", "it is back", |release| {
         release.transitions().all(|(_, going)| going.stage != Stage::ActionRunning)
     });
-    assert!(both.sidecars.endpoints[1].requests() >= before);
-    both.until("r", "it ends", ended("all are moved"));
-    assert_eq!(acts(&both), ["e1 2", "e0 2"]);
+    assert!(cluster.sidecars.endpoints[1].requests() >= before);
+    cluster.until("r", "it ends", ended("all are moved"));
+    assert_eq!(runs(&cluster), ["e1 2", "e0 2"]);
     let answers = clients.stop();
     let lost: u64 = answers.iter().map(|a| a.none + a.failed).sum();
     assert_eq!(lost, 0, "{answers:?}");
@@ -423,11 +425,11 @@
 }
 
 #[test]
-fn a_member_stopped_after_it_was_empty_and_an_endpoint_that_the_list_drops_meanwhile_do_no_harm() {
-    let mut both = Both::begin("dropped", 3);
-    let clients = front(&both, 2);
+fn a_member_suspended_after_the_drain_and_an_endpoint_dropped_from_the_list_do_no_harm() {
+    let mut cluster = Cluster::begin("dropped", 3);
+    let clients = front(&cluster, 2);
     let order = vec!["e0".to_string()];
-    let action = act(&both, "sleep 1");
+    let action = action(&cluster, "sleep 1");
     let moved = Plan {
         target_kind: TargetKind::Endpoints,
         group: "pool".into(),
@@ -436,90 +438,92 @@
         action,
         ..plan("r")
     };
-    let _agent = agent(&both, "e0");
-    both.start(&moved);
-    both.until("r", "e0 is acted on", |r| {
+    let _agent = agent(&cluster, "e0");
+    cluster.start(&moved);
+    cluster.until("r", "e0 is acted on", |r| {
         r.transitions().any(|(_, going)| going.stage == Stage::ActionRunning)
     });
-    // All have said that they hold nothing there: one is stopped with that, and the list drops the endpoint.
-    both.sidecars.process("s2").stop();
-    let at = both.sidecars.endpoints[0].at;
-    both.sidecars.list.tell(&[entry(0, at, "removed")]);
-    let before = both.sidecars.endpoints[0].requests();
-    both.until("r", "e0 is to be back", |r| {
+    // All members have reported that they hold nothing there. Then one is suspended, and the list drops the endpoint.
+    cluster.sidecars.process("s2").stop();
+    let at = cluster.sidecars.endpoints[0].at;
+    cluster.sidecars.list.tell(&[entry(0, at, "removed")]);
+    let before = cluster.sidecars.endpoints[0].requests();
+    cluster.until("r", "e0 is to be back", |r| {
         r.transitions().any(|(_, going)| going.stage >= Stage::ActionDone)
     });
-    assert_eq!(both.sidecars.endpoints[0].requests(), before);
-    // It is another process by now, and the list has it again; who was stopped goes on with what it knew, and learns.
-    both.sidecars.list.tell(&[entry(0, at, "up")]);
-    both.sidecars.process("s2").go_on();
-    both.until("r", "it ends", ended("all are moved"));
-    assert!(both.sidecars.endpoints[0].requests() > before);
-    assert_eq!(acts(&both), ["e0 2"]);
+    assert_eq!(cluster.sidecars.endpoints[0].requests(), before);
+    // The endpoint is a new process by now, and back in the list. The resumed member starts from what it knew, and catches up.
+    cluster.sidecars.list.tell(&[entry(0, at, "up")]);
+    cluster.sidecars.process("s2").go_on();
+    cluster.until("r", "it ends", ended("all are moved"));
+    assert!(cluster.sidecars.endpoints[0].requests() > before);
+    assert_eq!(runs(&cluster), ["e0 2"]);
     let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
     assert_eq!(lost, 0);
 }
 
 #[test]
-fn an_action_that_fails_or_whose_end_nobody_knows_halts_the_release_and_is_not_begun_again() {
-    let mut both = Both::begin("unknown", 3);
-    let clients = front(&both, 3);
-    let moved = |both: &Both, name: &str, script: &str| Plan {
+fn a_failed_action_or_one_with_an_unknown_outcome_halts_the_release_and_is_not_repeated() {
+    let mut cluster = Cluster::begin("unknown", 3);
+    let clients = front(&cluster, 3);
+    let moved = |cluster: &Cluster, name: &str, script: &str| Plan {
         target_kind: TargetKind::Endpoints,
         group: "pool".into(),
         order: vec!["e0".into()],
         max_out: 1,
-        action: act(both, script),
+        action: action(cluster, script),
         ..plan(name)
     };
-    let first = agent(&both, "e0");
-    both.start(&moved(&both, "fails", "exit 3"));
-    let release = both.until("fails", "it halts", |release| release.state == ReleaseState::Halted);
+    let first = agent(&cluster, "e0");
+    cluster.start(&moved(&cluster, "fails", "exit 3"));
+    let release = cluster.until("fails", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(
         release.summary().contains("the action on e0 failed: /bin/sh: exit status: 3"),
         "{}",
         release.summary()
     );
-    both.until("fails", "e0 is back in service", |release| release.transitions().next().is_none());
-    assert_eq!(both.say(ReleaseUpdate::End("fails".into(), "so".into())), OperatorReply::Done);
-    // The agent is killed in the middle: another one beside it does not begin again.
-    let before = acts(&both).len();
-    both.start(&moved(&both, "lost", "sleep 30"));
-    both.until("lost", "it is acted on", |r| {
+    cluster.until("fails", "e0 is back in service", |release| release.transitions().next().is_none());
+    assert_eq!(cluster.send_update(ReleaseUpdate::End("fails".into(), "so".into())), OperatorReply::Done);
+    // The agent is killed in the middle of the action: a second agent does not repeat it.
+    let before = runs(&cluster).len();
+    cluster.start(&moved(&cluster, "lost", "sleep 30"));
+    cluster.until("lost", "it is acted on", |r| {
         r.transitions().any(|(_, going)| going.stage == Stage::ActionRunning)
     });
-    both.daemons.wait("the command runs", |_| acts(&both).len() > before).unwrap();
+    cluster.daemons.wait("the command runs", |_| runs(&cluster).len() > before).unwrap();
     drop(first);
-    let _second = agent(&both, "e0");
-    let release = both.until("lost", "it halts", |release| release.state == ReleaseState::Halted);
+    let _second = agent(&cluster, "e0");
+    let release = cluster.until("lost", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(
         release.summary().contains("what became of the action on e0 is unknown"),
         "{}",
         release.summary()
     );
-    assert_eq!(acts(&both).len(), before + 1);
-    // It is out until somebody says what became of it.
+    assert_eq!(runs(&cluster).len(), before + 1);
+    // The endpoint is out until an operator records the outcome.
     assert!(
-        matches!(both.say(ReleaseUpdate::End("lost".into(), "so".into())), OperatorReply::Refused(why) if why.contains("under way still: e0"))
+        matches!(cluster.send_update(ReleaseUpdate::End("lost".into(), "so".into())), OperatorReply::Refused(why) if why.contains("under way still: e0"))
     );
-    let config = both.daemons.configuration(1).display().to_string();
-    let (status, text) =
-        both.daemons.command(&["release", "settle", "--config", &config, "lost", "e0", "--moved"]).unwrap();
+    let config = cluster.daemons.configuration(1).display().to_string();
+    let (status, text) = cluster
+        .daemons
+        .command(&["release", "settle", "--config", &config, "lost", "e0", "--moved"])
+        .unwrap();
     assert_eq!(status, Some(0), "{text}");
-    both.until("lost", "nobody is under way", |release| release.transitions().next().is_none());
-    let (status, text) = both.daemons.command(&["release", "end", "--config", &config, "lost"]).unwrap();
+    cluster.until("lost", "nobody is under way", |release| release.transitions().next().is_none());
+    let (status, text) = cluster.daemons.command(&["release", "end", "--config", &config, "lost"]).unwrap();
     assert_eq!(status, Some(0), "{text}");
     drop(clients.stop());
 }
 
 #[test]
-fn a_member_that_is_stopped_holds_up_an_endpoint_and_a_file_is_refused_by_key() {
-    let mut both = Both::begin("held", 3);
-    let clients = front(&both, 3);
+fn a_suspended_member_blocks_the_drain_of_an_endpoint_and_release_files_are_refused_by_key() {
+    let mut cluster = Cluster::begin("held", 3);
+    let clients = front(&cluster, 3);
     std::thread::sleep(Duration::from_millis(300));
-    both.sidecars.process("s2").stop();
-    both.wait("it is missed", |rows| rows.iter().any(|row| row.status == MemberStatus::Silent));
-    let action = act(&both, "true");
+    cluster.sidecars.process("s2").stop();
+    cluster.wait("it counts as silent", |rows| rows.iter().any(|row| row.status == MemberStatus::Silent));
+    let action = action(&cluster, "true");
     let order = vec!["e0".to_string()];
     let held = Plan {
         target_kind: TargetKind::Endpoints,
@@ -530,24 +534,24 @@
         drain_timeout_ms: 1500,
         ..plan("r")
     };
-    let _agent = agent(&both, "e0");
-    both.start(&held);
-    // What the stopped one holds there it holds: it is not empty, and nothing is done to it.
-    let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
+    let _agent = agent(&cluster, "e0");
+    cluster.start(&held);
+    // The suspended member may still hold connections there: the endpoint is not empty, and its action does not run.
+    let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("e0 is not empty after 1500 ms"), "{}", release.summary());
-    assert_eq!(acts(&both), Vec::<String>::new());
-    both.sidecars.process("s2").go_on();
-    both.until("r", "e0 is back in service", |release| release.transitions().next().is_none());
-    assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
-    both.until("r", "it ends", ended("all are moved"));
-    assert_eq!(acts(&both), ["e0 2"]);
+    assert_eq!(runs(&cluster), Vec::<String>::new());
+    cluster.sidecars.process("s2").go_on();
+    cluster.until("r", "e0 is back in service", |release| release.transitions().next().is_none());
+    assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
+    cluster.until("r", "it ends", ended("all are moved"));
+    assert_eq!(runs(&cluster), ["e0 2"]);
     drop(clients.stop());
-    // What a file may not say.
-    let config = both.daemons.configuration(1).display().to_string();
-    let file = both.daemons.root.join("release.toml");
+    // Invalid release files.
+    let config = cluster.daemons.configuration(1).display().to_string();
+    let file = cluster.daemons.root.join("release.toml");
     let good = "format = 1\nname = \"q\"\nmoves = \"sidecars\"\ngroup = \"zone a\"\nmostOut = 1\nfrom = \"1\"\nto = \"2\"\n\
                 emptyInMs = 1000\nbackInMs = 1000\nwatchMs = 1000\nwatchMostMs = 5000\n[must]\nleastReqs = 10\nservedLower = 0.05\n";
-    for (from, to, said) in [
+    for (from, to, expected) in [
         ("format = 1", "format = 2", "format: expected 1, not 2"),
         ("mostOut = 1", "mostOut = 0", "mostOut: expected at least 1"),
         ("mostOut = 1", "mostOut = 3", "mostOut: 3 of 3 would be all; 2 would do"),
@@ -565,12 +569,12 @@
     ] {
         std::fs::write(&file, good.replacen(from, to, 1)).unwrap();
         let path = file.display().to_string();
-        let word = if said.contains("would do") { "start" } else { "check" };
-        let (status, text) = both.daemons.command(&["release", word, "--config", &config, &path]).unwrap();
-        assert!(status == Some(1) && text.contains(said), "{said}: {text}");
+        let word = if expected.contains("would do") { "start" } else { "check" };
+        let (status, text) = cluster.daemons.command(&["release", word, "--config", &config, &path]).unwrap();
+        assert!(status == Some(1) && text.contains(expected), "{expected}: {text}");
     }
     std::fs::write(&file, good).unwrap();
     let path = file.display().to_string();
-    let (status, text) = both.daemons.command(&["release", "check", "--config", &config, &path]).unwrap();
+    let (status, text) = cluster.daemons.command(&["release", "check", "--config", &config, &path]).unwrap();
     assert_eq!((status, text.as_str()), (Some(0), "q: 3 of 3 in zone a from 1 to 2, 1 at once\n"));
 }
--- a/crates/daemon/tests/scenarios.rs
+++ b/crates/daemon/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The short forms of the scenarios of several processes. A failing seed is printed by what the scenario's file and seed
-//! are, and replays with `appledyke-lab fleet FILE --seed N`.
+//! The short forms of the multi-process scenarios. A failure prints the scenario's name and its seed, and replays with
+//! `appledyke-lab fleet FILE --seed N`.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 
 #[test]
-fn the_state_is_one_through_drawn_faults() {
+fn replicas_agree_under_random_faults() {
     let text = include_str!("../../lab/scenarios/processes-state-short.toml");
     let scenario = Scenario::parse(text).unwrap();
     let folder = std::env::temp_dir().join(format!("appledyke-scenario-{}", std::process::id()));
@@ -25,12 +25,12 @@
         played.broken,
         played.struck
     );
-    // It did something: faults struck, and writes took effect among them.
+    // The run was not trivial: faults were injected, and writes took effect among them.
     assert!(played.struck.len() > 5 && played.versions > 10, "{played:?}");
 }
 
 #[test]
-fn releases_end_through_a_killed_leader_and_a_stopped_sidecar() {
+fn releases_end_despite_a_killed_leader_and_a_suspended_sidecar() {
     let text = include_str!("../../lab/scenarios/processes-drains-short.toml");
     let scenario = Scenario::parse(text).unwrap();
     let folder = std::env::temp_dir().join(format!("appledyke-scenario-drains-{}", std::process::id()));
@@ -45,15 +45,15 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named() {
+fn scenario_errors_name_the_faulty_key() {
     let text = include_str!("../../lab/scenarios/processes-state-short.toml");
-    for (from, to, said) in [
+    for (from, to, expected) in [
         ("daemons = 3", "daemons = 0", "daemons: expected 1 to 9, not 0"),
         ("kind = \"stop\"", "kind = \"stun\"", "fault[0].kind: "),
         ("for_ms = 1200", "for_ms = 120000", "fault[0].for_ms: it lasts longer than the run"),
         ("daemons = 3", "demons = 3", "demons: "),
     ] {
-        let found = Scenario::parse(&text.replacen(from, to, 1)).unwrap_err();
-        assert!(found.starts_with(said), "{found}");
+        let error = Scenario::parse(&text.replacen(from, to, 1)).unwrap_err();
+        assert!(error.starts_with(expected), "{error}");
     }
 }
