--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -1,4 +1,4 @@
-//! Settings for parts of a fleet: real daemons, real sidecars and members by raw frames, and what strikes them.
+//! Settings of scopes: real daemons, real sidecars, and members that speak raw frames, under faults.
 
 use std::io::{Read, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -25,10 +25,10 @@
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 60;
 
-fn begun(name: &str) -> Daemons {
+fn start_fleet(name: &str) -> Daemons {
     let root = std::env::temp_dir().join(format!("appledyke-scopes-{}-{name}", std::process::id()));
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
-    // Elections that a busy machine does not bring about: leaders change where a test has them change.
+    // Timeouts long enough that a busy machine causes no elections: leaders change only where a test makes them.
     let shape = Shape { election_ms: 1000, lease_ms: 2000, ..Shape::default() };
     let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
     daemons.begin().unwrap();
@@ -58,7 +58,7 @@
     Locality { zone: Some(zone.into()), ..in_service(service) }
 }
 
-/// Settings by which a req to this method is taken.
+/// Settings with this method.
 fn with_method(name: &str) -> String {
     let base: Value = serde_json::from_str(BASE).unwrap();
     let mut methods = base["settings"]["methods"].clone();
@@ -66,11 +66,11 @@
     json!({ "methods": methods }).to_string()
 }
 
-/// Settings like no others, of about so many bytes.
+/// Settings that are unique to this number, of about this many bytes.
 fn large(number: u64, bytes: usize) -> String {
     let base: Value = serde_json::from_str(BASE).unwrap();
     let method = &base["settings"]["methods"][0];
-    // The name is nine bytes longer, and a comma stands between two.
+    // The name is nine bytes longer than the original one, and a comma separates two methods.
     let each = method.to_string().len() + 10;
     let methods = (0..bytes.div_ceil(each)).map(|at| {
         let mut method = method.clone();
@@ -84,16 +84,21 @@
     SettingsChange::Put(text.to_string(), Vec::new(), Vec::new())
 }
 
-fn written(daemons: &mut Daemons, of: &str, what: SettingsChange, expects: Option<Version>) -> OperatorReply {
+fn write_scoped(
+    daemons: &mut Daemons,
+    of: &str,
+    what: SettingsChange,
+    expects: Option<Version>,
+) -> OperatorReply {
     let write = daemons.a_write(what, expects);
     daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, PATIENCE).unwrap()
 }
 
-fn committed(daemons: &mut Daemons, of: &str, text: &str) -> Version {
-    // Danger: all must speak version 3, which shows only once they have greeted each other.
+fn commit_scoped(daemons: &mut Daemons, of: &str, text: &str) -> Version {
+    // Danger: all daemons must speak version 3, which is known only once they have exchanged hellos.
     let mut last = OperatorReply::Done;
     for _ in 0..400 {
-        last = written(daemons, of, put(text), None);
+        last = write_scoped(daemons, of, put(text), None);
         match &last {
             OperatorReply::Committed(version) => return *version,
             OperatorReply::Invalid(why) if why.contains("not before all daemons") => {
@@ -121,31 +126,39 @@
     daemons.command(&[line, &["--config", &config]].concat()).unwrap()
 }
 
-/// A member by raw frames, of one connection.
-struct Raw {
+/// A member that speaks raw frames over one connection.
+struct RawMember {
     stream: TcpStream,
     frames: FrameReader,
     report: Report,
-    speaks: u16,
-    /// Bytes that have come.
+    protocol_version: u16,
+    /// Bytes received.
     bytes: usize,
     decoder: Decoder,
-    /// Answers whose records came coded, and how many of the last one's did.
-    coded: usize,
-    coded_records: usize,
+    /// Answers with encoded records, and the number of encoded records in the latest one.
+    encoded: usize,
+    encoded_records: usize,
 }
 
-impl Raw {
-    fn greet(at: SocketAddr, name: &str, version: u16, locality: Option<Locality>) -> Raw {
+impl RawMember {
+    fn connect(at: SocketAddr, name: &str, version: u16, locality: Option<Locality>) -> RawMember {
         let stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let report = Report { name: name.into(), incarnation: 1, process_nonce: 1, ..Report::default() };
         let (frames, decoder) = (FrameReader::default(), Decoder::default());
-        let mut raw =
-            Raw { stream, frames, report, speaks: 0, bytes: 0, decoder, coded: 0, coded_records: 0 };
+        let mut raw = RawMember {
+            stream,
+            frames,
+            report,
+            protocol_version: 0,
+            bytes: 0,
+            decoder,
+            encoded: 0,
+            encoded_records: 0,
+        };
         raw.send(&Frame::hello_as(version, FLEET, Initiator::Member { name: name.into() }));
         match raw.next() {
-            Frame::Hello { version, .. } => raw.speaks = version,
+            Frame::Hello { version, .. } => raw.protocol_version = version,
             other => panic!("{other:?}"),
         }
         if let Some(locality) = locality {
@@ -154,8 +167,8 @@
         raw
     }
 
-    fn to(daemons: &Daemons, name: &str, locality: Locality) -> Raw {
-        Raw::greet(daemons.at(daemons.wait_for_leader().unwrap()), name, VERSION, Some(locality))
+    fn to(daemons: &Daemons, name: &str, locality: Locality) -> RawMember {
+        RawMember::connect(daemons.at(daemons.wait_for_leader().unwrap()), name, VERSION, Some(locality))
     }
 
     fn send(&mut self, frame: &Frame) {
@@ -165,51 +178,51 @@
     }
 
     fn next(&mut self) -> Frame {
-        let mut piece = vec![0; 64 * 1024];
+        let mut buffer = vec![0; 64 * 1024];
         loop {
             if let Some(frame) = self.frames.pop().unwrap() {
                 return frame;
             }
-            let read = self.stream.read(&mut piece).unwrap();
-            assert!(read > 0, "the daemon ended the connection");
+            let read = self.stream.read(&mut buffer).unwrap();
+            assert!(read > 0, "the daemon closed the connection");
             self.bytes += read;
-            self.frames.push(&piece[..read]);
+            self.frames.push(&buffer[..read]);
         }
     }
 
-    /// Reports, and takes the settings that it is told: it knows them and acts on them from then on.
-    fn told(&mut self) -> ReportAnswer {
+    /// Sends a report, and applies the settings in the answer.
+    fn send_report(&mut self) -> ReportAnswer {
         self.report.number += 1;
         self.send(&Frame::Report(self.report.clone()));
-        let told = loop {
+        let received = loop {
             match self.next() {
-                Frame::ReportAnswer(told) if told.number == self.report.number => break told,
+                Frame::ReportAnswer(received) if received.number == self.report.number => break received,
                 Frame::ReportAnswer(_) => {}
-                Frame::CodedReportAnswer(mut told, coded) => {
-                    let mut passed = self.decoder.decode(&coded).unwrap();
-                    passed.append(&mut told.observations);
-                    self.coded += 1;
-                    self.coded_records = coded.records.len();
-                    if told.number == self.report.number {
-                        break ReportAnswer { observations: passed, ..told };
+                Frame::CodedReportAnswer(mut received, encoded) => {
+                    let mut records = self.decoder.decode(&encoded).unwrap();
+                    records.append(&mut received.observations);
+                    self.encoded += 1;
+                    self.encoded_records = encoded.records.len();
+                    if received.number == self.report.number {
+                        break ReportAnswer { observations: records, ..received };
                     }
                 }
                 other => panic!("{other:?}"),
             }
         };
-        if let Some((version, _)) = &told.settings {
-            assert!(*version > self.report.latest_known, "settings go only forwards");
+        if let Some((version, _)) = &received.settings {
+            assert!(*version > self.report.latest_known, "versions of settings only increase");
             (self.report.latest_known, self.report.version) = (*version, *version);
         }
-        told
+        received
     }
 
     fn settings(&mut self) -> Option<(Version, Value)> {
-        let told = self.told().settings;
-        told.map(|(version, text)| (version, serde_json::from_str(&text).unwrap()))
+        let received = self.send_report().settings;
+        received.map(|(version, text)| (version, serde_json::from_str(&text).unwrap()))
     }
 
-    /// Reports until it is told settings.
+    /// Reports until an answer holds settings.
     fn wait_for_settings(&mut self) -> (Version, Value) {
         for _ in 0..800 {
             if let Some(settings) = self.settings() {
@@ -217,13 +230,13 @@
             }
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("{} is told nothing", self.report.name)
+        panic!("{} got no settings", self.report.name)
     }
 }
 
 #[test]
-fn of_several_scopes_the_narrowest_holds_as_a_sidecar_shows_and_operators_see() {
-    let daemons = &mut begun("order");
+fn the_narrowest_scope_wins_for_sidecars_and_in_operator_output() {
+    let daemons = &mut start_fleet("order");
     let mut sidecars = sidecars(daemons);
     let belongs = json!({"service": "menu", "zone": "a1", "region": "a"});
     start(&mut sidecars, daemons, "s0", belongs);
@@ -239,13 +252,13 @@
     let puts = |daemons: &Daemons, of: &str, method: &str, more: &[&str]| {
         std::fs::write(&file, with_method(method)).unwrap();
         let line = [&["put", file.as_str(), "--for", of, "--why", method], more].concat();
-        let (status, said) = run(daemons, &line);
-        assert_eq!(status, Some(0), "{said}");
-        said
+        let (status, output) = run(daemons, &line);
+        assert_eq!(status, Some(0), "{output}");
+        output
     };
-    let _ = committed(daemons, "all", &with_method("soup"));
+    let _ = commit_scoped(daemons, "all", &with_method("soup"));
     ["s0", "s1", "s2"].iter().for_each(|name| takes(&sidecars, name, "soup"));
-    // Put in another order than they hold in.
+    // Put in an order other than that of precedence.
     puts(daemons, "zone=a1", "bread", &[]);
     takes(&sidecars, "s0", "bread");
     puts(daemons, "region=a", "wine", &[]);
@@ -259,7 +272,7 @@
         (request(sidecars.at("s1"), "/wine/1"), request(sidecars.at("s2"), "/soup/1")),
         (Some(200), Some(200))
     );
-    // What is taken away uncovers what lies below.
+    // Removing the settings of a scope restores those of the wider scopes.
     assert_eq!(run(daemons, &["remove", "--for", "member=s0"]).0, Some(0));
     takes(&sidecars, "s0", "stew");
     puts(daemons, "service=menu", "tea", &["--expects", &row(daemons, "service=menu").version.to_string()]);
@@ -271,7 +284,7 @@
         (2, Some(0))
     );
     takes(&sidecars, "s0", "stew");
-    // Operators see the same.
+    // Operators see the same settings.
     let (_, of) = run(daemons, &["get", "--of", "s0"]);
     assert!(of.contains("stew") && !of.contains("soup"), "{of}");
     let (_, of) = run(daemons, &["get", "--of", "s1", "--json"]);
@@ -283,8 +296,8 @@
         run(daemons, &["get", "--for", "service=menu", "--version", &first]).1,
         with_method("stew") + "\n"
     );
-    let (status, said) = run(daemons, &["get", "--for", "member=s0"]);
-    assert!(status == Some(1) && said.contains("was removed with version"), "{said}");
+    let (status, output) = run(daemons, &["get", "--for", "member=s0"]);
+    assert!(status == Some(1) && output.contains("was removed with version"), "{output}");
     let (_, members) = run(daemons, &["members"]);
     assert!(
         members
@@ -293,59 +306,63 @@
         "{members}"
     );
     daemons
-        .wait("all act on it", |daemons| rows(daemons).iter().all(|row| row.acting == row.members))
+        .wait("all have applied it", |daemons| rows(daemons).iter().all(|row| row.acting == row.members))
         .unwrap();
-    let told: Vec<(String, u64)> =
+    let received: Vec<(String, u64)> =
         rows(daemons).iter().map(|row| (row.scope.to_string(), row.members)).collect();
-    let told: Vec<(&str, u64)> = told.iter().map(|(scope, members)| (scope.as_str(), *members)).collect();
-    assert_eq!(told, [("all", 3), ("region=a", 2), ("zone=a1", 1), ("service=menu", 1), ("member=s0", 1)]);
-    let (_, said) = run(daemons, &["scopes"]);
+    let received: Vec<(&str, u64)> =
+        received.iter().map(|(scope, members)| (scope.as_str(), *members)).collect();
+    assert_eq!(
+        received,
+        [("all", 3), ("region=a", 2), ("zone=a1", 1), ("service=menu", 1), ("member=s0", 1)]
+    );
+    let (_, output) = run(daemons, &["scopes"]);
     assert!(
-        said.contains("2 members, 2 act on what holds for them") && said.contains("member=s0: "),
-        "{said}"
+        output.contains("2 members, 2 act on what holds for them") && output.contains("member=s0: "),
+        "{output}"
     );
-    let (_, said) = run(daemons, &["scopes", "--json"]);
-    let said: Value = serde_json::from_str(&said).unwrap();
-    assert_eq!((&said[1]["scope"], &said[1]["behind"]), (&json!("region=a"), &json!(0)));
-    let (_, said) = run(daemons, &["status"]);
-    assert!(said.contains("scopes: settings for 3, behind: nobody"), "{said}");
+    let (_, output) = run(daemons, &["scopes", "--json"]);
+    let output: Value = serde_json::from_str(&output).unwrap();
+    assert_eq!((&output[1]["scope"], &output[1]["behind"]), (&json!("region=a"), &json!(0)));
+    let (_, output) = run(daemons, &["status"]);
+    assert!(output.contains("scopes: settings for 3, behind: nobody"), "{output}");
 }
 
 #[test]
-fn only_members_whose_settings_change_are_told() {
-    let daemons = &mut begun("told");
-    let mut menu = Raw::to(daemons, "s0", in_service("menu"));
-    let mut bar = Raw::to(daemons, "s1", in_service("bar"));
-    let mut none = Raw::to(daemons, "s2", Locality::default());
-    let first = committed(daemons, "all", &with_method("soup"));
+fn only_members_whose_settings_change_receive_them() {
+    let daemons = &mut start_fleet("told");
+    let mut menu = RawMember::to(daemons, "s0", in_service("menu"));
+    let mut bar = RawMember::to(daemons, "s1", in_service("bar"));
+    let mut none = RawMember::to(daemons, "s2", Locality::default());
+    let first = commit_scoped(daemons, "all", &with_method("soup"));
     for raw in [&mut menu, &mut bar, &mut none] {
         assert_eq!(raw.wait_for_settings().0, first);
         raw.bytes = 0;
     }
     let text = large(1, 64 * 1024);
-    let version = committed(daemons, "service=menu", &text);
-    // Danger: told of all that is later than what they know, all members would take the text of one service.
+    let version = commit_scoped(daemons, "service=menu", &text);
+    // Danger: compared by the fleet's version alone, all members would receive the settings of one service.
     for _ in 0..20 {
         assert!(bar.settings().is_none() && none.settings().is_none());
     }
-    let (told, settings) = menu.settings().unwrap();
+    let (received, settings) = menu.settings().unwrap();
     assert_eq!(
-        (told, settings["methods"].as_array().unwrap().len()),
+        (received, settings["methods"].as_array().unwrap().len()),
         (version, text.matches("\"m000001").count())
     );
     assert!(menu.settings().is_none(), "once");
     assert!(menu.bytes > text.len() && bar.bytes < 20 * 200, "{} and {} bytes", menu.bytes, bar.bytes);
-    // And what is for all is told to all, also those above whom something stands.
-    let third = committed(daemons, "all", &json!({"nInstances": 2}).to_string());
-    let (told, settings) = menu.wait_for_settings();
-    assert!(told == third && settings["nInstances"] == 2 && settings["methods"].is_array());
+    // Settings for the whole fleet reach all members, also those with narrower scopes.
+    let third = commit_scoped(daemons, "all", &json!({"nInstances": 2}).to_string());
+    let (received, settings) = menu.wait_for_settings();
+    assert!(received == third && settings["nInstances"] == 2 && settings["methods"].is_array());
     assert_eq!((bar.wait_for_settings().0, none.wait_for_settings().0), (third, third));
 }
 
 #[test]
-fn of_two_puts_at_once_for_one_scope_one_is_refused() {
-    let daemons = &mut begun("one-scope");
-    let holds = committed(daemons, "service=menu", &with_method("soup"));
+fn of_two_concurrent_puts_for_one_scope_one_is_refused() {
+    let daemons = &mut start_fleet("one-scope");
+    let holds = commit_scoped(daemons, "service=menu", &with_method("soup"));
     for round in 0..5 {
         let expects = row(daemons, "service=menu").version;
         assert!(expects >= holds);
@@ -363,20 +380,20 @@
         let lost = |reply: &&OperatorReply| matches!(reply, OperatorReply::Refused(why) if why.contains("another was expected"));
         assert_eq!((won, replies.iter().filter(lost).count()), (1, 1), "{replies:?}");
     }
-    // A version of another scope is not expected by this one.
-    let _ = committed(daemons, "all", &with_method("wine"));
+    // A put for another scope does not change the expected version of this one.
+    let _ = commit_scoped(daemons, "all", &with_method("wine"));
     let expects = row(daemons, "service=menu").version;
     assert!(matches!(
-        written(daemons, "service=menu", put(&with_method("tea")), Some(expects)),
+        write_scoped(daemons, "service=menu", put(&with_method("tea")), Some(expects)),
         OperatorReply::Committed(_)
     ));
 }
 
 #[test]
-fn of_two_puts_at_once_that_are_faulty_only_together_one_is_refused_by_their_names() {
-    let daemons = &mut begun("together");
-    let mut both = Raw::to(daemons, "s0", in_zone("a1", "menu"));
-    let _ = committed(daemons, "all", &json!({"nInstances": 4}).to_string());
+fn of_two_concurrent_puts_that_are_invalid_only_together_one_is_refused_with_both_scopes() {
+    let daemons = &mut start_fleet("together");
+    let mut both = RawMember::to(daemons, "s0", in_zone("a1", "menu"));
+    let _ = commit_scoped(daemons, "all", &json!({"nInstances": 4}).to_string());
     let _ = both.wait_for_settings();
     for round in 0..5 {
         let writes = [("service=menu", json!({"me": 3})), ("zone=a1", json!({"nInstances": 2}))];
@@ -388,7 +405,7 @@
             })
             .collect();
         let at = daemons.at(daemons.wait_for_leader().unwrap());
-        // In one piece: the second is heard before the first is committed.
+        // In one write: the second request is read before the first is committed.
         let mut stream = TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let mut out = Vec::new();
@@ -397,7 +414,7 @@
             Frame::Request { number: number as u64, ask }.write(&mut out);
         }
         stream.write_all(&out).unwrap();
-        let (mut frames, mut piece, mut replies) = (FrameReader::default(), vec![0; 4096], Vec::new());
+        let (mut frames, mut buffer, mut replies) = (FrameReader::default(), vec![0; 4096], Vec::new());
         while replies.len() < 2 {
             while let Some(frame) = frames.pop().unwrap() {
                 if let Frame::Reply { number, reply } = frame {
@@ -405,9 +422,9 @@
                 }
             }
             if replies.len() < 2 {
-                let read = stream.read(&mut piece).unwrap();
+                let read = stream.read(&mut buffer).unwrap();
                 assert!(read > 0);
-                frames.push(&piece[..read]);
+                frames.push(&buffer[..read]);
             }
         }
         replies.sort_by_key(|(number, _)| *number);
@@ -419,7 +436,7 @@
         let (_, settings) = both.wait_for_settings();
         assert_eq!((&settings["nInstances"], &settings["me"]), (&json!(4), &json!(3)));
         assert!(matches!(
-            written(daemons, "service=menu", SettingsChange::Remove, None),
+            write_scoped(daemons, "service=menu", SettingsChange::Remove, None),
             OperatorReply::Committed(_)
         ));
         let _ = both.wait_for_settings();
@@ -427,67 +444,68 @@
 }
 
 #[test]
-fn a_put_is_checked_whole_for_each_way_in_which_scopes_come_together() {
-    let daemons = &mut begun("checked");
-    let _ = committed(daemons, "all", &json!({"nInstances": 4}).to_string());
-    let _ = committed(daemons, "service=menu", &json!({"me": 3}).to_string());
+fn a_put_is_validated_for_each_combination_of_scopes() {
+    let daemons = &mut start_fleet("checked");
+    let _ = commit_scoped(daemons, "all", &json!({"nInstances": 4}).to_string());
+    let _ = commit_scoped(daemons, "service=menu", &json!({"me": 3}).to_string());
     let faulty = |reply: OperatorReply, names: &str| {
         assert!(matches!(&reply, OperatorReply::Invalid(why) if why.starts_with(names)), "{names} {reply:?}");
     };
-    // What is for all is checked below each scope that stands above it, also one with no members.
+    // Settings for the whole fleet are validated merged with each narrower scope, also one without members.
     let fewer = json!({"nInstances": 2}).to_string();
-    faulty(written(daemons, "all", put(&fewer), None), "for service=menu: ");
+    faulty(write_scoped(daemons, "all", put(&fewer), None), "for service=menu: ");
     faulty(
-        written(daemons, "service=menu", put("{\"methods\": []}"), None),
+        write_scoped(daemons, "service=menu", put("{\"methods\": []}"), None),
         "for service=menu: settings.methods",
     );
     faulty(
-        written(daemons, "service=menu", put("[1]"), None),
+        write_scoped(daemons, "service=menu", put("[1]"), None),
         "for service=menu: settings: expected a JSON object",
     );
     faulty(
-        written(daemons, "service=menu", put("{\"budgets\": []}"), None),
+        write_scoped(daemons, "service=menu", put("{\"budgets\": []}"), None),
         "for service=menu: settings.budgets",
     );
-    // A zone is well by itself; with a member in both it is not.
-    let mut both = Raw::to(daemons, "s0", in_zone("a1", "menu"));
+    // Settings of a zone are valid on their own, but not for a member that is also in the service.
+    let mut both = RawMember::to(daemons, "s0", in_zone("a1", "menu"));
     let _ = both.wait_for_settings();
-    faulty(written(daemons, "zone=a1", put(&fewer), None), "for zone=a1, service=menu: ");
-    assert!(matches!(written(daemons, "zone=b1", put(&fewer), None), OperatorReply::Committed(_)));
-    // Taking away is checked too: what lies below may not be well without it.
-    let _ = committed(daemons, "region=a", &json!({"nInstances": 2}).to_string());
-    let _ = committed(daemons, "zone=c1", &json!({"nInstances": 4}).to_string());
-    let mut three = Raw::to(daemons, "s1", Locality { region: Some("a".into()), ..in_zone("c1", "menu") });
+    faulty(write_scoped(daemons, "zone=a1", put(&fewer), None), "for zone=a1, service=menu: ");
+    assert!(matches!(write_scoped(daemons, "zone=b1", put(&fewer), None), OperatorReply::Committed(_)));
+    // A removal is validated too: the remaining scopes may be invalid without the removed one.
+    let _ = commit_scoped(daemons, "region=a", &json!({"nInstances": 2}).to_string());
+    let _ = commit_scoped(daemons, "zone=c1", &json!({"nInstances": 4}).to_string());
+    let mut three =
+        RawMember::to(daemons, "s1", Locality { region: Some("a".into()), ..in_zone("c1", "menu") });
     let _ = three.wait_for_settings();
-    faulty(written(daemons, "zone=c1", SettingsChange::Remove, None), "for region=a, service=menu: ");
+    faulty(write_scoped(daemons, "zone=c1", SettingsChange::Remove, None), "for region=a, service=menu: ");
 }
 
 #[test]
-fn a_put_for_a_scope_without_members_is_committed_and_said_and_holds_for_who_comes() {
-    let daemons = &mut begun("nobody");
-    let _ = committed(daemons, "service=menu", &with_method("soup"));
+fn a_put_for_a_scope_without_members_is_committed_with_a_note_and_applies_to_later_members() {
+    let daemons = &mut start_fleet("nobody");
+    let _ = commit_scoped(daemons, "service=menu", &with_method("soup"));
     let file = daemons.root.join("new.json").display().to_string();
     std::fs::write(&file, with_method("bread")).unwrap();
-    let (status, said) = run(daemons, &["put", &file, "--for", "service=menu"]);
-    assert!(status == Some(0) && said.starts_with("committed: "), "{said}");
-    assert!(said.contains("nobody that is heard now belongs to service=menu"), "{said}");
-    let (_, said) = run(daemons, &["put", &file, "--for", "service=menu", "--json"]);
-    let told: Value = serde_json::from_str(&said).unwrap();
-    assert_eq!((told["outcome"].as_str(), told["members"].as_u64()), (Some("committed"), Some(0)));
-    let mut late = Raw::to(daemons, "s0", in_service("menu"));
+    let (status, output) = run(daemons, &["put", &file, "--for", "service=menu"]);
+    assert!(status == Some(0) && output.starts_with("committed: "), "{output}");
+    assert!(output.contains("nobody that is heard now belongs to service=menu"), "{output}");
+    let (_, output) = run(daemons, &["put", &file, "--for", "service=menu", "--json"]);
+    let json: Value = serde_json::from_str(&output).unwrap();
+    assert_eq!((json["outcome"].as_str(), json["members"].as_u64()), (Some("committed"), Some(0)));
+    let mut late = RawMember::to(daemons, "s0", in_service("menu"));
     assert_eq!(late.wait_for_settings().1["methods"][0]["name"], "bread");
     daemons.wait("it is seen", |daemons| row(daemons, "service=menu").members == 1).unwrap();
 }
 
 #[test]
-fn a_member_that_comes_back_in_another_service_has_nothing_of_its_earlier_one() {
-    let daemons = &mut begun("moved");
+fn a_member_that_moves_to_another_service_keeps_no_settings_of_the_earlier_one() {
+    let daemons = &mut start_fleet("moved");
     let mut sidecars = sidecars(daemons);
     start(&mut sidecars, daemons, "s0", json!({"service": "menu"}));
-    let _ = committed(daemons, "service=menu", &with_method("soup"));
+    let _ = commit_scoped(daemons, "service=menu", &with_method("soup"));
     sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     assert!(sidecars.keep("s0").exists());
-    // No daemon is there to say what holds: kept settings of another service would be taken for its own.
+    // Danger: without a daemon, the stored settings of the earlier service could be taken for its own.
     daemons.places().for_each(|place| daemons.kill(place));
     sidecars.kill("s0");
     start(&mut sidecars, daemons, "s0", json!({"service": "bar"}));
@@ -499,7 +517,7 @@
         daemons.start(place).unwrap();
     }
     daemons.wait_for_leader().unwrap();
-    let _ = committed(daemons, "service=bar", &with_method("wine"));
+    let _ = commit_scoped(daemons, "service=bar", &with_method("wine"));
     sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/wine/1") == Some(200)).unwrap();
     daemons
         .wait("it is seen", |daemons| {
@@ -509,35 +527,35 @@
 }
 
 #[test]
-fn a_member_without_a_locality_has_what_is_for_all_and_for_itself() {
-    let daemons = &mut begun("without");
+fn a_member_without_a_locality_gets_the_settings_of_the_fleet_and_its_own() {
+    let daemons = &mut start_fleet("without");
     let at = daemons.at(daemons.wait_for_leader().unwrap());
-    let first = committed(daemons, "all", &with_method("soup"));
-    let _ = committed(daemons, "service=menu", &with_method("bread"));
-    let own = committed(daemons, "member=s1", &json!({"nInstances": 2}).to_string());
+    let first = commit_scoped(daemons, "all", &with_method("soup"));
+    let _ = commit_scoped(daemons, "service=menu", &with_method("bread"));
+    let own = commit_scoped(daemons, "member=s1", &json!({"nInstances": 2}).to_string());
     for version in [MIN_VERSION, VERSION] {
-        let mut plain = Raw::greet(at, "s0", version, None);
-        let (told, settings) = plain.wait_for_settings();
-        assert_eq!((told, settings["methods"][0]["name"].as_str()), (first, Some("soup")));
-        let (told, settings) = Raw::greet(at, "s1", version, None).wait_for_settings();
+        let mut plain = RawMember::connect(at, "s0", version, None);
+        let (received, settings) = plain.wait_for_settings();
+        assert_eq!((received, settings["methods"][0]["name"].as_str()), (first, Some("soup")));
+        let (received, settings) = RawMember::connect(at, "s1", version, None).wait_for_settings();
         let name = settings["methods"][0]["name"].as_str();
-        assert_eq!((told, &settings["nInstances"], name), (own, &json!(2), Some("soup")));
+        assert_eq!((received, &settings["nInstances"], name), (own, &json!(2), Some("soup")));
     }
 }
 
 #[test]
-fn texts_over_the_limit_are_refused_by_their_combination_and_size() {
-    let daemons = &mut begun("limit");
+fn settings_over_the_size_limit_are_refused_with_their_scopes_and_size() {
+    let daemons = &mut start_fleet("limit");
     let whole = large(1, MAX_SETTINGS_BYTES - 64 * 1024);
-    let _ = committed(daemons, "service=menu", &whole);
+    let _ = commit_scoped(daemons, "service=menu", &whole);
     let over = large(2, MAX_SETTINGS_BYTES + 1);
-    let reply = written(daemons, "service=menu", put(&over), None);
+    let reply = write_scoped(daemons, "service=menu", put(&over), None);
     assert!(matches!(&reply, OperatorReply::Invalid(why) if why.contains("bytes at the most")), "{reply:?}");
-    // Each has room by itself; together, for a member in both, they have not.
-    let mut both = Raw::to(daemons, "s0", in_zone("a1", "menu"));
+    // Each is within the limit on its own; merged for a member in both scopes, they exceed it.
+    let mut both = RawMember::to(daemons, "s0", in_zone("a1", "menu"));
     let (version, _) = both.wait_for_settings();
     let more = json!({"zoneNote": "x".repeat(96 * 1024)}).to_string();
-    let reply = written(daemons, "zone=a1", put(&more), None);
+    let reply = write_scoped(daemons, "zone=a1", put(&more), None);
     let OperatorReply::Invalid(why) = &reply else { panic!("{reply:?}") };
     let size: usize = why.split(' ').find_map(|word| word.parse().ok()).unwrap();
     assert!(
@@ -545,13 +563,13 @@
         "{why}"
     );
     assert!(both.settings().is_none() && both.report.latest_known == version);
-    assert!(matches!(written(daemons, "zone=b1", put(&more), None), OperatorReply::Committed(_)));
+    assert!(matches!(write_scoped(daemons, "zone=b1", put(&more), None), OperatorReply::Committed(_)));
 }
 
 #[test]
-fn a_newcomer_in_the_middle_of_a_change_is_told_what_is_committed_and_then_what_comes_of_it() {
-    let daemons = &mut begun("newcomer");
-    let first = committed(daemons, "service=menu", &with_method("soup"));
+fn a_new_member_gets_committed_settings_during_a_pending_write_and_its_outcome_later() {
+    let daemons = &mut start_fleet("newcomer");
+    let first = commit_scoped(daemons, "service=menu", &with_method("soup"));
     let old = daemons.wait_for_leader().unwrap();
     daemons.around(old, Link::cut());
     let write = daemons.a_write(put(&with_method("bread")), None);
@@ -565,18 +583,18 @@
             daemons.status(old).is_some_and(|status| status.last > status.committed)
         })
         .unwrap();
-    // Danger: told what only the leader holds, it would act on what may never have been.
-    let mut newcomer = Raw::greet(at, "s0", VERSION, Some(in_service("menu")));
-    let (told, settings) = newcomer.wait_for_settings();
-    assert_eq!((told, &settings["methods"][0]["name"]), (first, &json!("soup")));
+    // Danger: a member that received an uncommitted entry could apply settings that are never committed.
+    let mut newcomer = RawMember::connect(at, "s0", VERSION, Some(in_service("menu")));
+    let (received, settings) = newcomer.wait_for_settings();
+    assert_eq!((received, &settings["methods"][0]["name"]), (first, &json!("soup")));
     assert!(newcomer.settings().is_none());
     daemons.around(old, Link::default());
     let _ = waits.join().unwrap();
-    // Said again by its id, whatever became of it: it has its effect once.
+    // The write repeated with its id takes effect once, whatever its first outcome.
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
     let mut reply = OperatorReply::Done;
     daemons
-        .wait("its fate is known", |daemons| {
+        .wait("its outcome is known", |daemons| {
             matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_)))
         })
         .unwrap();
@@ -585,50 +603,50 @@
     }
     let OperatorReply::Committed(second) = reply else { panic!("{reply:?}") };
     let leader = daemons.wait_for_leader().unwrap();
-    let mut later = Raw::greet(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
+    let mut later = RawMember::connect(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
     (later.report.latest_known, later.report.version) = (first, first);
-    let (told, settings) = later.wait_for_settings();
-    assert_eq!((told, &settings["methods"][0]["name"]), (second, &json!("bread")));
+    let (received, settings) = later.wait_for_settings();
+    assert_eq!((received, &settings["methods"][0]["name"]), (second, &json!("bread")));
 }
 
 #[test]
-fn a_member_that_was_away_for_a_hundred_versions_is_told_one_text() {
-    let daemons = &mut begun("away");
-    let mut away = Raw::to(daemons, "s0", in_zone("a1", "menu"));
-    let _ = committed(daemons, "service=menu", &large(0, 16 * 1024));
+fn a_member_that_missed_a_hundred_versions_receives_one() {
+    let daemons = &mut start_fleet("away");
+    let mut away = RawMember::to(daemons, "s0", in_zone("a1", "menu"));
+    let _ = commit_scoped(daemons, "service=menu", &large(0, 16 * 1024));
     let knows = away.wait_for_settings().0;
     let mut last = (Version::default(), String::new());
     for number in 1..=100 {
         let (of, bytes) = if number % 3 == 0 { ("zone=a1", 64) } else { ("service=menu", 16 * 1024) };
         last = match of {
-            "zone=a1" => (committed(daemons, of, &json!({"nInstances": number}).to_string()), last.1),
+            "zone=a1" => (commit_scoped(daemons, of, &json!({"nInstances": number}).to_string()), last.1),
             _ => {
                 let text = large(number, bytes);
-                (committed(daemons, of, &text), text)
+                (commit_scoped(daemons, of, &text), text)
             }
         };
     }
-    let mut away = Raw::to(daemons, "s0", in_zone("a1", "menu"));
+    let mut away = RawMember::to(daemons, "s0", in_zone("a1", "menu"));
     (away.report.latest_known, away.report.version) = (knows, knows);
-    let (told, settings) = away.wait_for_settings();
-    assert_eq!((told, &settings["nInstances"]), (last.0, &json!(99)));
+    let (received, settings) = away.wait_for_settings();
+    assert_eq!((received, &settings["nInstances"]), (last.0, &json!(99)));
     assert_eq!(settings["methods"], serde_json::from_str::<Value>(&last.1).unwrap()["methods"]);
     assert!(away.settings().is_none() && away.bytes < 20 * 1024, "{} bytes", away.bytes);
 }
 
 #[test]
-fn a_scoped_put_whose_leader_is_killed_has_its_effect_once_and_all_go_only_forwards() {
-    let daemons = &mut begun("killed");
-    let mut version = committed(daemons, "service=menu", &with_method("soup"));
+fn a_scoped_put_whose_leader_is_killed_takes_effect_once_and_versions_only_increase() {
+    let daemons = &mut start_fleet("killed");
+    let mut version = commit_scoped(daemons, "service=menu", &with_method("soup"));
     for round in 0..3 {
         let leader = daemons.wait_for_leader().unwrap();
-        let mut member = Raw::greet(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
+        let mut member = RawMember::connect(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
         assert_eq!(member.wait_for_settings().0, version);
         let before = daemons.status(leader).unwrap().last;
         let write = daemons.a_write(put(&with_method(&format!("bread{round}"))), None);
         let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() };
-        let (at, said) = (daemons.at(leader), asked.clone());
-        let first = thread::spawn(move || ask(at, &said, PATIENCE));
+        let (at, request) = (daemons.at(leader), asked.clone());
+        let first = thread::spawn(move || ask(at, &request, PATIENCE));
         daemons
             .wait("it is in the log", |daemons| {
                 daemons.status(leader).is_some_and(|status| status.last > before)
@@ -637,11 +655,11 @@
         daemons.kill(leader);
         let first = first.join().unwrap();
         daemons.start(leader).unwrap();
-        let mut fate = None;
+        let mut outcome = None;
         for _ in 0..400 {
             match daemons.ask(&asked, PATIENCE) {
                 Ok(OperatorReply::Committed(version)) => {
-                    fate = Some(version);
+                    outcome = Some(version);
                     break;
                 }
                 Ok(OperatorReply::Invalid(why)) if why.contains("not before all daemons") => {
@@ -650,7 +668,7 @@
                 other => panic!("{other:?}"),
             }
         }
-        let second = fate.unwrap();
+        let second = outcome.unwrap();
         assert!(
             second > version && !matches!(first, Ok(OperatorReply::Committed(version)) if version != second)
         );
@@ -662,7 +680,7 @@
         };
         assert_eq!(rows.iter().filter(|row| row.reason == write.reason).count(), 1, "{rows:?}");
         assert!(rows.is_sorted_by_key(|row| row.version));
-        let mut again = Raw::to(daemons, "s0", in_service("menu"));
+        let mut again = RawMember::to(daemons, "s0", in_service("menu"));
         (again.report.latest_known, again.report.version) = (version, version);
         assert_eq!(again.wait_for_settings().0, second);
         version = second;
@@ -671,39 +689,44 @@
 
 #[test]
 fn a_member_of_version_two_is_served_beside_those_of_three() {
-    let daemons = &mut begun("older");
+    let daemons = &mut start_fleet("older");
     let at = daemons.at(daemons.wait_for_leader().unwrap());
-    let (mut old, mut new) =
-        (Raw::greet(at, "s0", MIN_VERSION, None), Raw::greet(at, "s1", VERSION, Some(in_service("menu"))));
-    // The lower of both is spoken.
-    assert_eq!((old.speaks, new.speaks), (MIN_VERSION, VERSION));
+    let (mut old, mut new) = (
+        RawMember::connect(at, "s0", MIN_VERSION, None),
+        RawMember::connect(at, "s1", VERSION, Some(in_service("menu"))),
+    );
+    // The lower of both versions is negotiated.
+    assert_eq!((old.protocol_version, new.protocol_version), (MIN_VERSION, VERSION));
     let first = daemons.put(&with_method("soup")).unwrap();
     assert_eq!((old.wait_for_settings().0, new.wait_for_settings().0), (first, first));
-    let second = committed(daemons, "service=menu", &with_method("bread"));
+    let second = commit_scoped(daemons, "service=menu", &with_method("bread"));
     assert_eq!(new.wait_for_settings().0, second);
-    // It is told nothing of what it does not know, and what is put for all as ever.
+    // It receives no scoped settings, and settings for the whole fleet as before.
     assert!(old.settings().is_none());
     let third = daemons.put(&with_method("stew")).unwrap();
-    let (told, settings) = old.wait_for_settings();
-    assert_eq!((told, &settings["methods"][0]["name"]), (third, &json!("stew")));
+    let (received, settings) = old.wait_for_settings();
+    assert_eq!((received, &settings["methods"][0]["name"]), (third, &json!("stew")));
     assert_eq!(new.wait_for_settings().1["methods"][0]["name"], "bread");
-    // What a member belongs to is no frame of version 2.
+    // Version 2 has no locality frame.
     old.send(&Frame::Locality(in_service("menu")));
     let mut rest = Vec::new();
-    // Well before the daemon ends what is silent.
+    // Well before the daemon closes idle connections.
     old.stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-    assert!(old.stream.read_to_end(&mut rest).is_ok_and(|_| rest.is_empty()), "the connection ends");
+    assert!(
+        old.stream.read_to_end(&mut rest).is_ok_and(|_| rest.is_empty()),
+        "the daemon closes the connection"
+    );
 }
 
-/// Takes greetings of version 2 alone, as a daemon of that version does, in the name of this replica; what operators ask is
-/// done.
-fn stand_in(id: Id) -> SocketAddr {
+/// Starts a fake daemon of version 2 with this replica's identity. It accepts hellos of that version alone, and answers every
+/// operator request with `Done`.
+fn fake_older_daemon(id: Id) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
-                let (mut frames, mut piece) = (FrameReader::default(), vec![0; 64 * 1024]);
+                let (mut frames, mut buffer) = (FrameReader::default(), vec![0; 64 * 1024]);
                 loop {
                     while let Ok(Some(frame)) = frames.pop() {
                         let mut out = Vec::new();
@@ -721,8 +744,8 @@
                         Frame::hello_as(MIN_VERSION, FLEET, Initiator::Replica(id)).write(&mut out);
                         let _ = stream.write_all(&out);
                     }
-                    match stream.read(&mut piece) {
-                        Ok(read) if read > 0 => frames.push(&piece[..read]),
+                    match stream.read(&mut buffer) {
+                        Ok(read) if read > 0 => frames.push(&buffer[..read]),
                         _ => return,
                     }
                 }
@@ -734,7 +757,7 @@
 
 #[test]
 fn scoped_puts_are_refused_until_all_voters_speak_version_three() {
-    let daemons = &mut begun("voters");
+    let daemons = &mut start_fleet("voters");
     daemons.put(&with_method("soup")).unwrap();
     daemons.wait_for_one_state().unwrap();
     let leader = daemons.wait_for_leader().unwrap();
@@ -753,17 +776,17 @@
     };
     daemons.kill(other);
     daemons.link(leader, other).lead_to("127.0.0.1:1".parse().unwrap());
-    // Danger: what is left has a majority and would commit what an older replica passes over.
+    // Danger: the remaining replicas are a majority, and would commit an entry that an older replica skips.
     refused(daemons, "is not heard");
-    daemons.link(leader, other).lead_to(stand_in(id));
+    daemons.link(leader, other).lead_to(fake_older_daemon(id));
     refused(daemons, "speaks 2");
-    // What is for all is written as ever.
+    // Settings for the whole fleet can still be put.
     daemons.put(&with_method("bread")).unwrap();
     daemons.start(other).unwrap();
     daemons.link(leader, other).reset();
-    let _ = committed(daemons, "service=menu", &with_method("stew"));
+    let _ = commit_scoped(daemons, "service=menu", &with_method("stew"));
     daemons.wait_for_one_state().unwrap();
-    // Danger: from then on one machine that is away would hold up all that is put for a part of the fleet.
+    // Danger: checked for each put, one machine that is away would block all scoped puts from then on.
     daemons.kill(other);
     let write = daemons.a_write(put(&with_method("cake")), None);
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
@@ -771,12 +794,12 @@
 }
 
 #[test]
-fn what_members_have_learnt_is_heard_within_a_service() {
-    let daemons = &begun("evidence");
-    let mut writer = Raw::to(daemons, "s0", in_service("menu"));
-    let mut same = Raw::to(daemons, "s1", in_service("menu"));
-    let mut bar = Raw::to(daemons, "s2", in_service("bar"));
-    let mut none = Raw::to(daemons, "s3", Locality::default());
+fn evidence_is_shared_within_a_service() {
+    let daemons = &start_fleet("evidence");
+    let mut writer = RawMember::to(daemons, "s0", in_service("menu"));
+    let mut same = RawMember::to(daemons, "s1", in_service("menu"));
+    let mut bar = RawMember::to(daemons, "s2", in_service("bar"));
+    let mut none = RawMember::to(daemons, "s3", Locality::default());
     let seen = |sequence| Observation {
         sequence,
         age_ms: 0,
@@ -786,32 +809,32 @@
         budget_fraction: 0.5,
     };
     writer.report.observations = (1..=20).map(seen).collect();
-    writer.told();
-    assert_eq!((same.told().observations.len(), none.told().observations.len()), (20, 20));
-    // Danger: names of another service's endpoints crowd out those that it knows.
-    assert_eq!(bar.told().observations.len(), 0);
+    writer.send_report();
+    assert_eq!((same.send_report().observations.len(), none.send_report().observations.len()), (20, 20));
+    // Danger: evidence of another service's endpoints would crowd out that of its own.
+    assert_eq!(bar.send_report().observations.len(), 0);
     none.report.observations = vec![seen(1)];
-    none.told();
-    assert_eq!((bar.told().observations.len(), same.told().observations.len()), (1, 1));
-    // Who has said its service hears coded records, and who has not, or speaks version 2, what it always has.
-    assert_eq!((same.coded, bar.coded, none.coded), (2, 2, 0));
+    none.send_report();
+    assert_eq!((bar.send_report().observations.len(), same.send_report().observations.len()), (1, 1));
+    // Members that name their service receive encoded records; those that do not, or that speak version 2, receive plain ones.
+    assert_eq!((same.encoded, bar.encoded, none.encoded), (2, 2, 0));
     let at = daemons.at(daemons.wait_for_leader().unwrap());
-    let mut older = Raw::greet(at, "s4", MIN_VERSION, None);
-    assert_eq!((older.told().observations.len(), older.coded), (21, 0));
-    // Danger: who has lost what it knew would understand nothing any more.
+    let mut older = RawMember::connect(at, "s4", MIN_VERSION, None);
+    assert_eq!((older.send_report().observations.len(), older.encoded), (21, 0));
+    // Danger: a member that lost its dictionary could decode nothing any more.
     same.report.wants_catch_up = true;
     same.decoder = Decoder::default();
-    // Of the one endpoint the latest four.
-    let caught = same.told().observations;
-    assert_eq!(caught.iter().map(|passed| passed.observation.sequence).collect::<Vec<_>>(), [18, 19, 20, 1]);
+    // The latest four records of the one endpoint.
+    let caught = same.send_report().observations;
+    assert_eq!(caught.iter().map(|record| record.observation.sequence).collect::<Vec<_>>(), [18, 19, 20, 1]);
 }
 
-/// Danger: an index of one byte, and a service with more endpoints than that.
+/// Danger: the encoding has one-byte indices, and a service may have more endpoints than these can address.
 #[test]
-fn of_a_service_with_more_names_than_indices_all_is_heard_in_its_order() {
-    let daemons = &begun("names");
-    let mut writer = Raw::to(daemons, "s0", in_service("menu"));
-    let mut same = Raw::to(daemons, "s1", in_service("menu"));
+fn a_service_with_more_endpoints_than_indices_receives_all_evidence_in_order() {
+    let daemons = &start_fleet("names");
+    let mut writer = RawMember::to(daemons, "s0", in_service("menu"));
+    let mut same = RawMember::to(daemons, "s1", in_service("menu"));
     let of = |sequence| Observation {
         sequence,
         age_ms: 0,
@@ -821,53 +844,53 @@
         budget_fraction: 0.5,
     };
     writer.report.observations = (1..=400).map(of).collect();
-    writer.told();
-    let (mut heard, mut as_they_are) = (Vec::new(), 0);
+    writer.send_report();
+    let (mut heard, mut plain_answers) = (Vec::new(), 0);
     for _ in 0..6 {
-        let passed = same.told().observations;
-        as_they_are += usize::from(!passed.is_empty() && same.coded_records == 0);
-        heard.extend(passed.iter().map(|passed| (passed.observation.sequence, passed.observation.endpoint)));
+        let records = same.send_report().observations;
+        plain_answers += usize::from(!records.is_empty() && same.encoded_records == 0);
+        heard.extend(records.iter().map(|record| (record.observation.sequence, record.observation.endpoint)));
     }
     assert_eq!(heard, (1..=400).map(|sequence| (sequence, 100 + sequence as u32)).collect::<Vec<_>>());
-    // Of 80 an answer: three whole ones and a part go by index.
-    assert_eq!(as_they_are, 1);
+    // 80 records per answer: three full answers and a part of the fourth use indices.
+    assert_eq!(plain_answers, 1);
 }
 
 #[test]
-fn what_an_earlier_process_of_a_voter_has_greeted_with_does_not_count() {
-    let daemons = &mut begun("replaced");
+fn the_protocol_version_of_an_earlier_process_of_a_voter_does_not_count() {
+    let daemons = &mut start_fleet("replaced");
     daemons.put(&with_method("soup")).unwrap();
     daemons.wait_for_one_state().unwrap();
     let leader = daemons.wait_for_leader().unwrap();
     let other = daemons.places().find(|place| *place != leader).unwrap();
     let id = daemons.status(other).unwrap().id;
-    // The leader's own connection to that place stands, and nobody is at its other end any more.
+    // The leader's own connection to that replica stays open, but its peer is gone.
     daemons.link(leader, other).stand(Link::cut());
     daemons.kill(other);
     let mut stream = TcpStream::connect(daemons.at(leader)).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    let (mut out, mut frames, mut piece) = (Vec::new(), FrameReader::default(), vec![0; 4096]);
+    let (mut out, mut frames, mut buffer) = (Vec::new(), FrameReader::default(), vec![0; 4096]);
     Frame::hello_as(MIN_VERSION, FLEET, Initiator::Replica(id)).write(&mut out);
     stream.write_all(&out).unwrap();
     while frames.pop().unwrap().is_none() {
-        let read = stream.read(&mut piece).unwrap();
+        let read = stream.read(&mut buffer).unwrap();
         assert!(read > 0);
-        frames.push(&piece[..read]);
+        frames.push(&buffer[..read]);
     }
-    let reply = written(daemons, "service=menu", put(&with_method("never")), None);
+    let reply = write_scoped(daemons, "service=menu", put(&with_method("never")), None);
     let wanted = format!("place {other} speaks 2");
     assert!(matches!(&reply, OperatorReply::Invalid(why) if why.ends_with(&wanted)), "{reply:?}");
 }
 
 #[test]
-fn operators_are_answered_by_a_daemon_of_version_two_and_told_what_it_does_not_know() {
-    let at = stand_in(Id { replica_id: 1, incarnation: 1 });
+fn a_daemon_of_version_two_answers_operators_and_unsupported_requests_are_named() {
+    let at = fake_older_daemon(Id { replica_id: 1, incarnation: 1 });
     let one = |asked: &OperatorRequest, sent: &mut bool| {
         appledyke_daemon::client::ask_daemon(at, FLEET, asked, PATIENCE, sent)
     };
     let mut sent = false;
     assert_eq!(one(&OperatorRequest::Status, &mut sent), Ok(OperatorReply::Done));
-    // Danger: sent all the same it could not be read, and a write of unknown fate would be told.
+    // Danger: sent anyway, the daemon could not decode the request, and the outcome of a write would be reported as unknown.
     let mut sent = false;
     let why = one(&OperatorRequest::Scopes, &mut sent).unwrap_err();
     assert!(!sent && why.contains("speaks version 2, which does not support scopes"), "{why}");
