--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -176,7 +176,7 @@
     json: bool,
 }
 
-/// show how each budget is divided among its holders
+/// show how each budget is divided: granted, reserved and free
 #[derive(FromArgs)]
 #[argh(subcommand, name = "budgets")]
 struct ShowBudgets {
@@ -377,7 +377,7 @@
     name: String,
 }
 
-/// confirm that a process of a member has ended, which frees its shares of the budgets
+/// confirm that a process of a member has ended, which frees what it held of budgets without a window, such as connections
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ended")]
 struct Ended {
@@ -1152,7 +1152,7 @@
                 &OperatorRequest::MarkEnded { name: name.clone(), incarnation },
                 REQUEST_TIMEOUT,
             )? {
-                OperatorReply::Done => print_output(false, &(), || format!("the shares of {name} are free")),
+                OperatorReply::Done => print_output(false, &(), || format!("what {name} held is free")),
                 other => unexpected_reply(other),
             }
         }
