--- a/crates/lab/src/added.rs
+++ b/crates/lab/src/added.rs
@@ -18,8 +18,8 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
+use crate::http_connection::{self, HttpConnection};
 use crate::rig::sidecars::{ListService, Sidecars, entry};
-use crate::wire::{self, Wire};
 
 /// What a sidecar may add to a call for 99 in 100, in milliseconds: the operators' target.
 pub const TARGET_MS: f64 = 0.46;
@@ -182,7 +182,7 @@
             if let Some(listener) = listeners.get(token.0) {
                 while let Ok((stream, _)) = listener.accept() {
                     next += 1;
-                    if let Ok(wire) = Wire::take(stream, poll.registry(), Token(next)) {
+                    if let Ok(wire) = HttpConnection::from_stream(stream, poll.registry(), Token(next)) {
                         links.insert(Token(next), wire);
                     }
                 }
@@ -197,10 +197,10 @@
 }
 
 /// Answers what has come whole; false once the connection is of no more use.
-fn answers(wire: &mut Wire) -> bool {
+fn answers(wire: &mut HttpConnection) -> bool {
     wire.flush();
     wire.fill();
-    while let Ok(Some(whole)) = wire::message(&wire.input, false) {
+    while let Ok(Some(whole)) = http_connection::parse_message(&wire.input, false) {
         let text = match whole.path == "/load" {
             // Who asks for a load report is told that there is none.
             true => "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".to_string(),
@@ -234,7 +234,7 @@
 }
 
 struct Link {
-    wire: Wire,
+    wire: HttpConnection,
     to: usize,
     carries: Option<usize>,
     /// It had carried a call before this one.
@@ -380,7 +380,7 @@
             Token(self.next)
         });
         if kept.is_none() {
-            let Ok(wire) = Wire::open(self.to[to], self.poll.registry(), token) else {
+            let Ok(wire) = HttpConnection::open(self.to[to], self.poll.registry(), token) else {
                 block.out -= 1;
                 return;
             };
@@ -388,7 +388,7 @@
         }
         let link = self.links.get_mut(&token).expect("idle ones are kept");
         (link.carries, link.used) = (Some(call), kept.is_some());
-        link.wire.write(&wire::request(METHOD, true, id, id, REMAINING_MS));
+        link.wire.write(&http_connection::request(METHOD, true, id, id, REMAINING_MS));
     }
 
     fn hears(&mut self, token: Token, block: &mut Block) {
@@ -401,7 +401,7 @@
             }
             return;
         };
-        let read = wire::message(&link.wire.input, true);
+        let read = http_connection::parse_message(&link.wire.input, true);
         match read {
             Ok(Some(whole)) => {
                 let took = block.start.elapsed().saturating_sub(block.due[call]);
--- a/crates/lab/src/chain.rs
+++ b/crates/lab/src/chain.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 
-use crate::policy::Which;
+use crate::policy::PolicyKind;
 use crate::report::Window;
 use crate::scenario::Scenario;
 use crate::{simulate, sweep};
@@ -63,7 +63,7 @@
 pub struct Case {
     pub tiers: usize,
     pub fails: Fails,
-    pub policy: Which,
+    pub policy: PolicyKind,
     /// Calls have the time left of the one that makes them; else a whole deadline anew.
     pub deadline_passed: bool,
     /// Each tier is a fleet with a budget of retries.
@@ -177,17 +177,17 @@
 }
 
 /// The policies and what is put beside them, in the order of the table.
-pub fn rows() -> Vec<(&'static str, Which, bool)> {
+pub fn rows() -> Vec<(&'static str, PolicyKind, bool)> {
     vec![
-        ("one attempt", Which::Random, false),
-        ("three attempts", Which::Tries, false),
-        ("three, fleet's budget", Which::Tries, true),
-        ("three, purse", Which::TriesByPurse, false),
-        ("module, throttle passed", Which::Unthrottled, false),
-        ("module at the top only", Which::AtTop, false),
-        ("module at the lowest only", Which::AtLowest, false),
-        ("module", Which::Module, false),
-        ("module, fleet's budget", Which::Module, true),
+        ("one attempt", PolicyKind::Random, false),
+        ("three attempts", PolicyKind::Tries, false),
+        ("three, fleet's budget", PolicyKind::Tries, true),
+        ("three, purse", PolicyKind::TriesByPurse, false),
+        ("module, throttle passed", PolicyKind::Unthrottled, false),
+        ("module at the top only", PolicyKind::AtTop, false),
+        ("module at the lowest only", PolicyKind::AtLowest, false),
+        ("module", PolicyKind::Module, false),
+        ("module, fleet's budget", PolicyKind::Module, true),
     ]
 }
 
--- a/crates/lab/src/emulate.rs
+++ b/crates/lab/src/emulate.rs
@@ -16,14 +16,14 @@
 use oorandom::Rand64;
 use serde_json::{Map, Value, json};
 
-use crate::faults::{Faults, Turn};
+use crate::faults::{Faults, LifecycleChange};
+use crate::http_connection::{self, HttpConnection};
 use crate::load;
-use crate::referee::Referee;
 use crate::report::{Outcomes, Tally};
+use crate::rule_checker::RuleChecker;
 use crate::scenario::{Effect, Scenario, millis};
+use crate::server_queue::{Admission, ServerQueue};
 use crate::service::{self, Fate};
-use crate::station::{Admission, Station};
-use crate::wire::{self, Wire};
 
 /// The beat of a list's watch.
 const BEAT: Span = Span::from_millis(2000);
@@ -52,7 +52,7 @@
     number: usize,
     listener: Option<TcpListener>,
     at: SocketAddr,
-    station: Station,
+    queue: ServerQueue,
     process: u32,
     started: Option<Moment>,
     silent: bool,
@@ -82,7 +82,7 @@
 }
 
 struct Link {
-    wire: Wire,
+    connection: HttpConnection,
     role: Role,
 }
 
@@ -128,12 +128,12 @@
     doors: HashMap<Token, usize>,
     jobs: Vec<Job>,
     due: BTreeSet<(Moment, Due)>,
-    turns: Vec<(Moment, usize, usize, Turn)>,
+    turns: Vec<(Moment, usize, usize, LifecycleChange)>,
     restarts: Vec<(Moment, usize, u64)>,
     news: Vec<(usize, usize, Value)>,
     sidecars: Vec<Vec<Process>>,
     chance: Rand64,
-    referee: Referee,
+    checker: RuleChecker,
     /// What endpoints see, by window.
     seen: Tally,
     ids: u64,
@@ -211,7 +211,7 @@
     });
     let (mut loaded, (ended, emulator)) = (loaded?, emulator);
     ended?;
-    loaded.tally.judged(&emulator.referee);
+    loaded.tally.judged(&emulator.checker);
     loaded.tally.absorb(emulator.seen);
     let mut outcomes = loaded.tally.outcomes("sidecars on sockets", seed);
     outcomes.broken.extend(load::broken(&loaded));
@@ -226,7 +226,7 @@
         let told = |e: std::io::Error| format!("listen: {e}");
         let faults = Faults::draw(scenario, seed);
         let mut emulator = Emulator {
-            turns: faults.turns(scenario),
+            turns: faults.lifecycle_changes(scenario),
             restarts: faults.restarts(),
             scenario,
             program,
@@ -245,7 +245,7 @@
             news: Vec::new(),
             sidecars: Vec::new(),
             chance: Rand64::new(u128::from(seed)),
-            referee: Referee::default(),
+            checker: RuleChecker::default(),
             seen: Tally::new(scenario),
             ids: 0,
         };
@@ -257,7 +257,7 @@
                     number,
                     listener: None,
                     at: SocketAddr::from(([127, 0, 0, 1], 0)),
-                    station: Station::new(t.cores, t.places),
+                    queue: ServerQueue::new(t.cores, t.places),
                     process: 0,
                     started: None,
                     silent: false,
@@ -384,7 +384,7 @@
             if let Role::Asks { tier, watches: true } = link.role
                 && whom.is_none_or(|whom| whom == tier)
             {
-                link.wire.write(chunk.as_bytes());
+                link.connection.write(chunk.as_bytes());
             }
         }
     }
@@ -443,7 +443,7 @@
         for tier in 0..self.scenario.tier.len() {
             let of_tier = || self.endpoints.iter().filter(|e| e.tier == tier);
             let up = of_tier().filter(|e| e.listener.is_some() && !e.silent).count();
-            let inside = of_tier().map(|e| e.station.inside());
+            let inside = of_tier().map(|e| e.queue.inside());
             self.seen.look(now, tier, up, inside.clone().sum(), inside.max().unwrap_or(0));
         }
         self.due.insert((now + LOOK_EVERY, Due::Look));
@@ -464,7 +464,9 @@
             };
             let Ok((stream, _)) = accepted else { return };
             let token = self.token();
-            let Ok(wire) = Wire::take(stream, self.poll.registry(), token) else { continue };
+            let Ok(connection) = HttpConnection::from_stream(stream, self.poll.registry(), token) else {
+                continue;
+            };
             let role = if of_list {
                 Role::Asks { tier: door - self.endpoints.len(), watches: false }
             } else {
@@ -473,14 +475,14 @@
                 let (tier, number) = (e.tier, e.number);
                 e.connections += 1;
                 let (process, full) = (e.process, e.connections > most);
-                if full || self.faults.weather(tier, number, self.now()).refuses {
+                if full || self.faults.active_on(tier, number, self.now()).refuses {
                     self.endpoints[endpoint].connections -= 1;
-                    wire.close(self.poll.registry());
+                    connection.close(self.poll.registry());
                     continue;
                 }
                 Role::Served { endpoint, process, job: None, fresh: true }
             };
-            self.links.insert(token, Link { wire, role });
+            self.links.insert(token, Link { connection, role });
             self.ready(token);
         }
     }
@@ -492,7 +494,7 @@
         {
             self.endpoints[endpoint].connections -= 1;
         }
-        link.wire.close(self.poll.registry());
+        link.connection.close(self.poll.registry());
     }
 
     fn ready(&mut self, token: Token) {
@@ -502,34 +504,34 @@
         {
             return;
         }
-        link.wire.flush();
-        link.wire.fill();
+        link.connection.flush();
+        link.connection.fill();
         let calls = matches!(link.role, Role::Calls { .. });
-        let read = wire::message(&link.wire.input, calls);
-        let over = link.wire.over;
+        let read = http_connection::parse_message(&link.connection.input, calls);
+        let over = link.connection.over;
         match (read, &mut link.role) {
-            (Ok(Some(whole)), Role::Calls { job }) => {
-                let (job, served) = (*job, whole.status == 200);
+            (Ok(Some(message)), Role::Calls { job }) => {
+                let (job, served) = (*job, message.status == 200);
                 self.drop_link(token);
                 self.called(job, served);
             }
-            (Ok(Some(whole)), Role::Asks { tier, watches }) => {
+            (Ok(Some(message)), Role::Asks { tier, watches }) => {
                 let tier = *tier;
                 *watches = true;
-                link.wire.input.drain(..whole.body.1);
+                link.connection.input.drain(..message.body.1);
                 if self.faults.list_absent(self.now()) {
                     return self.drop_link(token);
                 }
                 let line = self.list(tier).to_string() + "\n";
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let text = format!("{head}{:x}\r\n{line}\r\n", line.len());
-                self.links.get_mut(&token).expect("looked up above").wire.write(text.as_bytes());
+                self.links.get_mut(&token).expect("looked up above").connection.write(text.as_bytes());
             }
-            (Ok(Some(whole)), Role::Served { endpoint, job: job @ None, fresh, .. }) => {
+            (Ok(Some(message)), Role::Served { endpoint, job: job @ None, fresh, .. }) => {
                 let (endpoint, fresh) = (*endpoint, std::mem::take(fresh));
                 *job = Some(self.jobs.len());
-                link.wire.input.drain(..whole.body.1);
-                self.takes(token, endpoint, whole, fresh);
+                link.connection.input.drain(..message.body.1);
+                self.takes(token, endpoint, message, fresh);
             }
             (Ok(Some(_)), Role::Served { .. }) => {}
             (Ok(None), _) if !over => {}
@@ -542,7 +544,7 @@
                 if let Role::Served { job: Some(job), .. } = link.role {
                     let (endpoint, process) = (self.jobs[job].endpoint, self.jobs[job].process);
                     let e = &mut self.endpoints[endpoint];
-                    if e.process == process && self.jobs[job].inside && e.station.withdraw(job) {
+                    if e.process == process && self.jobs[job].inside && e.queue.withdraw(job) {
                         self.jobs[job].inside = false;
                     }
                 }
@@ -554,22 +556,22 @@
     // Endpoints.
 
     /// Takes in a request. The first on a connection costs the handshake, which the loopback does not.
-    fn takes(&mut self, link: Token, endpoint: usize, whole: wire::Whole, fresh: bool) {
+    fn takes(&mut self, link: Token, endpoint: usize, message: http_connection::Message, fresh: bool) {
         let now = self.now();
         let e = &self.endpoints[endpoint];
         let (tier, number, process) = (e.tier, e.number, e.process);
-        let name = whole.path.trim_start_matches('/').split('/').next().unwrap_or("");
+        let name = message.path.trim_start_matches('/').split('/').next().unwrap_or("");
         let found = self.scenario.method.iter().position(|m| m.name == name);
-        let weather = self.faults.weather(tier, number, now);
-        let deadline = now + Span::from_millis(whole.remaining_ms.unwrap_or(REMAINING_MS));
+        let active = self.faults.active_on(tier, number, now);
+        let deadline = now + Span::from_millis(message.remaining_ms.unwrap_or(REMAINING_MS));
         self.seen.sent(now, tier);
-        self.referee.sent(now, e.told, &self.scenario.rules, (tier, number));
+        self.checker.sent(now, e.told, &self.scenario.rules, (tier, number));
         let job = self.jobs.len();
         self.jobs.push(Job {
             link,
             endpoint,
             process,
-            id: whole.id,
+            id: message.id,
             method: found.unwrap_or(0),
             deadline,
             calls_left: self.scenario.tier[tier].calls,
@@ -583,9 +585,9 @@
             return self.turn_away(job);
         }
         let (of, method) = ((tier, e.speed, e.started), self.jobs[job].method);
-        let service = service::draw(self.scenario, of, &weather, (now, method), &mut self.chance);
+        let service = service::draw(self.scenario, of, &active, (now, method), &mut self.chance);
         self.jobs[job].fate = service.fate;
-        if service.fate == Fate::QuickError {
+        if service.fate == Fate::ImmediateError {
             self.seen.ended(now, tier, Outcome::Error);
             return self.error(job);
         }
@@ -596,9 +598,9 @@
         let e = &mut self.endpoints[endpoint];
         if let Some(started) = e.started {
             let cores = self.scenario.tier[tier].cores as f64;
-            self.referee.given(now, (tier, number), started, (service.work, cores), &self.scenario.rules);
+            self.checker.given(now, (tier, number), started, (service.work, cores), &self.scenario.rules);
         }
-        match e.station.admit(now, job, takes) {
+        match e.queue.admit(now, job, takes) {
             Admission::Full => self.turn_away(job),
             Admission::Waits => self.jobs[job].inside = true,
             Admission::Works(until) => {
@@ -614,7 +616,7 @@
         let m = &self.scenario.method[j.method];
         let group = service::group(self.scenario, e.tier, e.number, j.method);
         let id = u64::from_str_radix(&j.id, 16).unwrap_or(0);
-        self.referee.effect(now, id, m, group);
+        self.checker.effect(now, id, m, group);
         self.due.insert((until, Due::CoreDone(job)));
     }
 
@@ -628,7 +630,7 @@
             return;
         }
         let now = self.now();
-        if let Some((next, until)) = self.endpoints[self.jobs[job].endpoint].station.core_done(now) {
+        if let Some((next, until)) = self.endpoints[self.jobs[job].endpoint].queue.core_done(now) {
             self.begins(next, until);
         }
         self.goes_on(job);
@@ -650,12 +652,12 @@
             true => deadline.since(self.now()).nanos() / 1_000_000,
             false => m.deadline_ms,
         };
-        let text = wire::request(&m.name, m.effect == Effect::Retryable, id, id, left);
+        let text = http_connection::request(&m.name, m.effect == Effect::Retryable, id, id, left);
         let token = self.token();
-        match Wire::open(self.sidecars[tier + 1][number].at, self.poll.registry(), token) {
-            Ok(mut wire) => {
-                wire.write(&text);
-                self.links.insert(token, Link { wire, role: Role::Calls { job } });
+        match HttpConnection::open(self.sidecars[tier + 1][number].at, self.poll.registry(), token) {
+            Ok(mut connection) => {
+                connection.write(&text);
+                self.links.insert(token, Link { connection, role: Role::Calls { job } });
             }
             Err(_) => self.called(job, false),
         }
@@ -678,7 +680,7 @@
         }
         self.jobs[job].inside = false;
         let endpoint = self.jobs[job].endpoint;
-        self.endpoints[endpoint].station.leave();
+        self.endpoints[endpoint].queue.leave();
         if self.endpoints[endpoint].silent {
             return;
         }
@@ -690,8 +692,8 @@
         }
         match self.jobs[job].fate {
             Fate::Good => self.reply(job, good),
-            Fate::QuickError | Fate::Error => self.error(job),
-            Fate::Spoilt => self.reply(job, "\u{1}\u{2} no answer\r\n\r\n".to_string()),
+            Fate::ImmediateError | Fate::Error => self.error(job),
+            Fate::Malformed => self.reply(job, "\u{1}\u{2} no answer\r\n\r\n".to_string()),
             Fate::Cut => {
                 self.reply(job, good[..good.len() - 4].to_string());
                 self.drop_link(link);
@@ -715,7 +717,7 @@
         if let Role::Served { job, .. } = &mut link.role {
             *job = None;
         }
-        link.wire.write(text.as_bytes());
+        link.connection.write(text.as_bytes());
     }
 
     fn turns_round(&mut self, at: usize) -> Result<(), String> {
@@ -723,32 +725,32 @@
         let endpoint = self.first[tier] + number;
         let process = self.endpoints[endpoint].process;
         match turn {
-            Turn::Drains => {
+            LifecycleChange::Drains => {
                 self.endpoints[endpoint].drains = true;
                 self.spread(endpoint, process, "draining");
             }
-            Turn::Ends => {
+            LifecycleChange::Ends => {
                 self.ends(endpoint);
                 self.spread(endpoint, process, "removed");
             }
-            Turn::Vanishes => {
+            LifecycleChange::Vanishes => {
                 self.endpoints[endpoint].silent = true;
                 self.spread(endpoint, process, "removed");
             }
-            Turn::Starts => {
+            LifecycleChange::Starts => {
                 self.ends(endpoint);
                 self.spread(endpoint, process, "removed");
                 let now = self.now();
                 let t = &self.scenario.tier[tier];
                 let e = &mut self.endpoints[endpoint];
                 e.process += 1;
-                e.station = Station::new(t.cores, t.places);
+                e.queue = ServerQueue::new(t.cores, t.places);
                 (e.started, e.silent, e.drains, e.told, e.connections) = (Some(now), false, false, None, 0);
-                self.referee.started((tier, number));
+                self.checker.started((tier, number));
                 self.listen(endpoint)?;
                 self.spread(endpoint, process + 1, "up");
             }
-            Turn::Returns => {
+            LifecycleChange::Returns => {
                 self.endpoints[endpoint].silent = false;
                 self.spread(endpoint, process, "up");
                 // What came meanwhile brought its events while nobody listened.
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,51 +1,51 @@
-//! What is wrong with an endpoint at a moment, by the scenario's schedule. The seed decides whom a share
-//! strikes; several faults may strike one endpoint at once.
+//! Injected faults, by the scenario's schedule. For faults given as a share, the seed decides which targets are
+//! affected; several faults may affect one endpoint at once.
 
 use appledyke::units::Moment;
 use oorandom::Rand64;
 
 use crate::scenario::{Fault, Kind, Scenario, at_ms};
 
-/// Sizes where a fault names none: times slower, chance of an error, times the load.
+/// Default fault sizes: slowdown factor, error probability, bad response probability, load factor.
 const SLOWER: f64 = 4.0;
 const ERRORS: f64 = 0.8;
 const SPOILT: f64 = 0.3;
 const MORE_LOAD: f64 = 2.0;
-/// Part of a deploy's time that an endpoint drains before it ends, so that what it has can end well.
+/// Part of an endpoint's deploy time spent draining before it stops, so that requests in flight can finish.
 const DRAIN_SHARE: f64 = 0.25;
 
-/// What an endpoint is like at a moment.
+/// The combined effect of the faults active on an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weather {
-    /// Times longer that work takes.
+pub struct ActiveFaults {
+    /// Factor on service times.
     pub slower: f64,
-    /// Chances of each ending in place of a good answer.
+    /// Probability of each failure in place of a good response.
     pub error: f64,
     pub spoilt: f64,
     pub cut: f64,
     pub reset: f64,
     pub lost: f64,
     pub refuses: bool,
-    /// Until when it does not work at all, though it takes requests.
+    /// While paused, the endpoint accepts requests but does no work.
     pub paused_until: Option<Moment>,
 }
 
-/// A change in an endpoint's life.
+/// A change in an endpoint's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turn {
+pub enum LifecycleChange {
     Drains,
-    /// It ends, and says so: connections are reset, new ones refused.
+    /// It stops visibly: connections are reset and new ones refused.
     Ends,
-    /// It ends without a word.
+    /// It becomes unreachable without closing its connections.
     Vanishes,
-    /// A new process, cold.
+    /// A new process starts, in slow start.
     Starts,
-    /// The same process is in reach again.
+    /// The same process is reachable again.
     Returns,
 }
 
 pub struct Faults {
-    /// Each with whom it strikes, as a flag for each endpoint, zone or sidecar.
+    /// Each fault, with a flag for each endpoint, zone or sidecar that it affects.
     faults: Vec<(Fault, Vec<bool>)>,
     zones: usize,
 }
@@ -66,30 +66,30 @@
         let mut faults = Vec::new();
         for fault in &scenario.fault {
             let things = scenario.things(fault);
-            let mut struck = vec![fault.share.is_none() && fault.ids.is_empty(); things];
-            fault.ids.iter().for_each(|id| struck[*id] = true);
+            let mut affected = vec![fault.share.is_none() && fault.ids.is_empty(); things];
+            fault.ids.iter().for_each(|id| affected[*id] = true);
             if let Some(share) = fault.share {
-                // A share above nought strikes one at least: a fault that strikes nobody would test nothing.
+                // A share above 0 affects at least one target: a fault without targets would test nothing.
                 let least = usize::from(share > 0.0 && things > 0);
                 let wanted = ((things as f64 * share).round() as usize).max(least);
-                while struck.iter().filter(|is| **is).count() < wanted {
-                    struck[chance.rand_range(0..things as u64) as usize] = true;
+                while affected.iter().filter(|is| **is).count() < wanted {
+                    affected[chance.rand_range(0..things as u64) as usize] = true;
                 }
             }
-            faults.push((fault.clone(), struck));
+            faults.push((fault.clone(), affected));
         }
         Faults { faults, zones: scenario.zones }
     }
 
-    fn strikes(&self, fault: &Fault, struck: &[bool], tier: usize, endpoint: usize) -> bool {
+    fn affects(&self, fault: &Fault, affected: &[bool], tier: usize, endpoint: usize) -> bool {
         match fault.kind {
-            Kind::ZoneLoss => struck[endpoint % self.zones],
-            _ => fault.tier == tier && struck.get(endpoint).copied().unwrap_or(false),
+            Kind::ZoneLoss => affected[endpoint % self.zones],
+            _ => fault.tier == tier && affected.get(endpoint).copied().unwrap_or(false),
         }
     }
 
-    pub fn weather(&self, tier: usize, endpoint: usize, now: Moment) -> Weather {
-        let mut weather = Weather {
+    pub fn active_on(&self, tier: usize, endpoint: usize, now: Moment) -> ActiveFaults {
+        let mut active = ActiveFaults {
             slower: 1.0,
             error: 0.0,
             spoilt: 0.0,
@@ -99,30 +99,31 @@
             refuses: false,
             paused_until: None,
         };
-        let on = self.faults.iter().filter(|(f, who)| f.on(now) && self.strikes(f, who, tier, endpoint));
+        let on =
+            self.faults.iter().filter(|(f, affected)| f.on(now) && self.affects(f, affected, tier, endpoint));
         for (fault, _) in on {
             match fault.kind {
-                Kind::Slow => weather.slower *= fault.size(SLOWER).max(0.01),
-                Kind::QuickErrors => weather.error = weather.error.max(fault.size(ERRORS)),
-                Kind::Spoilt => weather.spoilt = weather.spoilt.max(fault.size(SPOILT)),
-                Kind::Cut => weather.cut = weather.cut.max(fault.size(SPOILT)),
-                Kind::Reset => weather.reset = weather.reset.max(fault.size(SPOILT)),
-                Kind::LostAnswers => weather.lost = weather.lost.max(fault.size(SPOILT)),
-                Kind::Refuse => weather.refuses = true,
+                Kind::Slow => active.slower *= fault.size(SLOWER).max(0.01),
+                Kind::QuickErrors => active.error = active.error.max(fault.size(ERRORS)),
+                Kind::Spoilt => active.spoilt = active.spoilt.max(fault.size(SPOILT)),
+                Kind::Cut => active.cut = active.cut.max(fault.size(SPOILT)),
+                Kind::Reset => active.reset = active.reset.max(fault.size(SPOILT)),
+                Kind::LostAnswers => active.lost = active.lost.max(fault.size(SPOILT)),
+                Kind::Refuse => active.refuses = true,
                 Kind::Pause => {
                     let until = at_ms(fault.from_ms.saturating_add(fault.for_ms));
-                    weather.paused_until = weather.paused_until.max(Some(until));
+                    active.paused_until = active.paused_until.max(Some(until));
                 }
                 _ => {}
             }
         }
-        weather
+        active
     }
 
-    /// All changes in the lives of endpoints, in the order of time, then of tier and endpoint.
-    pub fn turns(&self, scenario: &Scenario) -> Vec<(Moment, usize, usize, Turn)> {
-        let mut turns = Vec::new();
-        for (fault, struck) in &self.faults {
+    /// All lifecycle changes of endpoints, ordered by time, tier and endpoint.
+    pub fn lifecycle_changes(&self, scenario: &Scenario) -> Vec<(Moment, usize, usize, LifecycleChange)> {
+        let mut changes = Vec::new();
+        for (fault, affected) in &self.faults {
             let (from, until) = (fault.from_ms, fault.from_ms.saturating_add(fault.for_ms));
             let tiers = if fault.kind == Kind::ZoneLoss {
                 0..scenario.tier.len()
@@ -130,52 +131,54 @@
                 fault.tier..fault.tier + 1
             };
             for tier in tiers {
-                let whom: Vec<usize> = (0..scenario.tier[tier].endpoints)
-                    .filter(|endpoint| self.strikes(fault, struck, tier, *endpoint))
+                let targets: Vec<usize> = (0..scenario.tier[tier].endpoints)
+                    .filter(|endpoint| self.affects(fault, affected, tier, *endpoint))
                     .collect();
-                for (place, endpoint) in whom.iter().copied().enumerate() {
-                    let mut add = |at: u64, turn| turns.push((at_ms(at), tier, endpoint, turn));
+                for (place, endpoint) in targets.iter().copied().enumerate() {
+                    let mut add = |at: u64, turn| changes.push((at_ms(at), tier, endpoint, turn));
                     match fault.kind {
                         Kind::Crash => {
-                            add(from, Turn::Ends);
-                            add(until, Turn::Starts);
+                            add(from, LifecycleChange::Ends);
+                            add(until, LifecycleChange::Starts);
                         }
                         Kind::Silence => {
-                            add(from, Turn::Vanishes);
-                            add(until, Turn::Returns);
+                            add(from, LifecycleChange::Vanishes);
+                            add(until, LifecycleChange::Returns);
                         }
                         Kind::ZoneLoss => {
-                            add(from, Turn::Vanishes);
-                            add(until, Turn::Starts);
+                            add(from, LifecycleChange::Vanishes);
+                            add(until, LifecycleChange::Starts);
                         }
                         Kind::Deploy => {
-                            // One after the other, each in its part of the time.
-                            let part = fault.for_ms as f64 / whom.len() as f64;
+                            // A rolling deploy: endpoints restart one after another, each in its own time slice.
+                            let part = fault.for_ms as f64 / targets.len() as f64;
                             let begins = from as f64 + part * place as f64;
-                            add(begins as u64, Turn::Drains);
+                            add(begins as u64, LifecycleChange::Drains);
                             let drain = (part * DRAIN_SHARE).max(scenario.rules.drain_grace_ms as f64);
-                            add((begins + drain) as u64, Turn::Ends);
-                            add((begins + drain + part) as u64, Turn::Starts);
+                            add((begins + drain) as u64, LifecycleChange::Ends);
+                            add((begins + drain + part) as u64, LifecycleChange::Starts);
                         }
                         _ => {}
                     }
                 }
             }
         }
-        turns.sort();
-        turns
+        changes.sort();
+        changes
     }
 
-    /// Times the usual load at a moment.
+    /// The factor on the normal load.
     pub fn load(&self, now: Moment) -> f64 {
         let bursts = self.faults.iter().filter(|(f, _)| f.kind == Kind::Burst && f.on(now));
         bursts.map(|(f, _)| f.size(MORE_LOAD)).product()
     }
 
-    /// The weight of a first-tier sidecar among those that clients go to.
+    /// The factor on the share of clients that go to a first-tier sidecar.
     pub fn heat(&self, sidecar: usize, now: Moment) -> f64 {
-        let hot =
-            self.faults.iter().filter(|(f, who)| f.kind == Kind::HotSidecar && f.on(now) && who[sidecar]);
+        let hot = self
+            .faults
+            .iter()
+            .filter(|(f, affected)| f.kind == Kind::HotSidecar && f.on(now) && affected[sidecar]);
         hot.map(|(f, _)| f.size(SLOWER)).product()
     }
 
@@ -183,20 +186,20 @@
         self.faults.iter().any(|(f, _)| f.kind == Kind::ListAbsent && f.on(now))
     }
 
-    /// Further milliseconds that the list takes.
+    /// Extra delay of endpoint lists, in milliseconds.
     pub fn list_late_ms(&self, now: Moment) -> f64 {
         let late = self.faults.iter().filter(|(f, _)| f.kind == Kind::ListLate && f.on(now));
         late.map(|(f, _)| f.size(2000.0)).sum()
     }
 
-    /// When which first-tier sidecars are killed, one after the other within the fault's time, and how long each
-    /// is away.
+    /// Restarts of first-tier sidecars, spread over the fault's time: when, which sidecar, and its downtime in
+    /// milliseconds.
     pub fn restarts(&self) -> Vec<(Moment, usize, u64)> {
         let mut restarts = Vec::new();
-        for (fault, who) in self.faults.iter().filter(|(f, _)| f.kind == Kind::RestartSidecars) {
-            let struck: Vec<usize> = (0..who.len()).filter(|at| who[*at]).collect();
-            let part = fault.for_ms as f64 / struck.len().max(1) as f64;
-            for (place, sidecar) in struck.into_iter().enumerate() {
+        for (fault, flags) in self.faults.iter().filter(|(f, _)| f.kind == Kind::RestartSidecars) {
+            let affected: Vec<usize> = (0..flags.len()).filter(|at| flags[*at]).collect();
+            let part = fault.for_ms as f64 / affected.len().max(1) as f64;
+            for (place, sidecar) in affected.into_iter().enumerate() {
                 let at = fault.from_ms + (part * place as f64) as u64;
                 restarts.push((at_ms(at), sidecar, fault.size(500.0) as u64));
             }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -9,9 +9,9 @@
 use mio::{Events, Poll, Token};
 use oorandom::Rand64;
 
+use crate::http_connection::{self, HttpConnection};
 use crate::report::Tally;
 use crate::scenario::{Effect, Scenario, at_ms, millis};
-use crate::wire::{self, Wire};
 
 /// A run whose sending ran later than this at the 99th percentile, in milliseconds, says little of the sidecars.
 const VOID_LATE_MS: f64 = 20.0;
@@ -51,7 +51,7 @@
 }
 
 struct Link {
-    wire: Wire,
+    connection: HttpConnection,
     to: usize,
     carries: Option<usize>,
 }
@@ -213,18 +213,18 @@
         let c = &self.clients[client];
         let m = &self.scenario.method[c.method];
         let left = c.deadline.since(now).nanos() / 1_000_000;
-        let text = wire::request(&m.name, m.effect == Effect::Retryable, c.id, c.key, left);
+        let text = http_connection::request(&m.name, m.effect == Effect::Retryable, c.id, c.key, left);
         let idle = if may_reuse { self.idle[to].pop() } else { None };
         let token = match idle {
             Some(token) => token,
             None => {
                 self.next += 1;
                 let token = Token(self.next);
-                let Ok(wire) = Wire::open(self.to[to], self.poll.registry(), token) else {
+                let Ok(connection) = HttpConnection::open(self.to[to], self.poll.registry(), token) else {
                     return self.ended(client, 0, None);
                 };
                 self.loaded.tally.opened(now);
-                self.links.insert(token, Link { wire, to, carries: None });
+                self.links.insert(token, Link { connection, to, carries: None });
                 token
             }
         };
@@ -232,42 +232,42 @@
         (c.on, c.again) = (Some(token), idle.is_some());
         let link = self.links.get_mut(&token).expect("idle ones are kept");
         link.carries = Some(client);
-        link.wire.write(&text);
+        link.connection.write(&text);
     }
 
     fn drop_link(&mut self, token: Token) {
         if let Some(link) = self.links.remove(&token) {
             self.idle[link.to].retain(|idle| *idle != token);
-            link.wire.close(self.poll.registry());
+            link.connection.close(self.poll.registry());
         }
     }
 
     fn ready(&mut self, token: Token) {
         let Some(link) = self.links.get_mut(&token) else { return };
-        link.wire.flush();
-        link.wire.fill();
-        let (over, to) = (link.wire.over, link.to);
+        link.connection.flush();
+        link.connection.fill();
+        let (over, to) = (link.connection.over, link.to);
         let Some(client) = link.carries else {
-            if over || !link.wire.input.is_empty() {
+            if over || !link.connection.input.is_empty() {
                 self.drop_link(token);
             }
             return;
         };
-        let read = wire::message(&link.wire.input, true);
-        let nothing = link.wire.input.is_empty();
+        let read = http_connection::parse_message(&link.connection.input, true);
+        let nothing = link.connection.input.is_empty();
         match read {
-            Ok(Some(whole)) => {
+            Ok(Some(message)) => {
                 let made = format!("{:016x}", self.clients[client].id);
-                let own = link.wire.input[whole.body.0..whole.body.1] == *made.as_bytes();
-                self.loaded.foreign += u64::from(whole.status == 200 && !own);
-                link.wire.input.drain(..whole.body.1);
+                let own = link.connection.input[message.body.0..message.body.1] == *made.as_bytes();
+                self.loaded.foreign += u64::from(message.status == 200 && !own);
+                link.connection.input.drain(..message.body.1);
                 link.carries = None;
-                if whole.close || over {
+                if message.close || over {
                     self.drop_link(token);
                 } else {
                     self.idle[to].push(token);
                 }
-                self.ended(client, whole.status, whole.come_back_secs);
+                self.ended(client, message.status, message.retry_after_secs);
             }
             Ok(None) if !over => {}
             _ => {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use appledyke_lab::faults::Faults;
-use appledyke_lab::policy::Which;
+use appledyke_lab::policy::PolicyKind;
 use appledyke_lab::releases::{self, Candidate};
 use appledyke_lab::report::{Outcomes, paired};
 use appledyke_lab::rig::processes::beside;
@@ -611,7 +611,7 @@
 
 fn simulate_once(asked: Simulate) -> Result<bool, String> {
     let scenario = Scenario::read(&asked.scenario)?;
-    let which: Which = asked.policy.parse()?;
+    let which: PolicyKind = asked.policy.parse()?;
     let began = Instant::now();
     let outcomes = simulate::play(&scenario, which, asked.seed).outcomes(&asked.policy, asked.seed);
     print!("{}", outcomes.text());
@@ -675,7 +675,7 @@
             let [one, other] = &names[..] else { return Err("--policies: expected two".to_string()) };
             let by = |by| {
                 let budgets = scenario::Budgets { by, ..scenario.budgets.clone() };
-                (scenario::Scenario { budgets, ..scenario.clone() }, Which::Module)
+                (scenario::Scenario { budgets, ..scenario.clone() }, PolicyKind::Module)
             };
             let (a, b) = match asked.budgets {
                 true => (by(scenario::By::Parts), by(scenario::By::Cut)),
@@ -683,7 +683,7 @@
             };
             let seeds: Vec<u64> = (1..=asked.seeds).collect();
             let play = |seed: &u64| {
-                let of = |(scenario, which): &(Scenario, Which), name: &str| {
+                let of = |(scenario, which): &(Scenario, PolicyKind), name: &str| {
                     simulate::play(scenario, *which, *seed).outcomes(name, *seed)
                 };
                 (of(&a, one), of(&b, other))
@@ -751,7 +751,7 @@
 
 fn sweep_all(asked: Sweep) -> Result<bool, String> {
     let scenario = Scenario::read(&asked.scenario)?;
-    let which: Which = asked.policy.parse()?;
+    let which: PolicyKind = asked.policy.parse()?;
     let mut work = Vec::new();
     for size in asked.sizes.split(',') {
         let times: usize =
--- a/crates/lab/src/policy.rs
+++ b/crates/lab/src/policy.rs
@@ -1,5 +1,5 @@
-//! What the laboratory drives: the module itself, plain policies to compare it with, and bad ones that show
-//! that the check of the rules sees what they do.
+//! The load-balancing policies that a simulation can run: the balancer itself, simple baselines to compare it with,
+//! and deliberately faulty ones that test the rule checker.
 
 use std::collections::VecDeque;
 
@@ -10,27 +10,27 @@
 use appledyke::{Decision, EndpointState, Entry, GiveUpReason, Outcome, RequestInfo};
 use oorandom::Rand64;
 
-/// The module's: what an arrival pays for, and the most that is saved up.
+/// The balancer's own retry budget: retry tokens earned per arrival, and the most tokens kept.
 const PURSE_SHARE: f64 = 0.2;
 const PURSE_MOST: f64 = 10.0;
-/// Time left of one that is never sent: any would do.
-const WHOLE: Span = Span::from_millis(1000);
+/// Time left for a placeholder request that is never sent; any value works.
+const PLACEHOLDER_TIME_LEFT: Span = Span::from_millis(1000);
 
-/// An entry of a list as it reaches an instance.
+/// An entry of an endpoint list as a balancer instance receives it.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub endpoint: usize,
     pub entry: Entry,
 }
 
-/// The module's interface, as a host uses it.
+/// The balancer's interface, as its host calls it.
 pub trait Policy {
     fn arrival(&mut self, now: Moment, request: usize, method: usize, left: Span);
     fn outcome(&mut self, now: Moment, request: usize, attempt: usize, outcome: Outcome, closed: bool);
     fn client_disconnected(&mut self, request: usize);
-    fn list(&mut self, now: Moment, complete: bool, entries: &[Listed]);
+    fn list(&mut self, now: Moment, complete: bool, entries: &[ListedEndpoint]);
     fn list_failed(&mut self, now: Moment);
-    /// Attempts of other members of the fleet have ended.
+    /// Applies reports of attempts that ended at other members of the fleet.
     fn told(&mut self, _: Moment, _: &[AttemptReport]) {}
     fn wake(&mut self, now: Moment);
     fn next(&mut self, now: Moment) -> Option<Decision>;
@@ -49,7 +49,7 @@
         Balancer::client_disconnected(self, request);
     }
 
-    fn list(&mut self, now: Moment, complete: bool, entries: &[Listed]) {
+    fn list(&mut self, now: Moment, complete: bool, entries: &[ListedEndpoint]) {
         self.list_begin(complete);
         for e in entries {
             self.list_entry(now, e.endpoint, e.entry);
@@ -74,22 +74,23 @@
     }
 }
 
-/// Which policy a run drives.
+/// The policy that a run uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum PolicyKind {
     Module,
     Random,
     LeastOfTwo,
-    /// Draws an endpoint at random and tries as often as the terms allow, whatever the method bears; or only as long as a purse
-    /// as the module's has something left.
+    /// Picks a random endpoint and retries as often as the terms allow, whether or not the method may be repeated;
+    /// `TriesByPurse` retries only while a retry budget like the balancer's has tokens left.
     Tries,
     TriesByPurse,
-    /// The module with all that comes taken for work within work, which passes its throttle and its bound, and fills no purse.
+    /// The balancer with every arrival treated as a nested call, which bypasses its throttle and its limit and earns no
+    /// retry tokens.
     Unthrottled,
-    /// The module at the sidecars before the first tier, or before the last; at all others it passes its throttle as above.
+    /// The full balancer only at the sidecars in front of the first tier, or of the last; all others are `Unthrottled`.
     AtTop,
     AtLowest,
-    /// Deliberately bad, each against one rule.
+    /// A deliberately faulty policy that breaks one rule.
     Bad(Flaw),
 }
 
@@ -101,18 +102,18 @@
     CrowdsWhatIsCold,
 }
 
-impl std::str::FromStr for Which {
+impl std::str::FromStr for PolicyKind {
     type Err = String;
-    fn from_str(name: &str) -> Result<Which, String> {
+    fn from_str(name: &str) -> Result<PolicyKind, String> {
         match name {
-            "module" => Ok(Which::Module),
-            "random" => Ok(Which::Random),
-            "least-of-two" => Ok(Which::LeastOfTwo),
-            "tries" => Ok(Which::Tries),
-            "tries-by-purse" => Ok(Which::TriesByPurse),
-            "unthrottled" => Ok(Which::Unthrottled),
-            "at-top" => Ok(Which::AtTop),
-            "at-lowest" => Ok(Which::AtLowest),
+            "module" => Ok(PolicyKind::Module),
+            "random" => Ok(PolicyKind::Random),
+            "least-of-two" => Ok(PolicyKind::LeastOfTwo),
+            "tries" => Ok(PolicyKind::Tries),
+            "tries-by-purse" => Ok(PolicyKind::TriesByPurse),
+            "unthrottled" => Ok(PolicyKind::Unthrottled),
+            "at-top" => Ok(PolicyKind::AtTop),
+            "at-lowest" => Ok(PolicyKind::AtLowest),
             other => Err(format!(
                 "policy: unknown '{other}'; module, random, least-of-two, tries, tries-by-purse, unthrottled, at-top and \
                  at-lowest are known"
@@ -121,24 +122,29 @@
     }
 }
 
-impl Which {
-    /// What it is for a sidecar before this tier of so many.
-    pub fn at(self, tier: usize, tiers: usize) -> Which {
+impl PolicyKind {
+    /// The policy that a sidecar in front of tier `tier` of `tiers` runs.
+    pub fn at(self, tier: usize, tiers: usize) -> PolicyKind {
         let here = match self {
-            Which::AtTop => tier == 0,
-            Which::AtLowest => tier + 1 == tiers,
+            PolicyKind::AtTop => tier == 0,
+            PolicyKind::AtLowest => tier + 1 == tiers,
             other => return other,
         };
-        if here { Which::Module } else { Which::Unthrottled }
+        if here { PolicyKind::Module } else { PolicyKind::Unthrottled }
     }
 
     pub fn make(self, now: Moment, terms: Terms, seed: u64) -> Box<dyn Policy> {
         match self {
-            Which::Module => Box::new(Balancer::new(now, terms, seed)),
-            Which::Unthrottled => {
+            PolicyKind::Module => Box::new(Balancer::new(now, terms, seed)),
+            PolicyKind::Unthrottled => {
                 let mut balancer = Balancer::new(now, terms, seed);
-                // One with a key, and from then on those without are work within work. It goes before it is looked at.
-                balancer.arrival(now, 0, RequestInfo { left: WHOLE, key: Some(0), ..RequestInfo::default() });
+                // Once one request has carried a key, requests without a key count as nested calls. This client
+                // disconnects before its request is processed.
+                balancer.arrival(
+                    now,
+                    0,
+                    RequestInfo { left: PLACEHOLDER_TIME_LEFT, key: Some(0), ..RequestInfo::default() },
+                );
                 balancer.client_disconnected(0);
                 while balancer.next_decision(now).is_some() {}
                 Box::new(balancer)
@@ -156,12 +162,12 @@
     }
 }
 
-/// A policy that picks an endpoint, waits until the deadline, and gives up at the first failure.
+/// A baseline policy: picks an endpoint, waits until the deadline, and by default gives up at the first failure.
 struct Plain {
-    which: Which,
+    which: PolicyKind,
     terms: Terms,
     chance: Rand64,
-    endpoints: Vec<Option<(Listed, i64)>>,
+    endpoints: Vec<Option<(ListedEndpoint, i64)>>,
     requests: Vec<Option<PlainRequest>>,
     purse: f64,
     out: VecDeque<Decision>,
@@ -175,7 +181,7 @@
 
 impl Plain {
     fn flawed(&self, flaw: Flaw) -> bool {
-        self.which == Which::Bad(flaw)
+        self.which == PolicyKind::Bad(flaw)
     }
 
     fn pick(&mut self) -> Option<usize> {
@@ -194,7 +200,7 @@
             some => Some(listed[self.chance.rand_range(0..some) as usize]),
         };
         let first = draw()?;
-        if self.which != Which::LeastOfTwo {
+        if self.which != PolicyKind::LeastOfTwo {
             return Some(first.0.endpoint);
         }
         let second = draw()?;
@@ -246,8 +252,8 @@
             return self.forget(request);
         }
         let again = match self.which {
-            Which::Bad(Flaw::RepeatsWhatMayHaveRun) | Which::Tries => true,
-            Which::TriesByPurse => self.purse >= 1.0,
+            PolicyKind::Bad(Flaw::RepeatsWhatMayHaveRun) | PolicyKind::Tries => true,
+            PolicyKind::TriesByPurse => self.purse >= 1.0,
             _ => false,
         };
         if again && now < deadline && tries < self.terms.max_attempts && self.send(request) {
@@ -266,7 +272,7 @@
         }
     }
 
-    fn list(&mut self, _: Moment, complete: bool, entries: &[Listed]) {
+    fn list(&mut self, _: Moment, complete: bool, entries: &[ListedEndpoint]) {
         if complete {
             self.endpoints.iter_mut().flatten().for_each(|(e, _)| e.entry.state = EndpointState::Gone);
         }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -9,7 +9,7 @@
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::referee::Referee;
+use crate::rule_checker::RuleChecker;
 use crate::scenario::{Method, Scenario, at_ms};
 
 /// The version of a result file; another is refused.
@@ -201,9 +201,9 @@
         }
     }
 
-    pub fn judged(&mut self, referee: &Referee) {
-        self.broken = referee.broken().iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
-        self.told = referee.told().to_vec();
+    pub fn judged(&mut self, checker: &RuleChecker) {
+        self.broken = checker.broken().iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
+        self.told = checker.told().to_vec();
     }
 
     pub fn outcomes(&self, policy: &str, seed: u64) -> Outcomes {
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -1,5 +1,5 @@
-//! The four rules, checked from the world's side: from what reaches endpoints and clients, never from what an
-//! instance says of itself.
+//! Checks the four rules from outside the balancer: from what reaches endpoints and clients, never from what a
+//! balancer instance reports about itself.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,10 +7,10 @@
 
 use crate::scenario::{Effect, Method, Rules};
 
-/// So much later than a client's deadline an answer still counts as given: a turn of a loop and a hop.
+/// An answer up to this much after the client's deadline still counts: one event loop iteration plus one network hop.
 const ANSWER_SLACK: Span = Span::from_millis(50);
-/// Broken rules that are told in full; all are counted.
-const TOLD: usize = 20;
+/// Violations described in full; all are counted.
+const MAX_DESCRIBED: usize = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
@@ -20,30 +20,30 @@
     ColdNotPushedOver,
 }
 
-/// Where and when an effect took place.
-struct Ran {
+/// The deduplication group and the time of an effect.
+struct Execution {
     group: (usize, u64),
     at: Moment,
 }
 
-/// What a cold endpoint was given of late: work in core seconds, and when.
+/// Recent work sent to an endpoint in slow start: when, and how many core seconds.
 #[derive(Default)]
-struct Given {
-    given: VecDeque<(Moment, f64)>,
+struct RecentWork {
+    entries: VecDeque<(Moment, f64)>,
     sum: f64,
 }
 
 #[derive(Default)]
-pub struct Referee {
-    /// Requests that clients wait for, with their deadline.
+pub struct RuleChecker {
+    /// Requests that clients are waiting for, with their deadlines.
     open: BTreeMap<u64, Moment>,
-    ran: BTreeMap<u64, Ran>,
-    cold: BTreeMap<(usize, usize), Given>,
+    ran: BTreeMap<u64, Execution>,
+    cold: BTreeMap<(usize, usize), RecentWork>,
     counts: BTreeMap<Rule, u64>,
     told: Vec<String>,
 }
 
-impl Referee {
+impl RuleChecker {
     pub fn broken(&self) -> &BTreeMap<Rule, u64> {
         &self.counts
     }
@@ -54,17 +54,18 @@
 
     fn breaks(&mut self, rule: Rule, now: Moment, what: String) {
         *self.counts.entry(rule).or_default() += 1;
-        if self.told.len() < TOLD {
+        if self.told.len() < MAX_DESCRIBED {
             self.told.push(format!("{:.3} s: {rule:?}: {what}", now.nanos() as f64 / 1e9));
         }
     }
 
-    /// A sidecar has taken a client's request.
+    /// Records that a sidecar accepted a client's request.
     pub fn taken(&mut self, request: u64, deadline: Moment) {
         self.open.insert(request, deadline);
     }
 
-    /// The client of a request has an answer, or asks no more; or its sidecar was killed by the schedule.
+    /// Records that the client was answered or stopped waiting, or that the schedule killed its sidecar. Returns whether
+    /// the request was open.
     pub fn closed(&mut self, request: u64) -> bool {
         self.open.remove(&request).is_some()
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The request's deadline has passed by more than the slack.
+    /// Records that the request's deadline has passed by more than the slack.
     pub fn timed_out(&mut self, now: Moment, request: u64) {
         if self.closed(request) {
             self.breaks(Rule::NoReqLost, now, format!("req {request} has no answer"));
@@ -86,11 +87,12 @@
         ANSWER_SLACK
     }
 
-    /// An endpoint begins work on a request. Returns whether it takes effect; a repeat may be discarded.
+    /// Records that an endpoint starts work on a request. Returns whether the request takes effect: a duplicate may be
+    /// discarded.
     pub fn effect(&mut self, now: Moment, request: u64, method: &Method, group: (usize, u64)) -> bool {
         let Some(ran) = self.ran.get(&request) else {
             if method.effect != Effect::Retryable {
-                self.ran.insert(request, Ran { group, at: now });
+                self.ran.insert(request, Execution { group, at: now });
             }
             return true;
         };
@@ -103,14 +105,15 @@
         !kept
     }
 
-    /// An attempt sets out to an endpoint, of which its sidecar was told at a moment that it drains.
+    /// Records an attempt to an endpoint, with the time at which the sidecar learnt that the endpoint is draining, if it
+    /// did.
     pub fn sent(&mut self, now: Moment, told: Option<Moment>, rules: &Rules, whom: (usize, usize)) {
         if told.is_some_and(|told| now > told + Span::from_millis(rules.drain_grace_ms)) {
             self.breaks(Rule::DrainsKept, now, format!("endpoint {whom:?} was sent to while it drained"));
         }
     }
 
-    /// A started endpoint is given work: in core seconds, against what its cores do in one.
+    /// Records work sent to a restarted endpoint, in core seconds, together with its number of cores.
     pub fn given(
         &mut self,
         now: Moment,
@@ -127,29 +130,29 @@
         let share = rules.cold_start + (1.0 - rules.cold_start) * up;
         let window = Span::from_millis(rules.fall_ms);
         let cold = self.cold.entry(whom).or_default();
-        while let Some((at, old)) = cold.given.front().copied().filter(|(at, _)| now.since(*at) >= window) {
+        while let Some((at, old)) = cold.entries.front().copied().filter(|(at, _)| now.since(*at) >= window) {
             debug_assert!(at <= now);
-            cold.given.pop_front();
+            cold.entries.pop_front();
             cold.sum -= old;
         }
-        cold.given.push_back((now, work));
+        cold.entries.push_back((now, work));
         cold.sum += work;
-        // A few requests are never a crowd, however small the endpoint.
+        // Up to 4 requests never count as overload, however small the endpoint.
         let can = (share * cores * window.secs() * rules.fall_multiple).max(work * 4.0);
-        if cold.sum > can && cold.given.len() > 4 {
+        if cold.sum > can && cold.entries.len() > 4 {
             let text = format!("endpoint {whom:?} was given {:.2} s of work where {can:.2} fit", cold.sum);
-            cold.given.clear();
+            cold.entries.clear();
             cold.sum = 0.0;
             self.breaks(Rule::ColdNotPushedOver, now, text);
         }
     }
 
-    /// A new process: what the old one was given says nothing of it.
+    /// Records that a new process started; work sent to the previous process does not count against it.
     pub fn started(&mut self, whom: (usize, usize)) {
         self.cold.remove(&whom);
     }
 
-    /// The end of the run: requests whose time is not up yet are neither answered nor lost.
+    /// Ends the run. Requests whose deadline has not passed yet count neither as answered nor as lost.
     pub fn ends(&mut self, end: Moment) {
         let lost: Vec<u64> = self
             .open
@@ -183,53 +186,53 @@
     }
 
     #[test]
-    fn an_id_met_again_is_discarded_by_its_own_group_within_the_window_only() {
+    fn duplicate_is_discarded_only_within_its_group_and_window() {
         let (order, pay, view) =
             (method(Effect::Deduplicated), method(Effect::NonRetryable), method(Effect::Retryable));
         let at = at_ms;
-        let mut referee = Referee::default();
-        assert!(referee.effect(at(0), 1, &order, (0, 4)));
-        assert!(!referee.effect(at(999), 1, &order, (0, 4)) && referee.broken().is_empty());
-        // Once its window has passed, or elsewhere, the repeat is a second effect.
-        assert!(referee.effect(at(1000), 1, &order, (0, 4)));
-        assert!(referee.effect(at(10), 1, &order, (0, 5)));
-        assert!(referee.effect(at(0), 2, &pay, (0, 4)) && referee.effect(at(1), 2, &pay, (0, 4)));
-        assert_eq!(referee.broken()[&Rule::NoEffectTwice], 3);
-        assert!((0..9).all(|ms| referee.effect(at(ms), 3, &view, (0, ms))));
-        assert_eq!(referee.broken().len(), 1);
+        let mut checker = RuleChecker::default();
+        assert!(checker.effect(at(0), 1, &order, (0, 4)));
+        assert!(!checker.effect(at(999), 1, &order, (0, 4)) && checker.broken().is_empty());
+        // After the window, or in another group, the duplicate is a second effect.
+        assert!(checker.effect(at(1000), 1, &order, (0, 4)));
+        assert!(checker.effect(at(10), 1, &order, (0, 5)));
+        assert!(checker.effect(at(0), 2, &pay, (0, 4)) && checker.effect(at(1), 2, &pay, (0, 4)));
+        assert_eq!(checker.broken()[&Rule::NoEffectTwice], 3);
+        assert!((0..9).all(|ms| checker.effect(at(ms), 3, &view, (0, ms))));
+        assert_eq!(checker.broken().len(), 1);
     }
 
     #[test]
-    fn drains_and_cold_endpoints_have_their_figures() {
+    fn drain_grace_and_slow_start_limits_are_enforced() {
         let rules = Rules::default();
-        let mut referee = Referee::default();
-        referee.sent(at_ms(1500), Some(at_ms(0)), &rules, (0, 1));
-        referee.sent(at_ms(9000), None, &rules, (0, 1));
-        assert!(referee.broken().is_empty());
-        referee.sent(at_ms(1501), Some(at_ms(0)), &rules, (0, 1));
-        assert_eq!(referee.broken()[&Rule::DrainsKept], 1);
-        // Just started, one core: 0.3 of it for 1.5 s, three times over, is 1.35 s of work.
+        let mut checker = RuleChecker::default();
+        checker.sent(at_ms(1500), Some(at_ms(0)), &rules, (0, 1));
+        checker.sent(at_ms(9000), None, &rules, (0, 1));
+        assert!(checker.broken().is_empty());
+        checker.sent(at_ms(1501), Some(at_ms(0)), &rules, (0, 1));
+        assert_eq!(checker.broken()[&Rule::DrainsKept], 1);
+        // Just started with one core: a share of 0.3 over 1.5 s, times the allowed multiple of 3, is 1.35 s of work.
         let mut give = |ms, times| {
-            (0..times).for_each(|_| referee.given(at_ms(ms), (0, 2), at_ms(0), (0.1, 1.0), &rules));
-            referee.broken().get(&Rule::ColdNotPushedOver).copied().unwrap_or(0)
+            (0..times).for_each(|_| checker.given(at_ms(ms), (0, 2), at_ms(0), (0.1, 1.0), &rules));
+            checker.broken().get(&Rule::ColdNotPushedOver).copied().unwrap_or(0)
         };
         assert_eq!((give(0, 13), give(0, 1)), (0, 1));
-        // Old work leaves the window; a warm endpoint may be given anything.
+        // Old work leaves the window; an endpoint past its slow start has no limit.
         assert_eq!((give(2000, 13), give(9000, 500)), (1, 1));
     }
 
     #[test]
-    fn one_answer_is_owed_and_no_more() {
-        let mut referee = Referee::default();
+    fn each_request_gets_exactly_one_answer() {
+        let mut checker = RuleChecker::default();
         for request in 0..4 {
-            referee.taken(request, at_ms(100));
+            checker.taken(request, at_ms(100));
         }
-        referee.answered(at_ms(50), 0);
-        assert!(referee.closed(1) && referee.broken().is_empty());
-        referee.answered(at_ms(60), 0);
-        referee.timed_out(at_ms(151), 2);
-        referee.ends(at_ms(1000));
-        assert_eq!(referee.broken()[&Rule::NoReqLost], 3);
-        assert_eq!(referee.told().len(), 3);
+        checker.answered(at_ms(50), 0);
+        assert!(checker.closed(1) && checker.broken().is_empty());
+        checker.answered(at_ms(60), 0);
+        checker.timed_out(at_ms(151), 2);
+        checker.ends(at_ms(1000));
+        assert_eq!(checker.broken()[&Rule::NoReqLost], 3);
+        assert_eq!(checker.told().len(), 3);
     }
 }
--- a/crates/lab/src/service.rs
+++ b/crates/lab/src/service.rs
@@ -1,51 +1,55 @@
-//! What an endpoint does with a request: how long it works, and how that ends. Written once, for endpoints in virtual
-//! time and for those on sockets.
+//! How an endpoint serves a request: its service time and its result. Shared by the simulated endpoints and the
+//! emulated ones on real sockets.
 
 use appledyke::units::{Moment, Span};
 use oorandom::Rand64;
 
-use crate::faults::Weather;
+use crate::faults::ActiveFaults;
 use crate::scenario::{Group, Scenario, Spread, millis};
 
-/// What comes back for a request, if anything does.
+/// How the service of a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     Good,
-    /// An error at once, with no work done.
-    QuickError,
+    /// An immediate error without any work done.
+    ImmediateError,
     Error,
-    Spoilt,
+    /// A malformed response.
+    Malformed,
+    /// A truncated response.
     Cut,
+    /// A connection reset.
     Reset,
+    /// The work is done but no response arrives.
     Lost,
 }
 
 /// One request's service.
 pub struct Service {
     pub fate: Fate,
-    /// For which a core works on it.
+    /// How long a core is busy with it.
     pub takes: Span,
-    /// What that would be on a core of usual speed, in seconds.
+    /// Seconds of work on a core of normal speed.
     pub work: f64,
 }
 
-/// Draws the service of a request of this method at an endpoint: its tier, speed and start, and its weather.
+/// Draws a request's service at random, given the endpoint's tier, speed, start time and active faults.
 pub fn draw(
     scenario: &Scenario,
     (tier, speed, started): (usize, f64, Option<Moment>),
-    weather: &Weather,
+    active: &ActiveFaults,
     (now, method): (Moment, usize),
     chance: &mut Rand64,
 ) -> Service {
-    if chance.rand_float() < weather.error {
-        return Service { fate: Fate::QuickError, takes: Span::ZERO, work: 0.0 };
+    if chance.rand_float() < active.error {
+        return Service { fate: Fate::ImmediateError, takes: Span::ZERO, work: 0.0 };
     }
     let mut left = chance.rand_float();
     let fates = [
-        (weather.spoilt, Fate::Spoilt),
-        (weather.cut, Fate::Cut),
-        (weather.reset, Fate::Reset),
-        (weather.lost, Fate::Lost),
+        (active.spoilt, Fate::Malformed),
+        (active.cut, Fate::Cut),
+        (active.reset, Fate::Reset),
+        (active.lost, Fate::Lost),
     ];
     let drawn = fates.into_iter().find(|(part, _)| {
         left -= part;
@@ -61,12 +65,12 @@
         Some(up) if up < 1.0 => rules.cold_start + (1.0 - rules.cold_start) * up,
         _ => 1.0,
     };
-    let paused = weather.paused_until.map_or(Span::ZERO, |until| until.since(now));
-    let takes = millis(work * weather.slower / (speed * cold)) + paused;
+    let paused = active.paused_until.map_or(Span::ZERO, |until| until.since(now));
+    let takes = millis(work * active.slower / (speed * cold)) + paused;
     Service { fate: drawn.map_or(Fate::Good, |(_, fate)| fate), takes, work: work / 1e3 }
 }
 
-/// The group within which an endpoint's repeats of a method's request are discarded.
+/// The group of endpoints that an endpoint deduplicates requests of a method within, as its tier and number.
 pub fn group(scenario: &Scenario, tier: usize, number: usize, method: usize) -> (usize, u64) {
     let group = match scenario.method[method].group {
         Group::All => 0,
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -1,5 +1,5 @@
-//! Budgets in virtual time: the fleet's own limits and division, one daemon that never fails, and a count of what all together
-//! have spent. What daemons do when they fail is the rig's to show (`rig`).
+//! Shared budgets in virtual time: the fleet's own limiter and allocator with one daemon that never fails, and a count
+//! of what all sidecars spent together. Daemon failures are tested by `rig`.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,17 +10,17 @@
 
 use crate::scenario::{By, Scenario, at_ms};
 
-/// What all have spent of a budget.
+/// What all sidecars together spent of a budget.
 struct Spent {
     budget: Budget,
     window: VecDeque<Moment>,
     most: u64,
-    /// After the warm-up.
-    all: u64,
+    /// Spent in total after the warm-up.
+    total: u64,
 }
 
-/// What a report is answered with, and when it was asked.
-pub struct Answer {
+/// The daemon's reply to a usage report, and when the report was sent.
+pub struct Reply {
     pub node: usize,
     pub life: u32,
     asked: Moment,
@@ -31,10 +31,10 @@
     by: By,
     alone: BTreeMap<Resource, (u64, u64)>,
     limits: Vec<Limits>,
-    agreed: Budgets,
-    divider: Allocator,
+    committed: Budgets,
+    allocator: Allocator,
     index: u64,
-    pub answers: Vec<Answer>,
+    pub answers: Vec<Reply>,
     pub changes: Vec<ShareChange>,
     spent: Vec<Spent>,
     warm: Moment,
@@ -42,27 +42,27 @@
 }
 
 impl Shares {
-    /// For a tier; sidecars are known by their numbers among those of all tiers.
+    /// The budgets of one tier; sidecars are numbered across all tiers.
     pub fn new(scenario: &Scenario, sidecars: usize) -> Shares {
-        let terms = &scenario.budgets;
-        let part = |row: &Budget| match terms.by {
-            By::Cut => (row.quota / terms.instances, row.window_ms),
+        let settings = &scenario.budgets;
+        let part = |row: &Budget| match settings.by {
+            By::Cut => (row.quota / settings.instances, row.window_ms),
             By::Parts => (row.standalone_share, row.window_ms),
         };
-        let mut agreed = Budgets::default();
-        agreed.configure(&terms.row);
-        let spent = |row: &Budget| Spent { budget: *row, window: VecDeque::new(), most: 0, all: 0 };
-        let alone: BTreeMap<_, _> = terms.row.iter().map(|row| (row.resource, part(row))).collect();
+        let mut committed = Budgets::default();
+        committed.configure(&settings.row);
+        let spent = |row: &Budget| Spent { budget: *row, window: VecDeque::new(), most: 0, total: 0 };
+        let alone: BTreeMap<_, _> = settings.row.iter().map(|row| (row.resource, part(row))).collect();
         Shares {
-            by: terms.by,
+            by: settings.by,
             limits: vec![Limits::new(&alone); sidecars],
             alone,
-            agreed,
-            divider: Allocator::new(Moment::default(), 0),
+            committed,
+            allocator: Allocator::new(Moment::default(), 0),
             index: 0,
             answers: Vec::new(),
             changes: Vec::new(),
-            spent: terms.row.iter().map(spent).collect(),
+            spent: settings.row.iter().map(spent).collect(),
             warm: at_ms(scenario.warm_up_ms),
             over: at_ms(scenario.length_ms),
         }
@@ -72,20 +72,20 @@
         self.by == By::Parts
     }
 
-    /// A sidecar starts, and knows of no grant.
+    /// A sidecar starts without any grant.
     pub fn starts(&mut self, node: usize) {
         if let Some(limits) = self.limits.get_mut(node) {
             *limits = Limits::new(&self.alone);
         }
     }
 
-    /// A sidecar's report reaches the daemon; its answer is kept until it arrives.
+    /// Delivers a sidecar's usage report to the daemon; the reply is stored until it arrives. Returns the reply's index.
     pub fn report(&mut self, now: Moment, node: usize, life: u32) -> usize {
         let uses = self.limits[node].usage(now);
         let holder = Holder { name: format!("s{node}"), incarnation: u64::from(life) };
-        self.divider.record_report(now, &holder, &uses, false);
-        let grants = self.divider.grants_for(&holder, &self.agreed, self.index);
-        self.answers.push(Answer { node, life, asked: now, grants });
+        self.allocator.record_report(now, &holder, &uses, false);
+        let grants = self.allocator.grants_for(&holder, &self.committed, self.index);
+        self.answers.push(Reply { node, life, asked: now, grants });
         self.answers.len() - 1
     }
 
@@ -94,19 +94,19 @@
         self.limits[answer.node].apply_grants(answer.asked, &std::mem::take(&mut answer.grants));
     }
 
-    /// What is to be an entry, by its place among all changes.
+    /// Asks the allocator for share changes. Returns their indices in `changes`.
     pub fn divide(&mut self, now: Moment) -> Vec<usize> {
         let before = self.changes.len();
-        self.changes.extend(self.divider.proposals(now, &self.agreed));
+        self.changes.extend(self.allocator.proposals(now, &self.committed));
         (before..self.changes.len()).collect()
     }
 
     pub fn applies(&mut self, at: usize) {
         self.index += 1;
-        self.agreed.apply(self.index, &self.changes[at]);
+        self.committed.apply(self.index, &self.changes[at]);
     }
 
-    /// Whether a sidecar may write out now; it is counted if so.
+    /// Whether a sidecar may send an attempt now; counts the attempt if so.
     pub fn may_send(&mut self, now: Moment, node: usize, again: bool, cold: bool) -> bool {
         let Some(limits) = self.limits.get_mut(node) else { return true };
         if !limits.try_spend_attempt(now, again, cold) {
@@ -121,17 +121,17 @@
             }
             spent.window.push_back(now);
             spent.most = spent.most.max(spent.window.len() as u64);
-            spent.all += u64::from(now >= self.warm && now < self.over);
+            spent.total += u64::from(now >= self.warm && now < self.over);
         }
         true
     }
 
-    /// Of each budget: its whole, the most in a window, and the share that was used after the warm-up.
+    /// For each budget: its quota, the most spent in any window, and the fraction used after the warm-up.
     pub fn uses(&self) -> BTreeMap<String, (u64, u64, f64)> {
         let row = |spent: &Spent| {
             let Budget { resource: of, quota: whole, window_ms, .. } = spent.budget;
             let windows = self.over.since(self.warm).secs() / Span::from_millis(window_ms).secs();
-            (of.to_string(), (whole, spent.most, spent.all as f64 / (whole as f64 * windows).max(1.0)))
+            (of.to_string(), (whole, spent.most, spent.total as f64 / (whole as f64 * windows).max(1.0)))
         };
         self.spent.iter().map(row).collect()
     }
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -11,14 +11,14 @@
 use appledyke_fleet::evidence::{self, Cursor, EvidenceStore, Observation, RelayedObservation};
 use oorandom::Rand64;
 
-use crate::faults::{Faults, Turn};
-use crate::policy::{Listed, Policy, Which};
-use crate::referee::Referee;
+use crate::faults::{Faults, LifecycleChange};
+use crate::policy::{ListedEndpoint, Policy, PolicyKind};
 use crate::report::Tally;
+use crate::rule_checker::RuleChecker;
 use crate::scenario::{Effect, Hears, Scenario, at_ms, millis};
+use crate::server_queue::{Admission, ServerQueue};
 use crate::service::{self, Fate};
 use crate::shares::Shares;
-use crate::station::{Admission, Station};
 
 /// Between two looks at the state of all endpoints.
 const LOOK_EVERY: Span = Span::from_millis(1000);
@@ -154,7 +154,7 @@
     /// The id that effects are told apart by: a repeat carries the same.
     effect: u64,
     attempt: u32,
-    /// Where the try that is under way is, and the referee's number of it.
+    /// Where the try that is under way is, and the checker's number of it.
     at: Option<(usize, usize)>,
     open: Option<u64>,
     done: bool,
@@ -186,7 +186,7 @@
     request: usize,
     attempt: usize,
     endpoint: usize,
-    /// Which process of the endpoint it was written to.
+    /// The process of the endpoint it was written to.
     process: u32,
     method: usize,
     effect: u64,
@@ -206,7 +206,7 @@
     tier: usize,
     /// Its number in its tier.
     number: usize,
-    station: Station,
+    queue: ServerQueue,
     process: u32,
     started: Option<Moment>,
     up: bool,
@@ -249,7 +249,7 @@
 
 pub struct World<'a> {
     scenario: &'a Scenario,
-    which: Which,
+    which: PolicyKind,
     faults: Faults,
     now: Moment,
     queue: BinaryHeap<Reverse<(Moment, u64, Event)>>,
@@ -261,11 +261,11 @@
     /// The first endpoint of each tier.
     first: Vec<usize>,
     jobs: Vec<Job>,
-    turns: Vec<(Moment, usize, usize, Turn)>,
+    turns: Vec<(Moment, usize, usize, LifecycleChange)>,
     restarts: Vec<(Moment, usize, u64)>,
     news: Vec<News>,
     effects: u64,
-    referee: Referee,
+    checker: RuleChecker,
     pub tally: Tally,
     work: Vec<usize>,
     /// What daemons hold of the members' attempts, how many each has told, and up to where each has heard.
@@ -277,14 +277,14 @@
 }
 
 /// Plays a scenario with a policy and a seed.
-pub fn play(scenario: &Scenario, which: Which, seed: u64) -> Tally {
+pub fn play(scenario: &Scenario, which: PolicyKind, seed: u64) -> Tally {
     let mut world = World::new(scenario, which, seed);
     world.run();
     world.tally
 }
 
 impl<'a> World<'a> {
-    pub fn new(scenario: &'a Scenario, which: Which, seed: u64) -> World<'a> {
+    pub fn new(scenario: &'a Scenario, which: PolicyKind, seed: u64) -> World<'a> {
         let faults = Faults::draw(scenario, seed);
         let mut chance = Rand64::new(u128::from(seed));
         let (mut endpoints, mut first, mut nodes) = (Vec::new(), Vec::new(), Vec::new());
@@ -301,7 +301,7 @@
                 endpoints.push(Endpoint {
                     tier,
                     number,
-                    station: Station::new(t.cores, t.places),
+                    queue: ServerQueue::new(t.cores, t.places),
                     process: 0,
                     started: None,
                     up: true,
@@ -315,7 +315,7 @@
             }
         }
         let mut world = World {
-            turns: faults.turns(scenario),
+            turns: faults.lifecycle_changes(scenario),
             restarts: faults.restarts(),
             scenario,
             which,
@@ -331,7 +331,7 @@
             jobs: Vec::new(),
             news: Vec::new(),
             effects: 0,
-            referee: Referee::default(),
+            checker: RuleChecker::default(),
             tally: Tally::new(scenario),
             work: Vec::new(),
             evidence: EvidenceStore::default(),
@@ -380,7 +380,7 @@
 
     pub fn run(&mut self) {
         // Nobody comes any more after the length; who is there is seen to the end.
-        let end = at_ms(self.scenario.length_ms) + self.scenario.longest() + self.referee.slack() * 2.0;
+        let end = at_ms(self.scenario.length_ms) + self.scenario.longest() + self.checker.slack() * 2.0;
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at > end {
                 break;
@@ -392,8 +392,8 @@
                 self.pull(node);
             }
         }
-        self.referee.ends(end);
-        self.tally.judged(&self.referee);
+        self.checker.ends(end);
+        self.tally.judged(&self.checker);
         self.tally.uses = self.shares.first().map(Shares::uses).unwrap_or_default();
     }
 
@@ -406,7 +406,7 @@
                 if let Some(open) =
                     self.clients[client].open.filter(|_| self.clients[client].attempt == attempt)
                 {
-                    self.referee.closed(open);
+                    self.checker.closed(open);
                     self.goes(client, attempt);
                 }
             }
@@ -511,10 +511,10 @@
         let request = self.arrival(node, from, method, effect, deadline);
         self.effects += 1;
         let open = self.effects;
-        self.referee.taken(open, deadline);
+        self.checker.taken(open, deadline);
         (self.clients[client].at, self.clients[client].open) = (Some((node, request)), Some(open));
         // An answer at the very deadline is still on its way when the client's time is up.
-        self.schedule(deadline + self.referee.slack(), Event::Goes { client, attempt });
+        self.schedule(deadline + self.checker.slack(), Event::Goes { client, attempt });
         if self.chance.rand_float() < self.scenario.load.impatient {
             let after = deadline.since(self.now) * self.chance.rand_float();
             self.soon(after, Event::Leaves { client, attempt });
@@ -557,7 +557,7 @@
         let open = c.open.take();
         self.tally.failed(c.born, c.method, c.tenant);
         if let Some(open) = open {
-            self.referee.timed_out(self.now, open);
+            self.checker.timed_out(self.now, open);
         }
         let c = &mut self.clients[client];
         if let Some((node, request)) = c.at.take() {
@@ -716,7 +716,7 @@
                 kind: 0,
                 name_hash: ids::name_hash(&name),
             };
-            entries.push(Listed { endpoint: index, entry });
+            entries.push(ListedEndpoint { endpoint: index, entry });
         }
         let life = self.nodes[node].life;
         self.with(node, life, |policy| policy.list(now, complete, &entries));
@@ -756,7 +756,7 @@
                 && self.clients[client].attempt == attempt
             {
                 if let Some(open) = self.clients[client].open.take() {
-                    self.referee.closed(open);
+                    self.checker.closed(open);
                 }
                 self.soon(self.hop(), Event::Answered { client, attempt, answer: Answer::Failed });
             }
@@ -822,7 +822,7 @@
                 if self.clients[client].attempt == attempt
                     && let Some(open) = self.clients[client].open.take()
                 {
-                    self.referee.answered(self.now, open);
+                    self.checker.answered(self.now, open);
                 }
                 self.soon(self.hop(), Event::Answered { client, attempt, answer });
             }
@@ -868,7 +868,7 @@
         self.tally.sent(self.now, n.tier);
         let e = &self.endpoints[endpoint];
         let whom = (e.tier, e.number);
-        self.referee.sent(self.now, drains, &self.scenario.rules, whom);
+        self.checker.sent(self.now, drains, &self.scenario.rules, whom);
         let tier = &self.scenario.tier[whom.0];
         let reached = e.up && e.process == process;
         let silent = e.silent;
@@ -887,8 +887,8 @@
             let after = if silent { timeout } else { hop * 2.0 };
             return self.soon(after, Event::Back { job, outcome: Told::Refused });
         }
-        let weather = self.faults.weather(whom.0, whom.1, self.now);
-        if weather.refuses || self.endpoints[endpoint].connections >= tier.connections {
+        let active = self.faults.active_on(whom.0, whom.1, self.now);
+        if active.refuses || self.endpoints[endpoint].connections >= tier.connections {
             return self.soon(hop * 2.0, Event::Back { job, outcome: Told::Refused });
         }
         self.endpoints[endpoint].connections += 1;
@@ -914,7 +914,7 @@
         }
         let j = &mut self.jobs[job];
         let e = &mut self.endpoints[endpoint];
-        if j.inside && !j.works && e.process == process && e.station.withdraw(job) {
+        if j.inside && !j.works && e.process == process && e.queue.withdraw(job) {
             j.inside = false;
             e.inside_jobs.retain(|inside| *inside != job);
         }
@@ -987,20 +987,20 @@
         if !e.up || e.process != process {
             return self.soon(hop, Event::Back { job, outcome: Told::Reset });
         }
-        let weather = self.faults.weather(tier, number, self.now);
+        let active = self.faults.active_on(tier, number, self.now);
         if e.drains {
             return self.soon(hop, Event::Back { job, outcome: Told::Overloaded });
         }
         let of = (tier, e.speed, e.started);
-        let service = service::draw(self.scenario, of, &weather, (self.now, method), &mut self.chance);
+        let service = service::draw(self.scenario, of, &active, (self.now, method), &mut self.chance);
         let j = &mut self.jobs[job];
         (j.told, j.lost) = match service.fate {
             Fate::Good => (Told::Served, false),
-            Fate::QuickError | Fate::Error | Fate::Spoilt => (Told::Error, false),
+            Fate::ImmediateError | Fate::Error | Fate::Malformed => (Told::Error, false),
             Fate::Cut | Fate::Reset => (Told::Reset, false),
             Fate::Lost => (Told::Served, true),
         };
-        if service.fate == Fate::QuickError {
+        if service.fate == Fate::ImmediateError {
             let after = hop + millis(QUICK_ERROR_MS);
             return self.soon(after, Event::Back { job, outcome: Told::Error });
         }
@@ -1008,7 +1008,7 @@
         let e = &mut self.endpoints[endpoint];
         if let Some(started) = e.started {
             let cores = self.scenario.tier[tier].cores as f64;
-            self.referee.given(
+            self.checker.given(
                 self.now,
                 (tier, number),
                 started,
@@ -1016,7 +1016,7 @@
                 &self.scenario.rules,
             );
         }
-        match e.station.admit(self.now, job, service.takes) {
+        match e.queue.admit(self.now, job, service.takes) {
             Admission::Full => self.soon(hop, Event::Back { job, outcome: Told::Overloaded }),
             Admission::Waits => {
                 self.jobs[job].inside = true;
@@ -1038,7 +1038,7 @@
         let m = &self.scenario.method[method];
         let group = service::group(self.scenario, tier, number, method);
         // Calls to later tiers have ids of their own, so they are told apart by those.
-        self.referee.effect(self.now, effect, m, group);
+        self.checker.effect(self.now, effect, m, group);
         self.schedule(until, Event::CoreDone { job });
     }
 
@@ -1047,7 +1047,7 @@
         if self.endpoints[endpoint].process != process || !self.jobs[job].inside {
             return;
         }
-        if let Some((next, until)) = self.endpoints[endpoint].station.core_done(self.now) {
+        if let Some((next, until)) = self.endpoints[endpoint].queue.core_done(self.now) {
             self.begins(next, until);
         }
         self.goes_on(job);
@@ -1089,7 +1089,7 @@
         j.inside = false;
         let (endpoint, told, lost) = (j.endpoint, j.told, j.lost);
         let e = &mut self.endpoints[endpoint];
-        e.station.leave();
+        e.queue.leave();
         e.inside_jobs.retain(|inside| *inside != job);
         if !lost && (e.up || !e.silent) {
             self.soon(self.hop(), Event::Back { job, outcome: told });
@@ -1101,29 +1101,31 @@
         let endpoint = self.first[tier] + number;
         let e = &mut self.endpoints[endpoint];
         match turn {
-            Turn::Drains => e.drains = true,
-            Turn::Ends | Turn::Vanishes => {
-                (e.up, e.silent) = (false, turn == Turn::Vanishes);
-                if turn == Turn::Ends {
+            LifecycleChange::Drains => e.drains = true,
+            LifecycleChange::Ends | LifecycleChange::Vanishes => {
+                (e.up, e.silent) = (false, turn == LifecycleChange::Vanishes);
+                if turn == LifecycleChange::Ends {
                     let node = e.node;
                     self.breaks(endpoint);
                     node.into_iter().for_each(|node| self.kill(node));
                 }
             }
-            Turn::Starts | Turn::Returns => {
-                if turn == Turn::Starts {
+            LifecycleChange::Starts | LifecycleChange::Returns => {
+                if turn == LifecycleChange::Starts {
                     self.breaks(endpoint);
                 }
                 let e = &mut self.endpoints[endpoint];
                 (e.up, e.silent, e.drains) = (true, false, false);
-                if turn == Turn::Starts {
+                if turn == LifecycleChange::Starts {
                     e.process += 1;
                     e.started = Some(self.now);
-                    e.station = Station::new(self.scenario.tier[tier].cores, self.scenario.tier[tier].places);
+                    e.queue =
+                        ServerQueue::new(self.scenario.tier[tier].cores, self.scenario.tier[tier].places);
                     e.connections = 0;
-                    self.referee.started((tier, number));
+                    self.checker.started((tier, number));
                 }
-                if let Some(node) = self.endpoints[endpoint].node.filter(|_| turn == Turn::Starts) {
+                if let Some(node) = self.endpoints[endpoint].node.filter(|_| turn == LifecycleChange::Starts)
+                {
                     self.kill(node);
                     self.start(node);
                 }
@@ -1131,12 +1133,12 @@
         }
         let e = &self.endpoints[endpoint];
         let standing = match turn {
-            Turn::Drains => EndpointState::Draining,
-            Turn::Ends | Turn::Vanishes => EndpointState::Gone,
-            Turn::Starts | Turn::Returns => EndpointState::Ready,
+            LifecycleChange::Drains => EndpointState::Draining,
+            LifecycleChange::Ends | LifecycleChange::Vanishes => EndpointState::Gone,
+            LifecycleChange::Starts | LifecycleChange::Returns => EndpointState::Ready,
         };
         let (started, process) = (e.started, e.process);
-        if turn == Turn::Starts && process > 0 {
+        if turn == LifecycleChange::Starts && process > 0 {
             // The process before is gone for good.
             let gone = News { endpoint, process: process - 1, standing: EndpointState::Gone, started: None };
             self.spread(tier, gone);
@@ -1198,8 +1200,8 @@
         for tier in 0..self.scenario.tier.len() {
             let of_tier = || self.endpoints.iter().filter(|e| e.tier == tier);
             let up = of_tier().filter(|e| e.up).count();
-            let inside = of_tier().map(|e| e.station.inside()).sum::<usize>();
-            let most = of_tier().map(|e| e.station.inside()).max().unwrap_or(0);
+            let inside = of_tier().map(|e| e.queue.inside()).sum::<usize>();
+            let most = of_tier().map(|e| e.queue.inside()).max().unwrap_or(0);
             self.tally.look(self.now, tier, up, inside, most);
         }
         self.soon(LOOK_EVERY, Event::Look);
--- a/crates/lab/tests/theory.rs
+++ b/crates/lab/tests/theory.rs
@@ -1,6 +1,6 @@
 //! The model against queueing theory. Bounds follow from the sample: the interval of batch means at 99.9%.
 
-use appledyke_lab::policy::Which;
+use appledyke_lab::policy::PolicyKind;
 use appledyke_lab::report::Tally;
 use appledyke_lab::scenario::Scenario;
 use appledyke_lab::simulate::play;
@@ -21,7 +21,7 @@
         load * cores as f64 / WORK,
         WORK * 1e3
     );
-    play(&Scenario::parse(&text).unwrap(), Which::Random, 7)
+    play(&Scenario::parse(&text).unwrap(), PolicyKind::Random, 7)
 }
 
 /// The mean of the times and half the width of its interval.
--- a/crates/lab/tests/world.rs
+++ b/crates/lab/tests/world.rs
@@ -1,7 +1,7 @@
 //! The world, its faults and the check of the rules.
 
 use appledyke_lab::faults::Faults;
-use appledyke_lab::policy::{Flaw, Which};
+use appledyke_lab::policy::{Flaw, PolicyKind};
 use appledyke_lab::report::Outcomes;
 use appledyke_lab::scenario::{Scenario, at_ms};
 use appledyke_lab::simulate::play;
@@ -15,7 +15,7 @@
     [[tier]]\nsidecars=4\nendpoints=8\ncores=4\nwork_ms=[10]\nspread='fixed'\ncalls=1\n\
     [[tier]]\nendpoints=8\ncores=4\nwork_ms=[5]\nspread='fixed'\n";
 
-fn outcomes(text: &str, which: Which, seed: u64) -> Outcomes {
+fn outcomes(text: &str, which: PolicyKind, seed: u64) -> Outcomes {
     let scenario = Scenario::parse(text).expect(text);
     play(&scenario, which, seed).outcomes("a test", seed)
 }
@@ -30,13 +30,13 @@
 
 #[test]
 fn each_fault_does_what_it_says_and_nothing_goes_wrong_without() {
-    let calm = outcomes(CALM, Which::Random, 5);
+    let calm = outcomes(CALM, PolicyKind::Random, 5);
     assert_eq!((in_vain(&calm), calm.whole.failed, calm.whole.rejected), (0, 0, 0));
     assert!(calm.whole.in_time == calm.whole.offered && calm.broken.is_empty());
     let up = |of: &Outcomes, at: usize| of.windows[at].up[0];
     assert!((0..12).all(|at| up(&calm, at) == 8));
     for kind in ["quick-errors", "spoilt", "cut", "reset", "lost-answers", "refuse", "silence", "crash"] {
-        let struck = outcomes(&with_fault(&format!("kind='{kind}'\nshare=0.25")), Which::Random, 5);
+        let struck = outcomes(&with_fault(&format!("kind='{kind}'\nshare=0.25")), PolicyKind::Random, 5);
         assert!(in_vain(&struck) > 0, "{kind}");
         assert!(struck.whole.failed + struck.whole.rejected > 0, "{kind}");
         // Before it begins all is as without it.
@@ -44,26 +44,26 @@
     }
     for (fault, down) in [("kind='crash'\nids=[2]", 7), ("kind='zone-loss'\nids=[1]", 4), ("kind='crash'", 0)]
     {
-        let struck = outcomes(&with_fault(fault), Which::Random, 5);
+        let struck = outcomes(&with_fault(fault), PolicyKind::Random, 5);
         assert_eq!((up(&struck, 2), up(&struck, 5), up(&struck, 11)), (8, down, 8), "{fault}");
     }
     let usual = calm.latency_us[2];
     for fault in ["kind='slow'\nshare=0.5\nsize=8", "kind='pause'\nids=[0]"] {
-        let struck = outcomes(&with_fault(fault), Which::Random, 5);
+        let struck = outcomes(&with_fault(fault), PolicyKind::Random, 5);
         assert!(struck.latency_us[3] > 2 * usual, "{fault}: {:?} and {usual}", struck.latency_us);
     }
-    let burst = outcomes(&with_fault("kind='burst'\nsize=4"), Which::Random, 5);
+    let burst = outcomes(&with_fault("kind='burst'\nsize=4"), PolicyKind::Random, 5);
     assert!(burst.windows[5].counts.offered > 2 * calm.windows[5].counts.offered);
-    let restarts = outcomes(&with_fault("kind='restart-sidecars'\nshare=1.0"), Which::Random, 5);
+    let restarts = outcomes(&with_fault("kind='restart-sidecars'\nshare=1.0"), PolicyKind::Random, 5);
     assert!(restarts.whole.failed > 0 && restarts.broken.is_empty(), "{:?}", restarts.told);
-    let deploy = outcomes(&with_fault("kind='deploy'\nids=[0, 1]"), Which::Random, 5);
+    let deploy = outcomes(&with_fault("kind='deploy'\nids=[0, 1]"), PolicyKind::Random, 5);
     assert!((3..12).any(|at| up(&deploy, at) < 8) && up(&deploy, 11) >= 7);
     // A list that comes late, or not at all, leaves sidecars sending to what is gone.
     let crash = "kind='crash'\nids=[2]";
-    let timely = in_vain(&outcomes(&with_fault(crash), Which::Random, 5));
+    let timely = in_vain(&outcomes(&with_fault(crash), PolicyKind::Random, 5));
     for list in ["kind='list-late'\nsize=4000", "kind='list-absent'"] {
         let text = format!("{}[[fault]]\nfrom_ms=3000\nfor_ms=6000\n{list}\n", with_fault(crash));
-        assert!(in_vain(&outcomes(&text, Which::Random, 5)) > timely, "{list}");
+        assert!(in_vain(&outcomes(&text, PolicyKind::Random, 5)) > timely, "{list}");
     }
     let hot = Scenario::parse(&with_fault("kind='hot-sidecar'\nids=[3]\nsize=5")).unwrap();
     let faults = Faults::draw(&hot, 1);
@@ -85,11 +85,11 @@
         (Flaw::CrowdsWhatIsCold, "ColdNotPushedOver"),
     ] {
         let heavy = text.replace("per_second=100", "per_second=1200");
-        let of = outcomes(&heavy, Which::Bad(flaw), 3);
+        let of = outcomes(&heavy, PolicyKind::Bad(flaw), 3);
         assert!(of.broken.contains_key(rule), "{flaw:?}: {:?}", of.broken);
     }
     for seed in 1..6 {
-        let of = outcomes(&text, Which::Module, seed);
+        let of = outcomes(&text, PolicyKind::Module, seed);
         assert!(of.broken.is_empty(), "seed {seed}: {:?} {:?}", of.broken, of.told);
         // It takes part in the trouble, and comes out well.
         assert!(in_vain(&of) > 0 && of.whole.goodput() > 0.9, "seed {seed}: {:?}", of.whole);
@@ -102,7 +102,7 @@
     let seeds: Vec<u64> = (1..9).collect();
     let on = |workers| {
         sweep::each(&seeds, workers, |seed| {
-            play(&scenario, Which::Module, *seed).outcomes("module", *seed).json()
+            play(&scenario, PolicyKind::Module, *seed).outcomes("module", *seed).json()
         })
     };
     let one = on(1);
@@ -112,7 +112,7 @@
 
 #[test]
 fn small_worlds_and_ends_of_schedules() {
-    for which in [Which::Module, Which::Random, Which::LeastOfTwo] {
+    for which in [PolicyKind::Module, PolicyKind::Random, PolicyKind::LeastOfTwo] {
         // No endpoint: all are rejected, none is lost.
         let none = outcomes(&CALM.replace("endpoints=8", "endpoints=0"), which, 1);
         assert_eq!((none.whole.rejected, none.broken.len()), (none.whole.offered, 0), "{which:?}");
@@ -138,7 +138,7 @@
     let text = "name='tie'\nlength_ms=1000\n[load]\nper_second=0\ntrace_ms=[100, 100]\n[net]\nhop_ms=0\n\
         [[method]]\nname='view'\nshare=1.0\neffect='retryable'\nlatency_budget_ms=500\ndeadline_ms=900\n\
         [[tier]]\nsidecars=1\nendpoints=1\nplaces=1\nwork_ms=[10]\nspread='fixed'\n";
-    let of = outcomes(text, Which::Random, 1);
+    let of = outcomes(text, PolicyKind::Random, 1);
     assert_eq!((of.whole.in_time, of.whole.rejected), (1, 1));
 }
 
@@ -152,13 +152,13 @@
          [[tier]]\nsidecars=1\nendpoints=1\nwork_ms=[10]\nspread='fixed'\n\
          [[fault]]\nkind='crash'\nfrom_ms=35\nfor_ms=100\n"
     );
-    let of = outcomes(&text, Which::Random, 1);
+    let of = outcomes(&text, PolicyKind::Random, 1);
     assert_eq!((of.whole.in_time, of.whole.failed, of.broken.len()), (2, 8, 0), "{:?}", of.whole);
 }
 
 #[test]
 fn a_damaged_result_is_refused_by_file_and_key() {
-    let whole = outcomes(CALM, Which::Random, 1).json();
+    let whole = outcomes(CALM, PolicyKind::Random, 1).json();
     let folder = std::env::temp_dir().join(format!("appledyke-lab-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("result.json");
@@ -189,7 +189,7 @@
         [[tier]]\nsidecars=100\nendpoints=100\ncores=2\nwork_ms=[60]\n\
         [[fault]]\nkind='hot-sidecar'\nfrom_ms=2000\nfor_ms=10000\nids=[0, 1, 2]\nsize=15\n";
     for seed in 1..3 {
-        let of = outcomes(text, Which::Module, seed);
+        let of = outcomes(text, PolicyKind::Module, seed);
         // From two seconds on, of some 3,800 requests that come to the three: a fifth, not a third.
         let again: u64 = of.windows[4..12].iter().map(|w| w.retries).sum();
         assert!(again < 800 && of.broken.is_empty(), "seed {seed}: {again} nacked and tried again");
