--- a/crates/lab/src/emulate.rs
+++ b/crates/lab/src/emulate.rs
@@ -19,7 +19,7 @@
 use crate::faults::{Faults, LifecycleChange};
 use crate::http_connection::{self, HttpConnection};
 use crate::load;
-use crate::report::{Outcomes, Tally};
+use crate::report::{Counters, Outcomes};
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Effect, Scenario, millis};
 use crate::server_queue::{Admission, ServerQueue};
@@ -135,7 +135,7 @@
     chance: Rand64,
     checker: RuleChecker,
     /// What endpoints see, by window.
-    seen: Tally,
+    seen: Counters,
     ids: u64,
 }
 
@@ -211,9 +211,9 @@
     });
     let (mut loaded, (ended, emulator)) = (loaded?, emulator);
     ended?;
-    loaded.tally.judged(&emulator.checker);
-    loaded.tally.absorb(emulator.seen);
-    let mut outcomes = loaded.tally.outcomes("sidecars on sockets", seed);
+    loaded.counters.record_violations(&emulator.checker);
+    loaded.counters.absorb(emulator.seen);
+    let mut outcomes = loaded.counters.outcomes("sidecars on sockets", seed);
     outcomes.broken.extend(load::broken(&loaded));
     if loaded.void() {
         outcomes.told.push(format!("void: sending ran {:.1} ms late", loaded.late_p99_ms));
@@ -246,7 +246,7 @@
             sidecars: Vec::new(),
             chance: Rand64::new(u128::from(seed)),
             checker: RuleChecker::default(),
-            seen: Tally::new(scenario),
+            seen: Counters::new(scenario),
             ids: 0,
         };
         for (tier, t) in scenario.tier.iter().enumerate() {
@@ -444,7 +444,7 @@
             let of_tier = || self.endpoints.iter().filter(|e| e.tier == tier);
             let up = of_tier().filter(|e| e.listener.is_some() && !e.silent).count();
             let inside = of_tier().map(|e| e.queue.inside());
-            self.seen.look(now, tier, up, inside.clone().sum(), inside.max().unwrap_or(0));
+            self.seen.sample(now, tier, up, inside.clone().sum(), inside.max().unwrap_or(0));
         }
         self.due.insert((now + LOOK_EVERY, Due::Look));
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -10,7 +10,7 @@
 use oorandom::Rand64;
 
 use crate::http_connection::{self, HttpConnection};
-use crate::report::Tally;
+use crate::report::Counters;
 use crate::scenario::{Effect, Scenario, at_ms, millis};
 
 /// A run whose sending ran later than this at the 99th percentile, in milliseconds, says little of the sidecars.
@@ -23,7 +23,7 @@
 
 /// What a load run came to.
 pub struct Loaded {
-    pub tally: Tally,
+    pub counters: Counters,
     pub late_p99_ms: f64,
     /// Requests without an answer, and answers that were not made for their request.
     pub lost: u64,
@@ -116,7 +116,7 @@
         return Err(format!("load.per_second: {} reqs, of {MOST_REQUESTS} at the most", moments.len()));
     }
     let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
-    let loaded = Loaded { tally: Tally::new(scenario), late_p99_ms: 0.0, lost: 0, foreign: 0 };
+    let loaded = Loaded { counters: Counters::new(scenario), late_p99_ms: 0.0, lost: 0, foreign: 0 };
     let mut run = Run {
         scenario,
         to,
@@ -190,7 +190,7 @@
         };
         self.clients.push(client);
         self.open += 1;
-        self.loaded.tally.offered(born, method, tenant);
+        self.loaded.counters.offered(born, method, tenant);
         self.tries(self.clients.len() - 1);
     }
 
@@ -202,7 +202,7 @@
         c.attempt += 1;
         (c.id, c.again) = (id, false);
         if c.attempt > 1 {
-            self.loaded.tally.retried(now);
+            self.loaded.counters.retried(now);
         }
         self.due.insert((c.deadline + ANSWER_SLACK, Due::TimedOut(client, c.attempt)));
         self.send(client, to, true);
@@ -223,7 +223,7 @@
                 let Ok(connection) = HttpConnection::open(self.to[to], self.poll.registry(), token) else {
                     return self.ended(client, 0, None);
                 };
-                self.loaded.tally.opened(now);
+                self.loaded.counters.opened(now);
                 self.links.insert(token, Link { connection, to, carries: None });
                 token
             }
@@ -295,7 +295,7 @@
         let rejected = matches!(status, 429 | 503);
         if status == 200 && now <= c.deadline {
             let in_time = took <= Span::from_millis(m.latency_budget_ms);
-            self.loaded.tally.served((c.born, took), c.method, c.tenant, in_time, m);
+            self.loaded.counters.served((c.born, took), c.method, c.tenant, in_time, m);
         } else {
             let back_off = self.scenario.load.back_off_ms as f64 / 1e3;
             let wait = millis(retry_after.unwrap_or(back_off).clamp(0.0, 60.0) * 1e3);
@@ -305,8 +305,8 @@
                 return;
             }
             match rejected {
-                true => self.loaded.tally.rejected(c.born, c.method, c.tenant),
-                false => self.loaded.tally.failed(c.born, c.method, c.tenant),
+                true => self.loaded.counters.rejected(c.born, c.method, c.tenant),
+                false => self.loaded.counters.failed(c.born, c.method, c.tenant),
             }
         }
         c.done = true;
@@ -321,7 +321,7 @@
         c.done = true;
         self.open -= 1;
         self.loaded.lost += 1;
-        self.loaded.tally.failed(c.born, c.method, c.tenant);
+        self.loaded.counters.failed(c.born, c.method, c.tenant);
         if let Some(token) = c.on.take() {
             self.drop_link(token);
         }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -644,7 +644,7 @@
     let to = asked.to.split(',').map(read).collect::<Result<Vec<_>, _>>()?;
     let faults = Faults::draw(&scenario, asked.seed);
     let loaded = load::run(&scenario, asked.seed, &to, |at| faults.load(at))?;
-    let mut outcomes = loaded.tally.outcomes("sidecars on sockets", asked.seed);
+    let mut outcomes = loaded.counters.outcomes("sidecars on sockets", asked.seed);
     outcomes.broken = load::broken(&loaded);
     told(&outcomes, loaded.late_p99_ms, asked.out)?;
     if loaded.void() {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -76,7 +76,7 @@
     pub uses: BTreeMap<String, (u64, u64, f64)>,
 }
 
-pub struct Tally {
+pub struct Counters {
     scenario: String,
     methods: Vec<Method>,
     warm: Moment,
@@ -94,9 +94,9 @@
     pub uses: BTreeMap<String, (u64, u64, f64)>,
 }
 
-impl Tally {
-    pub fn new(scenario: &Scenario) -> Tally {
-        Tally {
+impl Counters {
+    pub fn new(scenario: &Scenario) -> Counters {
+        Counters {
             scenario: scenario.name.clone(),
             methods: scenario.method.clone(),
             warm: at_ms(scenario.warm_up_ms),
@@ -187,13 +187,13 @@
         self.window(now).vain[tier] += u64::from(vain);
     }
 
-    pub fn look(&mut self, now: Moment, tier: usize, up: usize, inside: usize, most: usize) {
+    pub fn sample(&mut self, now: Moment, tier: usize, up: usize, inside: usize, most: usize) {
         let window = self.window(now);
         (window.up[tier], window.inside[tier], window.most_inside[tier]) = (up, inside, most);
     }
 
     /// Takes over what endpoints saw, where that is counted apart from what clients did.
-    pub fn absorb(&mut self, seen: Tally) {
+    pub fn absorb(&mut self, seen: Counters) {
         for (at, theirs) in seen.windows.into_iter().enumerate() {
             let ours = self.window(Moment::from_nanos(at as u64 * WINDOW.nanos()));
             (ours.sent, ours.vain) = (theirs.sent, theirs.vain);
@@ -201,7 +201,7 @@
         }
     }
 
-    pub fn judged(&mut self, checker: &RuleChecker) {
+    pub fn record_violations(&mut self, checker: &RuleChecker) {
         self.broken = checker.broken().iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
         self.told = checker.told().to_vec();
     }
--- a/crates/lab/src/shares.rs
+++ b/crates/lab/src/shares.rs
@@ -22,7 +22,7 @@
 /// The daemon's reply to a usage report, and when the report was sent.
 pub struct Reply {
     pub node: usize,
-    pub life: u32,
+    pub incarnation: u32,
     asked: Moment,
     grants: Vec<Grant>,
 }
@@ -80,12 +80,12 @@
     }
 
     /// Delivers a sidecar's usage report to the daemon; the reply is stored until it arrives. Returns the reply's index.
-    pub fn report(&mut self, now: Moment, node: usize, life: u32) -> usize {
+    pub fn report(&mut self, now: Moment, node: usize, incarnation: u32) -> usize {
         let uses = self.limits[node].usage(now);
-        let holder = Holder { name: format!("s{node}"), incarnation: u64::from(life) };
+        let holder = Holder { name: format!("s{node}"), incarnation: u64::from(incarnation) };
         self.allocator.record_report(now, &holder, &uses, false);
         let grants = self.allocator.grants_for(&holder, &self.committed, self.index);
-        self.answers.push(Reply { node, life, asked: now, grants });
+        self.answers.push(Reply { node, incarnation, asked: now, grants });
         self.answers.len() - 1
     }
 
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: clients, sidecars of every tier, endpoints, the network between them and the list,
-//! as one queue of events. Of two events at one moment the one that was scheduled first comes first.
+//! A discrete-event simulation of a fleet: clients, the sidecars of every tier, endpoints, the network and the
+//! endpoint lists. Of two events at the same time, the one scheduled first is handled first.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,110 +13,111 @@
 
 use crate::faults::{Faults, LifecycleChange};
 use crate::policy::{ListedEndpoint, Policy, PolicyKind};
-use crate::report::Tally;
+use crate::report::Counters;
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Effect, Hears, Scenario, at_ms, millis};
 use crate::server_queue::{Admission, ServerQueue};
 use crate::service::{self, Fate};
 use crate::shares::Shares;
 
-/// Between two looks at the state of all endpoints.
-const LOOK_EVERY: Span = Span::from_millis(1000);
-/// After which a call to a list that is absent has failed.
+/// Interval between samples of the state of all endpoints.
+const SAMPLE_INTERVAL: Span = Span::from_millis(1000);
+/// Timeout of a call for the endpoint list while the list service is absent.
 const LIST_TIMEOUT: Span = Span::from_millis(2000);
-/// Between two divisions of budgets that a daemon looks for.
-const DIVIDES_EVERY: Span = Span::from_millis(50);
-/// How long an endpoint that errs at once takes for it, in milliseconds.
+/// Interval at which the daemon checks whether budgets need a new allocation.
+const ALLOCATION_INTERVAL: Span = Span::from_millis(50);
+/// Milliseconds that an endpoint takes for an immediate error.
 const QUICK_ERROR_MS: f64 = 1.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The next client comes.
-    Arrives,
-    /// A client tries again, or for the first time.
-    Tries {
+    /// The next client arrives.
+    ClientArrives,
+    /// A client sends its first try, or a retry.
+    SendTry {
         client: usize,
     },
-    /// A client's time is up, and it goes.
-    Goes {
+    /// A client's deadline has passed, and it disconnects.
+    ClientTimeout {
         client: usize,
         attempt: u32,
     },
-    /// A client loses patience before its time is up.
-    Leaves {
+    /// A client disconnects before its deadline.
+    ClientDisconnects {
         client: usize,
         attempt: u32,
     },
     Wake {
         node: usize,
-        life: u32,
+        incarnation: u32,
     },
     /// An attempt's last byte reaches its endpoint.
-    Reaches {
+    AttemptArrives {
         job: usize,
     },
     CoreDone {
         job: usize,
     },
-    /// What comes back reaches the sidecar.
-    Back {
+    /// A response, or a connection failure, reaches the sidecar.
+    ResponseArrives {
         job: usize,
-        outcome: Told,
+        outcome: AttemptResult,
     },
     GiveUp {
         job: usize,
     },
-    /// A final answer reaches the client.
+    /// The final answer reaches the client.
     Answered {
         client: usize,
         attempt: u32,
         answer: Answer,
     },
-    Turns {
+    LifecycleChange {
         at: usize,
     },
-    Told {
+    ListUpdate {
         node: usize,
-        life: u32,
-        told: usize,
+        incarnation: u32,
+        at: usize,
     },
-    /// A sidecar's call to the list is answered, or fails.
-    Asked {
+    /// A sidecar's call for the endpoint list is answered, or fails.
+    ListReply {
         node: usize,
-        life: u32,
+        incarnation: u32,
         answered: bool,
     },
     Restart {
         at: usize,
     },
-    Returns {
+    SidecarStarts {
         node: usize,
     },
-    /// A member's beat: it hears what others have learnt.
-    Hears {
+    /// A member's heartbeat, at which it receives reports from other members.
+    Heartbeat {
         node: usize,
-        life: u32,
+        incarnation: u32,
     },
-    Look,
-    /// A sidecar reports its use of budgets, is answered, and a division takes effect.
-    Reports {
+    Sample,
+    /// A sidecar reports its budget usage; it receives its grant; budgets are reallocated; a new allocation takes
+    /// effect.
+    UsageReport {
         node: usize,
-        life: u32,
+        incarnation: u32,
     },
     Granted {
         tier: usize,
         at: usize,
     },
-    Divides,
-    Divided {
+    Allocate,
+    AllocationApplied {
         tier: usize,
         at: usize,
     },
 }
 
-/// `Outcome` in an order, as events want one.
+/// An `Outcome` that implements `Ord`, as events require.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Told {
+enum AttemptResult {
     Served,
     Error,
     Overloaded,
@@ -125,15 +126,15 @@
     NeverSent,
 }
 
-impl Told {
+impl AttemptResult {
     fn outcome(self) -> Outcome {
         match self {
-            Told::Served => Outcome::Success,
-            Told::Error => Outcome::Error,
-            Told::Overloaded => Outcome::Overloaded,
-            Told::Refused => Outcome::ConnectFailure,
-            Told::Reset => Outcome::Reset,
-            Told::NeverSent => Outcome::NeverSent,
+            AttemptResult::Served => Outcome::Success,
+            AttemptResult::Error => Outcome::Error,
+            AttemptResult::Overloaded => Outcome::Overloaded,
+            AttemptResult::Refused => Outcome::ConnectFailure,
+            AttemptResult::Reset => Outcome::Reset,
+            AttemptResult::NeverSent => Outcome::NeverSent,
         }
     }
 }
@@ -145,16 +146,16 @@
     Failed,
 }
 
-/// For a client's wish, over all its tries.
+/// A client's call, across all its tries.
 struct Client {
     method: usize,
     tenant: usize,
-    born: Moment,
+    arrived_at: Moment,
     deadline: Moment,
-    /// The id that effects are told apart by: a repeat carries the same.
+    /// Identifies the effect; retries carry the same id.
     effect: u64,
     attempt: u32,
-    /// Where the try that is under way is, and the checker's number of it.
+    /// The sidecar and request of the current try, and the rule checker's id for it.
     at: Option<(usize, usize)>,
     open: Option<u64>,
     done: bool,
@@ -165,11 +166,11 @@
         client: usize,
         attempt: u32,
     },
-    /// A job at an endpoint of the tier before.
+    /// A job at an endpoint of the previous tier.
     Job(usize),
 }
 
-/// For a request at a sidecar, until nothing more can be heard of it.
+/// A request at a sidecar, kept until the policy forgets it.
 struct Request {
     from: From,
     method: usize,
@@ -179,71 +180,70 @@
     answered: bool,
 }
 
-/// For an attempt, and the work that it makes at its endpoint.
+/// An attempt, and the work that it causes at its endpoint.
 struct Job {
     node: usize,
-    life: u32,
+    incarnation: u32,
     request: usize,
     attempt: usize,
     endpoint: usize,
-    /// The process of the endpoint it was written to.
+    /// The endpoint's process that it was written to.
     process: u32,
     method: usize,
     effect: u64,
     deadline: Moment,
-    /// What the sidecar still waits for.
     sent: Moment,
+    /// Whether the sidecar still waits for its outcome.
     awaited: bool,
     inside: bool,
     works: bool,
     calls_left: usize,
-    told: Told,
+    result: AttemptResult,
     lost: bool,
     holds_connection: bool,
 }
 
 struct Endpoint {
     tier: usize,
-    /// Its number in its tier.
+    /// Its index in its tier.
     number: usize,
     queue: ServerQueue,
     process: u32,
     started: Option<Moment>,
     up: bool,
-    /// Down without a word, or with the process still there behind it.
+    /// Unreachable without closed connections; the process may still run.
     silent: bool,
     drains: bool,
     speed: f64,
     connections: usize,
     inside_jobs: Vec<usize>,
-    /// The sidecar beside it, for its calls to the next tier.
+    /// Its local sidecar, for calls to the next tier.
     node: Option<usize>,
 }
 
 /// A sidecar.
 struct Node {
     tier: usize,
-    life: u32,
+    incarnation: u32,
     policy: Option<Box<dyn Policy>>,
     names: Names,
-    /// By the index that the policy knows it by: which endpoint, which process, and since when it is known to
-    /// drain.
+    /// By the policy's index: the endpoint, its process, and since when the sidecar has known that it is draining.
     known: Vec<(usize, u32, Option<Moment>)>,
     requests: Vec<Option<Request>>,
     free: Vec<usize>,
     /// Idle connections, by endpoint and process.
     idle: BTreeMap<(usize, u32), usize>,
     subscribed: bool,
-    /// Since when it is away.
+    /// Since when it has been down.
     away: Option<Moment>,
 }
 
-/// Something that a list tells: one endpoint's process and its standing.
+/// A list update: an endpoint's process and its state.
 #[derive(Clone, Copy)]
-struct News {
+struct ListUpdate {
     endpoint: usize,
     process: u32,
-    standing: EndpointState,
+    state: EndpointState,
     started: Option<Moment>,
 }
 
@@ -254,39 +254,39 @@
     now: Moment,
     queue: BinaryHeap<Reverse<(Moment, u64, Event)>>,
     scheduled: u64,
-    chance: Rand64,
+    rng: Rand64,
     clients: Vec<Client>,
     nodes: Vec<Node>,
     endpoints: Vec<Endpoint>,
-    /// The first endpoint of each tier.
+    /// The index of the first endpoint of each tier.
     first: Vec<usize>,
     jobs: Vec<Job>,
-    turns: Vec<(Moment, usize, usize, LifecycleChange)>,
+    lifecycle_changes: Vec<(Moment, usize, usize, LifecycleChange)>,
     restarts: Vec<(Moment, usize, u64)>,
-    news: Vec<News>,
+    updates: Vec<ListUpdate>,
     effects: u64,
     checker: RuleChecker,
-    pub tally: Tally,
+    pub counters: Counters,
     work: Vec<usize>,
-    /// What daemons hold of the members' attempts, how many each has told, and up to where each has heard.
+    /// The attempt reports held by the daemons, the number of reports sent by each member, and how far each has read.
     evidence: EvidenceStore,
     sequences: Vec<u64>,
     cursors: Vec<Cursor>,
-    /// Of the tiers that have budgets, from the first on.
+    /// Budgets of the tiers that have them, from the first tier on.
     shares: Vec<Shares>,
 }
 
-/// Plays a scenario with a policy and a seed.
-pub fn play(scenario: &Scenario, which: PolicyKind, seed: u64) -> Tally {
+/// Simulates a scenario with a policy and a seed.
+pub fn play(scenario: &Scenario, which: PolicyKind, seed: u64) -> Counters {
     let mut world = World::new(scenario, which, seed);
     world.run();
-    world.tally
+    world.counters
 }
 
 impl<'a> World<'a> {
     pub fn new(scenario: &'a Scenario, which: PolicyKind, seed: u64) -> World<'a> {
         let faults = Faults::draw(scenario, seed);
-        let mut chance = Rand64::new(u128::from(seed));
+        let mut rng = Rand64::new(u128::from(seed));
         let (mut endpoints, mut first, mut nodes) = (Vec::new(), Vec::new(), Vec::new());
         for _ in 0..scenario.tier[0].sidecars {
             nodes.push(Node::new(0));
@@ -307,7 +307,7 @@
                     up: true,
                     silent: false,
                     drains: false,
-                    speed: 1.0 - t.uneven * chance.rand_float(),
+                    speed: 1.0 - t.uneven * rng.rand_float(),
                     connections: 0,
                     inside_jobs: Vec::new(),
                     node,
@@ -315,7 +315,7 @@
             }
         }
         let mut world = World {
-            turns: faults.lifecycle_changes(scenario),
+            lifecycle_changes: faults.lifecycle_changes(scenario),
             restarts: faults.restarts(),
             scenario,
             which,
@@ -323,16 +323,16 @@
             now: Moment::from_nanos(0),
             queue: BinaryHeap::new(),
             scheduled: 0,
-            chance,
+            rng,
             clients: Vec::new(),
             nodes,
             endpoints,
             first,
             jobs: Vec::new(),
-            news: Vec::new(),
+            updates: Vec::new(),
             effects: 0,
             checker: RuleChecker::default(),
-            tally: Tally::new(scenario),
+            counters: Counters::new(scenario),
             work: Vec::new(),
             evidence: EvidenceStore::default(),
             sequences: Vec::new(),
@@ -344,23 +344,23 @@
         world.shares = tiers.map(|_| Shares::new(scenario, world.nodes.len())).collect();
         world.cursors = vec![Cursor::default(); world.nodes.len()];
         (0..world.nodes.len()).for_each(|node| world.start(node));
-        for at in 0..world.turns.len() {
-            world.schedule(world.turns[at].0, Event::Turns { at });
+        for at in 0..world.lifecycle_changes.len() {
+            world.schedule(world.lifecycle_changes[at].0, Event::LifecycleChange { at });
         }
         for at in 0..world.restarts.len() {
             world.schedule(world.restarts[at].0, Event::Restart { at });
         }
         for at in &scenario.load.trace_ms {
             if *at < scenario.length_ms {
-                world.come(at_ms(*at));
+                world.add_client(at_ms(*at));
             }
         }
         if scenario.load.trace_ms.is_empty() && scenario.load.per_second > 0.0 {
-            world.schedule(Moment::from_nanos(0), Event::Arrives);
+            world.schedule(Moment::from_nanos(0), Event::ClientArrives);
         }
-        world.schedule(Moment::from_nanos(0), Event::Look);
+        world.schedule(Moment::from_nanos(0), Event::Sample);
         if world.shares.first().is_some_and(Shares::divides) {
-            world.schedule(Moment::from_nanos(0), Event::Divides);
+            world.schedule(Moment::from_nanos(0), Event::Allocate);
         }
         world
     }
@@ -370,7 +370,7 @@
         self.queue.push(Reverse((at, self.scheduled, event)));
     }
 
-    fn soon(&mut self, after: Span, event: Event) {
+    fn schedule_after(&mut self, after: Span, event: Event) {
         self.schedule(self.now + after, event);
     }
 
@@ -379,74 +379,74 @@
     }
 
     pub fn run(&mut self) {
-        // Nobody comes any more after the length; who is there is seen to the end.
+        // No client arrives after the scenario's length; requests in flight are run to their end.
         let end = at_ms(self.scenario.length_ms) + self.scenario.longest() + self.checker.slack() * 2.0;
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.tally.events += 1;
-            self.happens(event);
+            self.counters.events += 1;
+            self.handle_event(event);
             while let Some(node) = self.work.pop() {
-                self.pull(node);
+                self.run_decisions(node);
             }
         }
         self.checker.ends(end);
-        self.tally.judged(&self.checker);
-        self.tally.uses = self.shares.first().map(Shares::uses).unwrap_or_default();
+        self.counters.record_violations(&self.checker);
+        self.counters.uses = self.shares.first().map(Shares::uses).unwrap_or_default();
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrives => self.arrives(),
-            Event::Tries { client } => self.tries(client),
-            Event::Goes { client, attempt } => self.goes(client, attempt),
-            Event::Leaves { client, attempt } => {
+            Event::ClientArrives => self.client_arrives(),
+            Event::SendTry { client } => self.send_try(client),
+            Event::ClientTimeout { client, attempt } => self.disconnect_client(client, attempt),
+            Event::ClientDisconnects { client, attempt } => {
                 if let Some(open) =
                     self.clients[client].open.filter(|_| self.clients[client].attempt == attempt)
                 {
                     self.checker.closed(open);
-                    self.goes(client, attempt);
+                    self.disconnect_client(client, attempt);
                 }
             }
-            Event::Wake { node, life } => {
+            Event::Wake { node, incarnation } => {
                 let now = self.now;
-                self.with(node, life, |policy| policy.wake(now));
+                self.with_policy(node, incarnation, |policy| policy.wake(now));
             }
-            Event::Reaches { job } => self.reaches(job),
+            Event::AttemptArrives { job } => self.attempt_arrives(job),
             Event::CoreDone { job } => self.core_done(job),
-            Event::Back { job, outcome } => self.back(job, outcome.outcome()),
+            Event::ResponseArrives { job, outcome } => self.response_arrives(job, outcome.outcome()),
             Event::GiveUp { job } => {
                 if self.jobs[job].awaited {
                     self.withdraw(job);
-                    self.heard(job, Outcome::Timeout, false);
+                    self.attempt_ended(job, Outcome::Timeout, false);
                 }
             }
             Event::Answered { client, attempt, answer } => self.answered(client, attempt, answer),
-            Event::Turns { at } => self.turns_round(at),
-            Event::Told { node, life, told } => self.told(node, life, told),
-            Event::Asked { node, life, answered } => self.asked(node, life, answered),
+            Event::LifecycleChange { at } => self.change_lifecycle(at),
+            Event::ListUpdate { node, incarnation, at } => self.list_update(node, incarnation, at),
+            Event::ListReply { node, incarnation, answered } => self.list_reply(node, incarnation, answered),
             Event::Restart { at } => self.restart(at),
-            Event::Returns { node } => self.start(node),
-            Event::Hears { node, life } => self.hears(node, life),
-            Event::Look => self.look(),
-            Event::Reports { node, life } => self.reports(node, life),
+            Event::SidecarStarts { node } => self.start(node),
+            Event::Heartbeat { node, incarnation } => self.heartbeat(node, incarnation),
+            Event::Sample => self.sample(),
+            Event::UsageReport { node, incarnation } => self.report_usage(node, incarnation),
             Event::Granted { tier, at } => {
                 let shares = &mut self.shares[tier];
-                let (node, life) = (shares.answers[at].node, shares.answers[at].life);
-                if self.nodes[node].life == life {
+                let (node, incarnation) = (shares.answers[at].node, shares.answers[at].incarnation);
+                if self.nodes[node].incarnation == incarnation {
                     shares.answered(at);
                 }
             }
-            Event::Divides => self.divides(),
-            Event::Divided { tier, at } => self.shares[tier].applies(at),
+            Event::Allocate => self.allocate_budgets(),
+            Event::AllocationApplied { tier, at } => self.shares[tier].applies(at),
         }
     }
 
-    fn with(&mut self, node: usize, life: u32, what: impl FnOnce(&mut dyn Policy)) {
+    fn with_policy(&mut self, node: usize, incarnation: u32, what: impl FnOnce(&mut dyn Policy)) {
         let n = &mut self.nodes[node];
-        if let Some(policy) = n.policy.as_deref_mut().filter(|_| n.life == life) {
+        if let Some(policy) = n.policy.as_deref_mut().filter(|_| n.incarnation == incarnation) {
             what(policy);
             self.work.push(node);
         }
@@ -454,26 +454,26 @@
 
     // Clients.
 
-    fn arrives(&mut self) {
+    fn client_arrives(&mut self) {
         if self.now >= at_ms(self.scenario.length_ms) {
             return;
         }
-        self.come(self.now);
+        self.add_client(self.now);
         let rate = self.scenario.load.per_second * self.faults.load(self.now);
-        let gap = -(1.0 - self.chance.rand_float()).ln() / rate.max(1e-9);
-        self.soon(millis(gap * 1e3), Event::Arrives);
+        let gap = -(1.0 - self.rng.rand_float()).ln() / rate.max(1e-9);
+        self.schedule_after(millis(gap * 1e3), Event::ClientArrives);
     }
 
-    fn come(&mut self, at: Moment) {
-        let method = self.scenario.drawn_method(&mut self.chance);
-        let tenant = self.chance.rand_range(0..self.scenario.load.tenants as u64) as usize;
+    fn add_client(&mut self, at: Moment) {
+        let method = self.scenario.drawn_method(&mut self.rng);
+        let tenant = self.rng.rand_range(0..self.scenario.load.tenants as u64) as usize;
         let deadline = at + Span::from_millis(self.scenario.method[method].deadline_ms);
         self.effects += 1;
         let effect = self.effects;
         let client = Client {
             method,
             tenant,
-            born: at,
+            arrived_at: at,
             deadline,
             effect,
             attempt: 0,
@@ -482,30 +482,33 @@
             done: false,
         };
         self.clients.push(client);
-        self.schedule(at, Event::Tries { client: self.clients.len() - 1 });
+        self.schedule(at, Event::SendTry { client: self.clients.len() - 1 });
     }
 
-    fn tries(&mut self, client: usize) {
+    fn send_try(&mut self, client: usize) {
         let c = &mut self.clients[client];
         c.attempt += 1;
-        let (attempt, method, deadline, effect, tenant, born) =
-            (c.attempt, c.method, c.deadline, c.effect, c.tenant, c.born);
+        let (attempt, method, deadline, effect, tenant, arrived_at) =
+            (c.attempt, c.method, c.deadline, c.effect, c.tenant, c.arrived_at);
         if attempt == 1 {
-            self.tally.offered(born, method, tenant);
+            self.counters.offered(arrived_at, method, tenant);
         } else {
-            self.tally.retried(self.now);
+            self.counters.retried(self.now);
         }
         let sidecars = 0..self.scenario.tier[0].sidecars;
         let heat: Vec<f64> = sidecars.map(|node| self.weight(node)).collect();
-        let mut left = self.chance.rand_float() * heat.iter().sum::<f64>();
+        let mut left = self.rng.rand_float() * heat.iter().sum::<f64>();
         let drawn = heat.iter().position(|weight| {
             left -= weight;
             left < 0.0
         });
         let node = drawn.unwrap_or(heat.len() - 1);
         if self.nodes[node].policy.is_none() {
-            // Its front has yet to notice that this sidecar is away.
-            return self.soon(self.hop() * 2.0, Event::Answered { client, attempt, answer: Answer::Failed });
+            // The front-end load balancer has not noticed yet that this sidecar is down.
+            return self.schedule_after(
+                self.hop() * 2.0,
+                Event::Answered { client, attempt, answer: Answer::Failed },
+            );
         }
         let from = From::Client { client, attempt };
         let request = self.arrival(node, from, method, effect, deadline);
@@ -513,15 +516,15 @@
         let open = self.effects;
         self.checker.taken(open, deadline);
         (self.clients[client].at, self.clients[client].open) = (Some((node, request)), Some(open));
-        // An answer at the very deadline is still on its way when the client's time is up.
-        self.schedule(deadline + self.checker.slack(), Event::Goes { client, attempt });
-        if self.chance.rand_float() < self.scenario.load.impatient {
-            let after = deadline.since(self.now) * self.chance.rand_float();
-            self.soon(after, Event::Leaves { client, attempt });
+        // An answer given exactly at the deadline is still in transit when the deadline passes.
+        self.schedule(deadline + self.checker.slack(), Event::ClientTimeout { client, attempt });
+        if self.rng.rand_float() < self.scenario.load.impatient {
+            let after = deadline.since(self.now) * self.rng.rand_float();
+            self.schedule_after(after, Event::ClientDisconnects { client, attempt });
         }
     }
 
-    /// The weight of a first-tier sidecar among those that clients go to.
+    /// The relative share of clients that a first-tier sidecar receives.
     fn weight(&self, node: usize) -> f64 {
         let load = &self.scenario.load;
         let noticed = load.notices_ms.zip(self.nodes[node].away);
@@ -542,27 +545,27 @@
         } else {
             n.requests[at] = Some(request);
         }
-        let life = n.life;
-        self.with(node, life, |policy| policy.arrival(now, at, method, deadline.since(now)));
+        let incarnation = n.incarnation;
+        self.with_policy(node, incarnation, |policy| policy.arrival(now, at, method, deadline.since(now)));
         at
     }
 
-    /// A client that has no answer when its time is up goes.
-    fn goes(&mut self, client: usize, attempt: u32) {
+    /// Disconnects a client that has no answer by its deadline.
+    fn disconnect_client(&mut self, client: usize, attempt: u32) {
         let c = &mut self.clients[client];
         if c.done || c.attempt != attempt {
             return;
         }
         c.done = true;
         let open = c.open.take();
-        self.tally.failed(c.born, c.method, c.tenant);
+        self.counters.failed(c.arrived_at, c.method, c.tenant);
         if let Some(open) = open {
             self.checker.timed_out(self.now, open);
         }
         let c = &mut self.clients[client];
         if let Some((node, request)) = c.at.take() {
-            let life = self.nodes[node].life;
-            self.with(node, life, |policy| policy.client_disconnected(request));
+            let incarnation = self.nodes[node].incarnation;
+            self.with_policy(node, incarnation, |policy| policy.client_disconnected(request));
         }
     }
 
@@ -573,11 +576,11 @@
         }
         c.at = None;
         let m = &self.scenario.method[c.method];
-        let took = self.now.since(c.born);
+        let took = self.now.since(c.arrived_at);
         if answer == Answer::Served && self.now <= c.deadline {
             c.done = true;
             let in_time = took <= Span::from_millis(m.latency_budget_ms);
-            return self.tally.served((c.born, took), c.method, c.tenant, in_time, m);
+            return self.counters.served((c.arrived_at, took), c.method, c.tenant, in_time, m);
         }
         let harmless = matches!(answer, Answer::Rejected { .. }) || m.effect == Effect::Retryable;
         let told = match answer {
@@ -585,12 +588,12 @@
             _ => Span::from_millis(self.scenario.load.back_off_ms),
         };
         if harmless && c.attempt <= self.scenario.load.retries && self.now + told < c.deadline {
-            return self.soon(told, Event::Tries { client });
+            return self.schedule_after(told, Event::SendTry { client });
         }
         c.done = true;
         match answer {
-            Answer::Rejected { .. } => self.tally.rejected(c.born, c.method, c.tenant),
-            _ => self.tally.failed(c.born, c.method, c.tenant),
+            Answer::Rejected { .. } => self.counters.rejected(c.arrived_at, c.method, c.tenant),
+            _ => self.counters.failed(c.arrived_at, c.method, c.tenant),
         }
     }
 
@@ -599,70 +602,73 @@
     fn start(&mut self, node: usize) {
         let tier = self.nodes[node].tier;
         let terms = self.scenario.terms(tier);
-        let seed = self.chance.rand_u64();
+        let seed = self.rng.rand_u64();
         self.nodes[node].policy =
             Some(self.which.at(tier, self.scenario.tier.len()).make(self.now, terms, seed));
         self.nodes[node].away = None;
         if let Some(shares) = self.shares.get_mut(tier) {
             shares.starts(node);
             if shares.divides() {
-                // They do not all report in the same moment.
-                let first = Span::from_millis(self.scenario.budgets.beat_ms) * self.chance.rand_float();
-                let life = self.nodes[node].life;
-                self.soon(first, Event::Reports { node, life });
+                // Spreads the sidecars' reports over the interval.
+                let first = Span::from_millis(self.scenario.budgets.beat_ms) * self.rng.rand_float();
+                let incarnation = self.nodes[node].incarnation;
+                self.schedule_after(first, Event::UsageReport { node, incarnation });
             }
         }
-        let known = self.whole(tier);
-        self.hear(node, true, &known);
+        let known = self.full_list(tier);
+        self.deliver_list(node, true, &known);
         self.nodes[node].subscribed = !self.scenario.list.asked;
         let fleet = self.scenario.fleet;
         if fleet.hears != Hears::Nothing {
-            let (now, life) = (self.now, self.nodes[node].life);
+            let (now, incarnation) = (self.now, self.nodes[node].incarnation);
             let passed =
                 self.evidence.catch_up(now, 0, node as u32, &mut self.cursors[node], fleet.at_return);
-            self.pass_on(node, &passed);
+            self.deliver_reports(node, &passed);
             if fleet.hears == Hears::All {
-                self.soon(Span::from_millis(fleet.beat_ms), Event::Hears { node, life });
+                self.schedule_after(Span::from_millis(fleet.beat_ms), Event::Heartbeat { node, incarnation });
             }
         }
     }
 
-    fn hears(&mut self, node: usize, life: u32) {
-        if self.nodes[node].life != life || self.now >= at_ms(self.scenario.length_ms) {
+    fn heartbeat(&mut self, node: usize, incarnation: u32) {
+        if self.nodes[node].incarnation != incarnation || self.now >= at_ms(self.scenario.length_ms) {
             return;
         }
         let (now, fleet) = (self.now, self.scenario.fleet);
         let passed = self.evidence.read_new(now, 0, node as u32, &mut self.cursors[node], fleet.each);
-        self.pass_on(node, &passed);
-        self.soon(Span::from_millis(fleet.beat_ms), Event::Hears { node, life });
+        self.deliver_reports(node, &passed);
+        self.schedule_after(Span::from_millis(fleet.beat_ms), Event::Heartbeat { node, incarnation });
     }
 
-    /// A sidecar reports its use of budgets. Its answer is granted from the moment of its asking.
-    fn reports(&mut self, node: usize, life: u32) {
-        if self.nodes[node].life != life || self.now >= at_ms(self.scenario.length_ms) {
+    /// A sidecar reports its budget usage. The grant in the reply counts from the time of the report.
+    fn report_usage(&mut self, node: usize, incarnation: u32) {
+        if self.nodes[node].incarnation != incarnation || self.now >= at_ms(self.scenario.length_ms) {
             return;
         }
         let (now, hop) = (self.now, self.hop());
         let tier = self.nodes[node].tier;
         let Some(shares) = self.shares.get_mut(tier) else { return };
-        let at = shares.report(now, node, life);
-        self.soon(hop * 2.0, Event::Granted { tier, at });
+        let at = shares.report(now, node, incarnation);
+        self.schedule_after(hop * 2.0, Event::Granted { tier, at });
         let beat = Span::from_millis(self.scenario.budgets.beat_ms);
-        self.soon(beat, Event::Reports { node, life });
+        self.schedule_after(beat, Event::UsageReport { node, incarnation });
     }
 
-    fn divides(&mut self) {
+    fn allocate_budgets(&mut self) {
         for tier in 0..self.shares.len() {
             for at in self.shares[tier].divide(self.now) {
-                self.soon(millis(self.scenario.budgets.commit_ms), Event::Divided { tier, at });
+                self.schedule_after(
+                    millis(self.scenario.budgets.commit_ms),
+                    Event::AllocationApplied { tier, at },
+                );
             }
         }
         if self.now < at_ms(self.scenario.length_ms) {
-            self.soon(DIVIDES_EVERY, Event::Divides);
+            self.schedule_after(ALLOCATION_INTERVAL, Event::Allocate);
         }
     }
 
-    fn pass_on(&mut self, node: usize, passed: &[RelayedObservation]) {
+    fn deliver_reports(&mut self, node: usize, passed: &[RelayedObservation]) {
         let told = passed.iter().filter_map(|RelayedObservation { observation: seen, .. }| {
             let (method, part) = (seen.method as usize, f64::from(seen.budget_fraction));
             Some(Ended {
@@ -674,43 +680,44 @@
             })
         });
         let told: Vec<Ended> = told.collect();
-        let (now, life) = (self.now, self.nodes[node].life);
+        let (now, incarnation) = (self.now, self.nodes[node].incarnation);
         if !told.is_empty() {
-            self.with(node, life, |policy| policy.told(now, &told));
+            self.with_policy(node, incarnation, |policy| policy.told(now, &told));
         }
     }
 
-    /// The whole list of a tier as it is now.
-    fn whole(&self, tier: usize) -> Vec<News> {
+    /// The current complete endpoint list of a tier.
+    fn full_list(&self, tier: usize) -> Vec<ListUpdate> {
         let listed = self.endpoints.iter().enumerate().filter(|(_, e)| e.tier == tier && (e.up || e.silent));
-        let standing = |e: &Endpoint| if e.drains { EndpointState::Draining } else { EndpointState::Ready };
-        let news = |(endpoint, e): (usize, &Endpoint)| News {
+        let state = |e: &Endpoint| if e.drains { EndpointState::Draining } else { EndpointState::Ready };
+        let update = |(endpoint, e): (usize, &Endpoint)| ListUpdate {
             endpoint,
             process: e.process,
-            standing: standing(e),
+            state: state(e),
             started: e.started,
         };
-        listed.map(news).collect()
+        listed.map(update).collect()
     }
 
-    fn hear(&mut self, node: usize, complete: bool, news: &[News]) {
+    fn deliver_list(&mut self, node: usize, complete: bool, updates: &[ListUpdate]) {
         let now = self.now;
         let mut entries = Vec::new();
-        for told in news {
-            let e = &self.endpoints[told.endpoint];
+        for update in updates {
+            let e = &self.endpoints[update.endpoint];
             let (zone, cell) =
                 (e.number % self.scenario.zones, (e.number / self.scenario.tier[e.tier].cell_size) as u64);
             let n = &mut self.nodes[node];
-            let name = format!("{}.{}", told.endpoint, told.process);
+            let name = format!("{}.{}", update.endpoint, update.process);
             let index = n.names.index(&name);
             n.known.resize(n.known.len().max(index + 1), (usize::MAX, 0, None));
-            let drains = (told.standing != EndpointState::Ready).then_some(now);
+            let drains = (update.state != EndpointState::Ready).then_some(now);
             let before = n.known[index];
-            let since = if before.0 == told.endpoint { before.2.filter(|_| drains.is_some()) } else { None };
-            n.known[index] = (told.endpoint, told.process, since.or(drains));
+            let since =
+                if before.0 == update.endpoint { before.2.filter(|_| drains.is_some()) } else { None };
+            n.known[index] = (update.endpoint, update.process, since.or(drains));
             let entry = Entry {
-                state: told.standing,
-                started: told.started,
+                state: update.state,
+                started: update.started,
                 zone,
                 cell,
                 kind: 0,
@@ -718,21 +725,21 @@
             };
             entries.push(ListedEndpoint { endpoint: index, entry });
         }
-        let life = self.nodes[node].life;
-        self.with(node, life, |policy| policy.list(now, complete, &entries));
+        let incarnation = self.nodes[node].incarnation;
+        self.with_policy(node, incarnation, |policy| policy.list(now, complete, &entries));
     }
 
     fn restart(&mut self, at: usize) {
         let (_, node, away) = self.restarts[at];
         self.kill(node);
-        self.soon(Span::from_millis(away), Event::Returns { node });
+        self.schedule_after(Span::from_millis(away), Event::SidecarStarts { node });
     }
 
-    /// A sidecar dies with all that it held; its clients see their connections break.
+    /// Kills a sidecar with all its state; its clients see their connections break.
     fn kill(&mut self, node: usize) {
         let now = self.now;
         let n = &mut self.nodes[node];
-        n.life += 1;
+        n.incarnation += 1;
         n.policy = None;
         n.away = Some(now);
         n.names = Names::default();
@@ -758,23 +765,23 @@
                 if let Some(open) = self.clients[client].open.take() {
                     self.checker.closed(open);
                 }
-                self.soon(self.hop(), Event::Answered { client, attempt, answer: Answer::Failed });
+                self.schedule_after(self.hop(), Event::Answered { client, attempt, answer: Answer::Failed });
             }
         }
     }
 
-    fn pull(&mut self, node: usize) {
+    fn run_decisions(&mut self, node: usize) {
         loop {
             let now = self.now;
             let Some(decision) = self.nodes[node].policy.as_deref_mut().and_then(|p| p.next(now)) else {
                 return;
             };
-            self.carry_out(node, decision);
+            self.apply_decision(node, decision);
         }
     }
 
-    fn carry_out(&mut self, node: usize, decision: Decision) {
-        let life = self.nodes[node].life;
+    fn apply_decision(&mut self, node: usize, decision: Decision) {
+        let incarnation = self.nodes[node].incarnation;
         match decision {
             Decision::Send { request, endpoint, give_up } => self.send(node, request, endpoint, give_up),
             Decision::Reject { request, retry_after, .. } => {
@@ -789,10 +796,10 @@
                 let job = self.nodes[node].requests[request].as_ref().map(|r| r.attempts[attempt]);
                 if let Some(job) = job.filter(|job| self.jobs[*job].awaited) {
                     self.withdraw(job);
-                    self.heard(job, Outcome::Cancelled, true);
+                    self.attempt_ended(job, Outcome::Cancelled, true);
                 }
             }
-            // The laboratory has neither load reports nor messages, and its terms say so.
+            // The simulator has neither load probes nor peer messages, and its terms disable both.
             Decision::Probe { .. } | Decision::TellPeer { .. } => {}
             Decision::CloseIdle { endpoint } => {
                 let (at, process, _) = self.nodes[node].known[endpoint];
@@ -804,12 +811,12 @@
                 self.nodes[node].free.push(request);
             }
             Decision::ForgetEndpoint { endpoint } => self.nodes[node].names.release(endpoint),
-            Decision::Wake { at } => self.schedule(at.max(self.now), Event::Wake { node, life }),
+            Decision::Wake { at } => self.schedule(at.max(self.now), Event::Wake { node, incarnation }),
             Decision::Subscribe => {
                 let absent = self.faults.list_absent(self.now);
                 let late = millis(self.faults.list_late_ms(self.now));
                 let after = if absent { LIST_TIMEOUT } else { self.hop() * 2.0 + late };
-                self.soon(after, Event::Asked { node, life, answered: !absent });
+                self.schedule_after(after, Event::ListReply { node, incarnation, answered: !absent });
             }
         }
     }
@@ -824,9 +831,9 @@
                 {
                     self.checker.answered(self.now, open);
                 }
-                self.soon(self.hop(), Event::Answered { client, attempt, answer });
+                self.schedule_after(self.hop(), Event::Answered { client, attempt, answer });
             }
-            From::Job(job) => self.called(job, answer),
+            From::Job(job) => self.call_ended(job, answer),
         }
     }
 
@@ -839,7 +846,7 @@
         r.attempts.push(job);
         self.jobs.push(Job {
             node,
-            life: n.life,
+            incarnation: n.incarnation,
             request,
             attempt,
             endpoint,
@@ -852,7 +859,7 @@
             inside: false,
             works: false,
             calls_left: 0,
-            told: Told::Served,
+            result: AttemptResult::Served,
             lost: false,
             holds_connection: false,
         });
@@ -861,11 +868,12 @@
             let cold =
                 started.is_some_and(|at| self.now.since(at) < Span::from_millis(self.scenario.rules.cold_ms));
             if !shares.may_send(self.now, node, attempt > 0, cold) {
-                return self.schedule(self.now, Event::Back { job, outcome: Told::NeverSent });
+                return self
+                    .schedule(self.now, Event::ResponseArrives { job, outcome: AttemptResult::NeverSent });
             }
         }
         let n = &mut self.nodes[node];
-        self.tally.sent(self.now, n.tier);
+        self.counters.sent(self.now, n.tier);
         let e = &self.endpoints[endpoint];
         let whom = (e.tier, e.number);
         self.checker.sent(self.now, drains, &self.scenario.rules, whom);
@@ -878,34 +886,36 @@
         let hop = self.hop();
         self.schedule(give_up.max(self.now), Event::GiveUp { job });
         if kept {
-            // On a connection that is there, the request goes out whatever has become of the other side.
+            // On an existing connection the request is sent even if the peer has gone.
             self.jobs[job].holds_connection = true;
-            return self.soon(hop, Event::Reaches { job });
+            return self.schedule_after(hop, Event::AttemptArrives { job });
         }
         if !reached {
-            // Nobody there says so at once; a machine out of reach says nothing.
+            // A stopped process refuses at once; an unreachable machine times out.
             let after = if silent { timeout } else { hop * 2.0 };
-            return self.soon(after, Event::Back { job, outcome: Told::Refused });
+            return self
+                .schedule_after(after, Event::ResponseArrives { job, outcome: AttemptResult::Refused });
         }
         let active = self.faults.active_on(whom.0, whom.1, self.now);
         if active.refuses || self.endpoints[endpoint].connections >= tier.connections {
-            return self.soon(hop * 2.0, Event::Back { job, outcome: Told::Refused });
+            return self
+                .schedule_after(hop * 2.0, Event::ResponseArrives { job, outcome: AttemptResult::Refused });
         }
         self.endpoints[endpoint].connections += 1;
         self.jobs[job].holds_connection = true;
-        self.tally.opened(self.now);
+        self.counters.opened(self.now);
         let handshake = millis(tier.handshake_ms) + hop * 2.0;
-        self.soon(hop + handshake, Event::Reaches { job });
+        self.schedule_after(hop + handshake, Event::AttemptArrives { job });
     }
 
-    /// Connections to an endpoint's process are closed.
+    /// Closes connections to an endpoint's process.
     fn release(&mut self, endpoint: usize, process: u32, count: usize) {
         if let Some(e) = self.endpoints.get_mut(endpoint).filter(|e| e.process == process) {
             e.connections -= count.min(e.connections);
         }
     }
 
-    /// The sidecar waits no more for an attempt; its connection is closed, which tells the endpoint.
+    /// Abandons an attempt: closes its connection, by which the endpoint drops the job if it is still queued.
     fn withdraw(&mut self, job: usize) {
         let j = &mut self.jobs[job];
         let (endpoint, process) = (j.endpoint, j.process);
@@ -920,26 +930,29 @@
         }
     }
 
-    /// The sidecar hears how an attempt ended.
-    fn heard(&mut self, job: usize, outcome: Outcome, closed: bool) {
+    /// Reports an attempt's outcome to the sidecar.
+    fn attempt_ended(&mut self, job: usize, outcome: Outcome, closed: bool) {
         let j = &mut self.jobs[job];
         if !std::mem::take(&mut j.awaited) {
             return;
         }
-        let (node, life, request, attempt, endpoint, process) =
-            (j.node, j.life, j.request, j.attempt, j.endpoint, j.process);
+        let (node, incarnation, request, attempt, endpoint, process) =
+            (j.node, j.incarnation, j.request, j.attempt, j.endpoint, j.process);
         let keeps = matches!(outcome, Outcome::Success | Outcome::Error | Outcome::Overloaded);
         if std::mem::take(&mut j.holds_connection) {
-            if keeps && self.endpoints[endpoint].process == process && self.nodes[node].life == life {
+            if keeps
+                && self.endpoints[endpoint].process == process
+                && self.nodes[node].incarnation == incarnation
+            {
                 *self.nodes[node].idle.entry((endpoint, process)).or_default() += 1;
             } else {
                 self.release(endpoint, process, 1);
             }
         }
-        if self.nodes[node].life != life {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
-        self.tally.ended(self.now, self.nodes[node].tier, outcome);
+        self.counters.ended(self.now, self.nodes[node].tier, outcome);
         if self.scenario.fleet.hears != Hears::Nothing
             && let Some(code) = evidence::outcome_code(outcome)
         {
@@ -954,25 +967,25 @@
                 outcome: code,
                 budget_fraction: (self.now.since(sent).secs() / budget.secs().max(1e-6)) as f32,
             };
-            self.evidence.record(self.now, 0, node as u32, u64::from(life), &[seen]);
+            self.evidence.record(self.now, 0, node as u32, u64::from(incarnation), &[seen]);
         }
         if outcome == Outcome::Success {
             self.final_answer(node, request, Answer::Served);
         }
         let closed = closed || self.nodes[node].requests[request].as_ref().is_none_or(|r| r.answered);
         let now = self.now;
-        self.with(node, life, |policy| policy.outcome(now, request, attempt, outcome, closed));
+        self.with_policy(node, incarnation, |policy| policy.outcome(now, request, attempt, outcome, closed));
     }
 
-    fn back(&mut self, job: usize, outcome: Outcome) {
+    fn response_arrives(&mut self, job: usize, outcome: Outcome) {
         if self.jobs[job].awaited {
-            self.heard(job, outcome, false);
+            self.attempt_ended(job, outcome, false);
         }
     }
 
     // Endpoints.
 
-    fn reaches(&mut self, job: usize) {
+    fn attempt_arrives(&mut self, job: usize) {
         let j = &self.jobs[job];
         let (endpoint, process, method) = (j.endpoint, j.process, j.method);
         if !j.awaited {
@@ -985,24 +998,25 @@
         }
         let hop = self.hop();
         if !e.up || e.process != process {
-            return self.soon(hop, Event::Back { job, outcome: Told::Reset });
+            return self.schedule_after(hop, Event::ResponseArrives { job, outcome: AttemptResult::Reset });
         }
         let active = self.faults.active_on(tier, number, self.now);
         if e.drains {
-            return self.soon(hop, Event::Back { job, outcome: Told::Overloaded });
+            return self
+                .schedule_after(hop, Event::ResponseArrives { job, outcome: AttemptResult::Overloaded });
         }
         let of = (tier, e.speed, e.started);
-        let service = service::draw(self.scenario, of, &active, (self.now, method), &mut self.chance);
+        let service = service::draw(self.scenario, of, &active, (self.now, method), &mut self.rng);
         let j = &mut self.jobs[job];
-        (j.told, j.lost) = match service.fate {
-            Fate::Good => (Told::Served, false),
-            Fate::ImmediateError | Fate::Error | Fate::Malformed => (Told::Error, false),
-            Fate::Cut | Fate::Reset => (Told::Reset, false),
-            Fate::Lost => (Told::Served, true),
+        (j.result, j.lost) = match service.fate {
+            Fate::Good => (AttemptResult::Served, false),
+            Fate::ImmediateError | Fate::Error | Fate::Malformed => (AttemptResult::Error, false),
+            Fate::Cut | Fate::Reset => (AttemptResult::Reset, false),
+            Fate::Lost => (AttemptResult::Served, true),
         };
         if service.fate == Fate::ImmediateError {
             let after = hop + millis(QUICK_ERROR_MS);
-            return self.soon(after, Event::Back { job, outcome: Told::Error });
+            return self.schedule_after(after, Event::ResponseArrives { job, outcome: AttemptResult::Error });
         }
         j.calls_left = self.scenario.tier[tier].calls;
         let e = &mut self.endpoints[endpoint];
@@ -1017,7 +1031,9 @@
             );
         }
         match e.queue.admit(self.now, job, service.takes) {
-            Admission::Full => self.soon(hop, Event::Back { job, outcome: Told::Overloaded }),
+            Admission::Full => {
+                self.schedule_after(hop, Event::ResponseArrives { job, outcome: AttemptResult::Overloaded })
+            }
             Admission::Waits => {
                 self.jobs[job].inside = true;
                 e.inside_jobs.push(job);
@@ -1025,19 +1041,19 @@
             Admission::Works(until) => {
                 self.jobs[job].inside = true;
                 e.inside_jobs.push(job);
-                self.begins(job, until);
+                self.start_job(job, until);
             }
         }
     }
 
-    fn begins(&mut self, job: usize, until: Moment) {
+    fn start_job(&mut self, job: usize, until: Moment) {
         let j = &mut self.jobs[job];
         j.works = true;
         let (effect, method, number) = (j.effect, j.method, self.endpoints[j.endpoint].number);
         let tier = self.endpoints[j.endpoint].tier;
         let m = &self.scenario.method[method];
         let group = service::group(self.scenario, tier, number, method);
-        // Calls to later tiers have ids of their own, so they are told apart by those.
+        // Calls to later tiers carry ids of their own, so the checker tracks them separately.
         self.checker.effect(self.now, effect, m, group);
         self.schedule(until, Event::CoreDone { job });
     }
@@ -1048,13 +1064,13 @@
             return;
         }
         if let Some((next, until)) = self.endpoints[endpoint].queue.core_done(self.now) {
-            self.begins(next, until);
+            self.start_job(next, until);
         }
-        self.goes_on(job);
+        self.continue_job(job);
     }
 
-    /// A job's own work is done: it calls the next tier, or answers.
-    fn goes_on(&mut self, job: usize) {
+    /// A job's own work is done: calls the next tier, or sends the response.
+    fn continue_job(&mut self, job: usize) {
         let j = &mut self.jobs[job];
         let node = self.endpoints[j.endpoint].node;
         if let (Some(node), true) = (node, j.calls_left > 0 && j.awaited) {
@@ -1068,55 +1084,55 @@
                 self.arrival(node, From::Job(job), method, effect, deadline);
                 return;
             }
-            j_fails(&mut self.jobs[job]);
+            fail_job(&mut self.jobs[job]);
         }
-        self.answers(job);
+        self.respond(job);
     }
 
-    /// A call to the next tier has come to its end.
-    fn called(&mut self, job: usize, answer: Answer) {
+    /// A call to the next tier has ended.
+    fn call_ended(&mut self, job: usize, answer: Answer) {
         if !self.jobs[job].inside {
             return;
         }
         if answer != Answer::Served {
-            j_fails(&mut self.jobs[job]);
+            fail_job(&mut self.jobs[job]);
         }
-        self.goes_on(job);
+        self.continue_job(job);
     }
 
-    fn answers(&mut self, job: usize) {
+    fn respond(&mut self, job: usize) {
         let j = &mut self.jobs[job];
         j.inside = false;
-        let (endpoint, told, lost) = (j.endpoint, j.told, j.lost);
+        let (endpoint, result, lost) = (j.endpoint, j.result, j.lost);
         let e = &mut self.endpoints[endpoint];
         e.queue.leave();
         e.inside_jobs.retain(|inside| *inside != job);
         if !lost && (e.up || !e.silent) {
-            self.soon(self.hop(), Event::Back { job, outcome: told });
+            self.schedule_after(self.hop(), Event::ResponseArrives { job, outcome: result });
         }
     }
 
-    fn turns_round(&mut self, at: usize) {
-        let (_, tier, number, turn) = self.turns[at];
+    fn change_lifecycle(&mut self, at: usize) {
+        let (_, tier, number, change) = self.lifecycle_changes[at];
         let endpoint = self.first[tier] + number;
         let e = &mut self.endpoints[endpoint];
-        match turn {
+        match change {
             LifecycleChange::Drains => e.drains = true,
             LifecycleChange::Ends | LifecycleChange::Vanishes => {
-                (e.up, e.silent) = (false, turn == LifecycleChange::Vanishes);
-                if turn == LifecycleChange::Ends {
+                (e.up, e.silent) = (false, change == LifecycleChange::Vanishes);
+                if change == LifecycleChange::Ends {
                     let node = e.node;
-                    self.breaks(endpoint);
+                    self.reset_jobs(endpoint);
                     node.into_iter().for_each(|node| self.kill(node));
                 }
             }
             LifecycleChange::Starts | LifecycleChange::Returns => {
-                if turn == LifecycleChange::Starts {
-                    self.breaks(endpoint);
+                if change == LifecycleChange::Starts {
+                    self.reset_jobs(endpoint);
                 }
                 let e = &mut self.endpoints[endpoint];
                 (e.up, e.silent, e.drains) = (true, false, false);
-                if turn == LifecycleChange::Starts {
+                if change == LifecycleChange::Starts {
                     e.process += 1;
                     e.started = Some(self.now);
                     e.queue =
@@ -1124,7 +1140,8 @@
                     e.connections = 0;
                     self.checker.started((tier, number));
                 }
-                if let Some(node) = self.endpoints[endpoint].node.filter(|_| turn == LifecycleChange::Starts)
+                if let Some(node) =
+                    self.endpoints[endpoint].node.filter(|_| change == LifecycleChange::Starts)
                 {
                     self.kill(node);
                     self.start(node);
@@ -1132,68 +1149,69 @@
             }
         }
         let e = &self.endpoints[endpoint];
-        let standing = match turn {
+        let state = match change {
             LifecycleChange::Drains => EndpointState::Draining,
             LifecycleChange::Ends | LifecycleChange::Vanishes => EndpointState::Gone,
             LifecycleChange::Starts | LifecycleChange::Returns => EndpointState::Ready,
         };
         let (started, process) = (e.started, e.process);
-        if turn == LifecycleChange::Starts && process > 0 {
-            // The process before is gone for good.
-            let gone = News { endpoint, process: process - 1, standing: EndpointState::Gone, started: None };
-            self.spread(tier, gone);
+        if change == LifecycleChange::Starts && process > 0 {
+            // The previous process is gone for good.
+            let gone =
+                ListUpdate { endpoint, process: process - 1, state: EndpointState::Gone, started: None };
+            self.publish(tier, gone);
         }
-        self.spread(tier, News { endpoint, process, standing, started });
+        self.publish(tier, ListUpdate { endpoint, process, state, started });
     }
 
-    /// What an endpoint held is lost; who waits for it hears so.
-    fn breaks(&mut self, endpoint: usize) {
+    /// Drops all jobs of an endpoint and resets their connections.
+    fn reset_jobs(&mut self, endpoint: usize) {
         for job in std::mem::take(&mut self.endpoints[endpoint].inside_jobs) {
             self.jobs[job].inside = false;
-            self.soon(self.hop(), Event::Back { job, outcome: Told::Reset });
+            self.schedule_after(self.hop(), Event::ResponseArrives { job, outcome: AttemptResult::Reset });
         }
     }
 
-    /// The list notices, and tells each sidecar of the tier in its own time.
-    fn spread(&mut self, tier: usize, news: News) {
-        let told = self.news.len();
-        self.news.push(news);
+    /// Publishes a list update to each sidecar of the tier, each with its own delay.
+    fn publish(&mut self, tier: usize, update: ListUpdate) {
+        let at = self.updates.len();
+        self.updates.push(update);
         for node in 0..self.nodes.len() {
             if self.nodes[node].tier != tier {
                 continue;
             }
-            let delay = self.scenario.list.delay_ms * (1.0 + self.chance.rand_float());
+            let delay = self.scenario.list.delay_ms * (1.0 + self.rng.rand_float());
             let delay = delay + self.faults.list_late_ms(self.now);
-            let life = self.nodes[node].life;
-            self.soon(millis(delay), Event::Told { node, life, told });
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule_after(millis(delay), Event::ListUpdate { node, incarnation, at });
         }
     }
 
-    fn told(&mut self, node: usize, life: u32, told: usize) {
+    fn list_update(&mut self, node: usize, incarnation: u32, at: usize) {
         if self.faults.list_absent(self.now) {
-            // It is told once the list is there again.
-            return self.soon(LIST_TIMEOUT, Event::Told { node, life, told });
+            // Delivered once the list service is back.
+            return self.schedule_after(LIST_TIMEOUT, Event::ListUpdate { node, incarnation, at });
         }
-        if self.nodes[node].life == life && self.nodes[node].subscribed {
-            let news = self.news[told];
-            self.hear(node, false, &[news]);
+        if self.nodes[node].incarnation == incarnation && self.nodes[node].subscribed {
+            let update = self.updates[at];
+            self.deliver_list(node, false, &[update]);
         }
     }
 
-    fn asked(&mut self, node: usize, life: u32, answered: bool) {
-        if self.nodes[node].life != life || self.nodes[node].policy.is_none() {
+    fn list_reply(&mut self, node: usize, incarnation: u32, answered: bool) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].policy.is_none() {
             return;
         }
         if !answered {
             let now = self.now;
-            return self.with(node, life, |policy| policy.list_failed(now));
+            return self.with_policy(node, incarnation, |policy| policy.list_failed(now));
         }
         self.nodes[node].subscribed = true;
-        let whole = self.whole(self.nodes[node].tier);
-        self.hear(node, true, &whole);
+        let whole = self.full_list(self.nodes[node].tier);
+        self.deliver_list(node, true, &whole);
     }
 
-    fn look(&mut self) {
+    fn sample(&mut self) {
         if self.now >= at_ms(self.scenario.length_ms) {
             return;
         }
@@ -1202,23 +1220,23 @@
             let up = of_tier().filter(|e| e.up).count();
             let inside = of_tier().map(|e| e.queue.inside()).sum::<usize>();
             let most = of_tier().map(|e| e.queue.inside()).max().unwrap_or(0);
-            self.tally.look(self.now, tier, up, inside, most);
+            self.counters.sample(self.now, tier, up, inside, most);
         }
-        self.soon(LOOK_EVERY, Event::Look);
+        self.schedule_after(SAMPLE_INTERVAL, Event::Sample);
     }
 }
 
-/// A job whose call failed answers with an error, whatever it was to answer.
-fn j_fails(job: &mut Job) {
+/// Makes a job answer with an error because one of its calls failed.
+fn fail_job(job: &mut Job) {
     job.calls_left = 0;
-    job.told = Told::Error;
+    job.result = AttemptResult::Error;
 }
 
 impl Node {
     fn new(tier: usize) -> Node {
         Node {
             tier,
-            life: 0,
+            incarnation: 0,
             policy: None,
             names: Names::default(),
             known: Vec::new(),
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -64,7 +64,7 @@
     // One that takes connections and never answers: each request is lost, and said so.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let loaded = load::run(&scenario, 1, &[silent.local_addr().unwrap()], |_| 1.0).unwrap();
-    let offered = loaded.tally.outcomes("nobody", 1).whole.offered;
+    let offered = loaded.counters.outcomes("nobody", 1).whole.offered;
     assert!(offered > 0 && loaded.lost == offered, "{} of {offered}", loaded.lost);
     assert_eq!(load::broken(&loaded).get("NoReqLost"), Some(&offered));
 }
@@ -91,7 +91,7 @@
         }
     });
     let loaded = load::run(&scenario, 1, &[at], |_| 1.0).unwrap();
-    let times = &loaded.tally.times;
+    let times = &loaded.counters.times;
     assert_eq!((times.len(), loaded.lost, loaded.foreign), (20, 0, 0));
     // The first came 190 ms before the last, and its answer no earlier than the last had come.
     assert!(times.iter().any(|secs| *secs >= 0.19), "{times:?}");
--- a/crates/lab/tests/theory.rs
+++ b/crates/lab/tests/theory.rs
@@ -1,7 +1,7 @@
 //! The model against queueing theory. Bounds follow from the sample: the interval of batch means at 99.9%.
 
 use appledyke_lab::policy::PolicyKind;
-use appledyke_lab::report::Tally;
+use appledyke_lab::report::Counters;
 use appledyke_lab::scenario::Scenario;
 use appledyke_lab::simulate::play;
 
@@ -12,7 +12,7 @@
 const WORK: f64 = 0.02;
 
 /// One queue with so many cores and this load on each, no network in between.
-fn queue(cores: usize, load: f64, spread: &str, seconds: u64) -> Tally {
+fn queue(cores: usize, load: f64, spread: &str, seconds: u64) -> Counters {
     let text = format!(
         "name='queue'\nlength_ms={}\nwarm_up_ms=20000\n[load]\nper_second={}\n[net]\nhop_ms=0\n[[method]]\nname='view'\n\
          share=1.0\neffect='retryable'\nlatency_budget_ms=60000\ndeadline_ms=60000\n[[tier]]\nsidecars=1\nendpoints=1\n\
@@ -44,8 +44,8 @@
     last / (sum + last)
 }
 
-fn agrees(tally: &Tally, theory: f64) {
-    let (mean, half) = mean(&tally.times);
+fn agrees(counters: &Counters, theory: f64) {
+    let (mean, half) = mean(&counters.times);
     assert!((mean - theory).abs() < half, "{mean} is not {theory} within {half}");
     // The interval must say something: a tenth of the mean at the most.
     assert!(half < mean * 0.1, "{half} of {mean}");
@@ -75,9 +75,9 @@
 #[test]
 fn what_is_inside_is_the_rate_times_the_time_by_little() {
     let (load, seconds) = (0.7, 3000);
-    let tally = queue(1, load, "exponential", seconds);
-    let (time, half) = mean(&tally.times);
-    let outcomes = tally.outcomes("random", 7);
+    let counters = queue(1, load, "exponential", seconds);
+    let (time, half) = mean(&counters.times);
+    let outcomes = counters.outcomes("random", 7);
     // Looked at once a second, from outside: each look is a sample of what is inside.
     let inside: Vec<f64> =
         outcomes.windows[20..seconds as usize].iter().map(|w| w.inside[0] as f64).collect();
