--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -65,15 +65,15 @@
         let mut chance = Rand64::new(u128::from(seed) << 64 | 0xfa17);
         let mut faults = Vec::new();
         for fault in &scenario.fault {
-            let things = scenario.things(fault);
-            let mut affected = vec![fault.share.is_none() && fault.ids.is_empty(); things];
+            let count = scenario.target_count(fault);
+            let mut affected = vec![fault.share.is_none() && fault.ids.is_empty(); count];
             fault.ids.iter().for_each(|id| affected[*id] = true);
             if let Some(share) = fault.share {
                 // A share above 0 affects at least one target: a fault without targets would test nothing.
-                let least = usize::from(share > 0.0 && things > 0);
-                let wanted = ((things as f64 * share).round() as usize).max(least);
+                let least = usize::from(share > 0.0 && count > 0);
+                let wanted = ((count as f64 * share).round() as usize).max(least);
                 while affected.iter().filter(|is| **is).count() < wanted {
-                    affected[chance.rand_range(0..things as u64) as usize] = true;
+                    affected[chance.rand_range(0..count as u64) as usize] = true;
                 }
             }
             faults.push((fault.clone(), affected));
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! A laboratory for the decisions: a seeded model of a fleet and its faults in virtual time, an independent check
-//! of the four rules, plain policies to compare with, and reports. What it says is simulated.
+//! Tests of the balancer's decisions: a seeded simulation of a fleet and its faults in virtual time, an independent
+//! checker of the four rules, baseline policies to compare with, and reports. Its figures are simulated.
 
 pub mod added;
 pub mod chain;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: an open loop. Requests are sent at their scheduled times whatever comes back, and latency counts
-//! from the scheduled time. It says how late its own sending ran.
+//! An open-loop load generator. Requests are sent at their scheduled times regardless of responses, and latency counts
+//! from the scheduled time. It reports how late its own sending was.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -13,40 +13,40 @@
 use crate::report::Counters;
 use crate::scenario::{Effect, Scenario, at_ms, millis};
 
-/// A run whose sending ran later than this at the 99th percentile, in milliseconds, says little of the sidecars.
-const VOID_LATE_MS: f64 = 20.0;
-/// So long after its deadline a request without an answer counts as lost: the machine is shared, so more than in
-/// virtual time.
+/// A run whose 99th percentile sending delay exceeds this, in milliseconds, says little about the sidecars.
+const MAX_VALID_LATE_MS: f64 = 20.0;
+/// A request without an answer counts as lost this long after its deadline. The machine is shared, so this is more
+/// than in virtual time.
 const ANSWER_SLACK: Span = Span::from_millis(400);
-/// Most that a run may offer.
-const MOST_REQUESTS: usize = 5_000_000;
+/// Most requests of a run.
+const MAX_REQUESTS: usize = 5_000_000;
 
-/// What a load run came to.
-pub struct Loaded {
+/// The result of a load run.
+pub struct LoadResult {
     pub counters: Counters,
     pub late_p99_ms: f64,
-    /// Requests without an answer, and answers that were not made for their request.
+    /// Requests without an answer, and answers that belong to another request.
     pub lost: u64,
     pub foreign: u64,
 }
 
-impl Loaded {
+impl LoadResult {
     pub fn void(&self) -> bool {
-        self.late_p99_ms > VOID_LATE_MS
+        self.late_p99_ms > MAX_VALID_LATE_MS
     }
 }
 
 struct Client {
     method: usize,
     tenant: usize,
-    born: Moment,
+    arrived_at: Moment,
     deadline: Moment,
     attempt: u32,
     key: u64,
     id: u64,
     on: Option<Token>,
-    /// Sent on a connection that had been used before, so it may be sent once more if that has ended.
-    again: bool,
+    /// Sent on a reused connection, so it may be resent once if that was closed.
+    on_reused: bool,
     done: bool,
 }
 
@@ -57,8 +57,8 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Tries(usize),
+enum Timer {
+    Retry(usize),
     TimedOut(usize, u32),
 }
 
@@ -71,13 +71,13 @@
     idle: Vec<Vec<Token>>,
     next: usize,
     clients: Vec<Client>,
-    due: BTreeSet<(Moment, Due)>,
+    due: BTreeSet<(Moment, Timer)>,
     chance: Rand64,
-    loaded: Loaded,
+    result: LoadResult,
     open: usize,
 }
 
-/// The moments of arrival: Poisson's, or the scenario's trace, with the bursts of its schedule.
+/// The arrival times: Poisson with the bursts of the schedule, or the scenario's trace.
 fn arrivals(scenario: &Scenario, chance: &mut Rand64, burst: impl Fn(Moment) -> f64) -> Vec<Moment> {
     let end = at_ms(scenario.length_ms);
     if !scenario.load.trace_ms.is_empty() {
@@ -97,13 +97,13 @@
     }
 }
 
-/// Offers the scenario's load to these sidecars. Only addresses of this machine's loopback are taken.
+/// Sends the scenario's load to these sidecars. Only loopback addresses are accepted.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
     to: &[SocketAddr],
     burst: impl Fn(Moment) -> f64,
-) -> Result<Loaded, String> {
+) -> Result<LoadResult, String> {
     if let Some(other) = to.iter().find(|at| !at.ip().is_loopback()) {
         return Err(format!("--to: {other} is not on the loopback"));
     }
@@ -112,11 +112,11 @@
     }
     let mut chance = Rand64::new(u128::from(seed));
     let moments = arrivals(scenario, &mut chance, burst);
-    if moments.len() > MOST_REQUESTS {
-        return Err(format!("load.per_second: {} reqs, of {MOST_REQUESTS} at the most", moments.len()));
+    if moments.len() > MAX_REQUESTS {
+        return Err(format!("load.per_second: {} reqs, of {MAX_REQUESTS} at the most", moments.len()));
     }
     let poll = Poll::new().map_err(|e| format!("poll: {e}"))?;
-    let loaded = Loaded { counters: Counters::new(scenario), late_p99_ms: 0.0, lost: 0, foreign: 0 };
+    let result = LoadResult { counters: Counters::new(scenario), late_p99_ms: 0.0, lost: 0, foreign: 0 };
     let mut run = Run {
         scenario,
         to,
@@ -128,11 +128,11 @@
         clients: Vec::new(),
         due: BTreeSet::new(),
         chance,
-        loaded,
+        result,
         open: 0,
     };
-    run.plays(&moments)?;
-    Ok(run.loaded)
+    run.run(&moments)?;
+    Ok(run.result)
 }
 
 impl Run<'_> {
@@ -140,20 +140,20 @@
         Moment::from_nanos(self.start.elapsed().as_nanos() as u64)
     }
 
-    fn plays(&mut self, moments: &[Moment]) -> Result<(), String> {
+    fn run(&mut self, moments: &[Moment]) -> Result<(), String> {
         let mut events = Events::with_capacity(256);
         let mut late = Vec::with_capacity(moments.len());
         let mut coming = moments.iter().copied().peekable();
         loop {
             while let Some(at) = coming.next_if(|at| *at <= self.now()) {
                 late.push(self.now().since(at).secs() * 1e3);
-                self.comes(at);
+                self.add_client(at);
             }
             while let Some((at, due)) = self.due.first().copied().filter(|(at, _)| *at <= self.now()) {
                 self.due.remove(&(at, due));
                 match due {
-                    Due::Tries(client) => self.tries(client),
-                    Due::TimedOut(client, attempt) => self.timed_out(client, attempt),
+                    Timer::Retry(client) => self.send_try(client),
+                    Timer::TimedOut(client, attempt) => self.timed_out(client, attempt),
                 }
             }
             let next = coming.peek().copied().into_iter().chain(self.due.first().map(|(at, _)| *at)).min();
@@ -167,44 +167,44 @@
             ready.into_iter().for_each(|token| self.ready(token));
         }
         late.sort_by(f64::total_cmp);
-        self.loaded.late_p99_ms = late.get(late.len().saturating_sub(1) * 99 / 100).copied().unwrap_or(0.0);
+        self.result.late_p99_ms = late.get(late.len().saturating_sub(1) * 99 / 100).copied().unwrap_or(0.0);
         Ok(())
     }
 
-    fn comes(&mut self, born: Moment) {
-        let method = self.scenario.drawn_method(&mut self.chance);
+    fn add_client(&mut self, arrived_at: Moment) {
+        let method = self.scenario.draw_method(&mut self.chance);
         let tenant = self.chance.rand_range(0..self.scenario.load.tenants as u64) as usize;
-        let deadline = born + Span::from_millis(self.scenario.method[method].deadline_ms);
+        let deadline = arrived_at + Span::from_millis(self.scenario.method[method].deadline_ms);
         let key = self.chance.rand_u64();
         let client = Client {
             method,
             tenant,
-            born,
+            arrived_at,
             deadline,
             attempt: 0,
             key,
             id: 0,
             on: None,
-            again: false,
+            on_reused: false,
             done: false,
         };
         self.clients.push(client);
         self.open += 1;
-        self.loaded.counters.offered(born, method, tenant);
-        self.tries(self.clients.len() - 1);
+        self.result.counters.offered(arrived_at, method, tenant);
+        self.send_try(self.clients.len() - 1);
     }
 
-    fn tries(&mut self, client: usize) {
+    fn send_try(&mut self, client: usize) {
         let id = self.chance.rand_u64();
         let to = self.chance.rand_range(0..self.to.len() as u64) as usize;
         let now = self.now();
         let c = &mut self.clients[client];
         c.attempt += 1;
-        (c.id, c.again) = (id, false);
+        (c.id, c.on_reused) = (id, false);
         if c.attempt > 1 {
-            self.loaded.counters.retried(now);
+            self.result.counters.retried(now);
         }
-        self.due.insert((c.deadline + ANSWER_SLACK, Due::TimedOut(client, c.attempt)));
+        self.due.insert((c.deadline + ANSWER_SLACK, Timer::TimedOut(client, c.attempt)));
         self.send(client, to, true);
     }
 
@@ -223,13 +223,13 @@
                 let Ok(connection) = HttpConnection::open(self.to[to], self.poll.registry(), token) else {
                     return self.ended(client, 0, None);
                 };
-                self.loaded.counters.opened(now);
+                self.result.counters.opened(now);
                 self.links.insert(token, Link { connection, to, carries: None });
                 token
             }
         };
         let c = &mut self.clients[client];
-        (c.on, c.again) = (Some(token), idle.is_some());
+        (c.on, c.on_reused) = (Some(token), idle.is_some());
         let link = self.links.get_mut(&token).expect("idle ones are kept");
         link.carries = Some(client);
         link.connection.write(&text);
@@ -259,7 +259,7 @@
             Ok(Some(message)) => {
                 let made = format!("{:016x}", self.clients[client].id);
                 let own = link.connection.input[message.body.0..message.body.1] == *made.as_bytes();
-                self.loaded.foreign += u64::from(message.status == 200 && !own);
+                self.result.foreign += u64::from(message.status == 200 && !own);
                 link.connection.input.drain(..message.body.1);
                 link.carries = None;
                 if message.close || over {
@@ -272,8 +272,8 @@
             Ok(None) if !over => {}
             _ => {
                 self.drop_link(token);
-                // A sidecar may close between requests; one that crossed that is sent once more.
-                if nothing && std::mem::take(&mut self.clients[client].again) {
+                // A sidecar may close an idle connection; a request that crossed the close is resent once.
+                if nothing && std::mem::take(&mut self.clients[client].on_reused) {
                     return self.send(client, to, false);
                 }
                 self.ended(client, 0, None);
@@ -281,7 +281,7 @@
         }
     }
 
-    /// A try has its answer, or its connection broke, which stands as 0.
+    /// Handles the end of a try: its response status, or 0 if its connection broke.
     fn ended(&mut self, client: usize, status: u16, retry_after: Option<f64>) {
         let now = self.now();
         let c = &mut self.clients[client];
@@ -290,23 +290,23 @@
         }
         c.on = None;
         let m = &self.scenario.method[c.method];
-        let took = now.since(c.born);
-        self.due.remove(&(c.deadline + ANSWER_SLACK, Due::TimedOut(client, c.attempt)));
+        let took = now.since(c.arrived_at);
+        self.due.remove(&(c.deadline + ANSWER_SLACK, Timer::TimedOut(client, c.attempt)));
         let rejected = matches!(status, 429 | 503);
         if status == 200 && now <= c.deadline {
             let in_time = took <= Span::from_millis(m.latency_budget_ms);
-            self.loaded.counters.served((c.born, took), c.method, c.tenant, in_time, m);
+            self.result.counters.served((c.arrived_at, took), c.method, c.tenant, in_time, m);
         } else {
             let back_off = self.scenario.load.back_off_ms as f64 / 1e3;
             let wait = millis(retry_after.unwrap_or(back_off).clamp(0.0, 60.0) * 1e3);
             let harmless = rejected || m.effect == Effect::Retryable;
             if harmless && c.attempt <= self.scenario.load.retries && now + wait < c.deadline {
-                self.due.insert((now + wait, Due::Tries(client)));
+                self.due.insert((now + wait, Timer::Retry(client)));
                 return;
             }
             match rejected {
-                true => self.loaded.counters.rejected(c.born, c.method, c.tenant),
-                false => self.loaded.counters.failed(c.born, c.method, c.tenant),
+                true => self.result.counters.rejected(c.arrived_at, c.method, c.tenant),
+                false => self.result.counters.failed(c.arrived_at, c.method, c.tenant),
             }
         }
         c.done = true;
@@ -320,17 +320,17 @@
         }
         c.done = true;
         self.open -= 1;
-        self.loaded.lost += 1;
-        self.loaded.counters.failed(c.born, c.method, c.tenant);
+        self.result.lost += 1;
+        self.result.counters.failed(c.arrived_at, c.method, c.tenant);
         if let Some(token) = c.on.take() {
             self.drop_link(token);
         }
     }
 }
 
-/// The rules that a load run can see broken, by name.
-pub fn broken(loaded: &Loaded) -> BTreeMap<String, u64> {
-    let counts = [("NoReqLost", loaded.lost), ("NoForeignAnswer", loaded.foreign)];
+/// The rule violations that a load run can detect, by rule name.
+pub fn broken(result: &LoadResult) -> BTreeMap<String, u64> {
+    let counts = [("NoReqLost", result.lost), ("NoForeignAnswer", result.foreign)];
     counts
         .into_iter()
         .filter(|(_, count)| *count > 0)
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to: counts by window, method and tenant, latencies, the rules; as text, JSON and plots.
+//! The results of a run: counts by window, method and tenant, latencies and rule violations; as text, JSON and plots.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,19 +12,19 @@
 use crate::rule_checker::RuleChecker;
 use crate::scenario::{Method, Scenario, at_ms};
 
-/// The version of a result file; another is refused.
+/// The version of the result file format; other versions are rejected.
 pub const FORMAT: u32 = 1;
-/// Length of a window.
+/// Length of a counting window.
 const WINDOW: Span = Span::from_millis(1000);
-/// Latencies are kept in microseconds, to three digits, up to an hour.
-const DIGITS: u8 = 3;
-const LATENCY_MOST_US: u64 = 3_600_000_000;
-/// Student's t for 95% both ways, by degrees of freedom; beyond the table the normal's is near enough.
+/// Latencies are recorded in microseconds with three significant digits, up to one hour.
+const SIGNIFICANT_DIGITS: u8 = 3;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
+/// Student's t for a two-sided 95% interval, by degrees of freedom; beyond the table the normal quantile is close enough.
 const T95: [f64; 20] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086,
 ];
-const T95_MORE: f64 = 1.96;
+const NORMAL95: f64 = 1.96;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -35,7 +35,7 @@
     #[serde(rename = "nacked")]
     pub rejected: u64,
     pub failed: u64,
-    /// Worth asked for, and served in the budget or past it.
+    /// Criticality of offered requests, and the credit for served ones, within the latency budget or past it.
     pub asked: f64,
     pub served: f64,
 }
@@ -46,7 +46,7 @@
     pub counts: Counts,
     pub retries: u64,
     pub opened: u64,
-    /// Of each tier: attempts, and those that failed; endpoints up, requests inside, and the most inside one.
+    /// Per tier: attempts, failed attempts, endpoints up, requests in endpoints, and the most in one endpoint.
     pub sent: Vec<u64>,
     pub vain: Vec<u64>,
     pub up: Vec<usize>,
@@ -54,7 +54,7 @@
     pub most_inside: Vec<usize>,
 }
 
-/// A run's result, as a file holds it.
+/// A run's result, as stored in a result file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Outcomes {
@@ -66,12 +66,12 @@
     pub methods: BTreeMap<String, Counts>,
     pub tenants: Vec<Counts>,
     pub windows: Vec<Window>,
-    /// Microseconds at the 50th, 90th, 99th and 99.9th percentile of what was served.
+    /// The 50th, 90th, 99th and 99.9th percentile latency of served requests, in microseconds.
     pub latency_us: [u64; 4],
     pub broken: BTreeMap<String, u64>,
     pub told: Vec<String>,
     pub events: u64,
-    /// Of each budget, by what it is of: its whole, the most in a window, and the share used after the warm-up.
+    /// Per budget, by resource: its quota, the most spent in a window, and the fraction used after the warm-up.
     #[serde(default)]
     pub uses: BTreeMap<String, (u64, u64, f64)>,
 }
@@ -86,7 +86,7 @@
     windows: Vec<Window>,
     tiers: usize,
     latency: Histogram<u64>,
-    /// Times from birth to answer, in the order of answers: for checks against theory.
+    /// Response times in seconds, in order of completion; for comparison with queueing theory.
     pub times: Vec<f64>,
     broken: BTreeMap<String, u64>,
     told: Vec<String>,
@@ -105,7 +105,8 @@
             by_tenant: vec![Counts::default(); scenario.load.tenants],
             windows: Vec::new(),
             tiers: scenario.tier.len(),
-            latency: Histogram::new_with_max(LATENCY_MOST_US, DIGITS).expect("three digits fit"),
+            latency: Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+                .expect("valid histogram bounds"),
             times: Vec::new(),
             broken: BTreeMap::new(),
             told: Vec::new(),
@@ -125,19 +126,19 @@
         &mut self.windows[place]
     }
 
-    /// Counts for the window in which the client first came, its method, its tenant and the whole.
-    fn count(&mut self, born: Moment, method: usize, tenant: usize, what: impl Fn(&mut Counts)) {
-        what(&mut self.window(born).counts);
-        if born >= self.warm {
+    /// Counts for the window of the client's arrival, its method, its tenant and the total.
+    fn count(&mut self, arrived_at: Moment, method: usize, tenant: usize, what: impl Fn(&mut Counts)) {
+        what(&mut self.window(arrived_at).counts);
+        if arrived_at >= self.warm {
             what(&mut self.whole);
             what(&mut self.by_method[method]);
             what(&mut self.by_tenant[tenant]);
         }
     }
 
-    pub fn offered(&mut self, born: Moment, method: usize, tenant: usize) {
+    pub fn offered(&mut self, arrived_at: Moment, method: usize, tenant: usize) {
         let worth = self.methods[method].criticality;
-        self.count(born, method, tenant, |c| {
+        self.count(arrived_at, method, tenant, |c| {
             c.offered += 1;
             c.asked += worth;
         });
@@ -145,29 +146,29 @@
 
     pub fn served(
         &mut self,
-        (born, took): (Moment, Span),
+        (arrived_at, latency): (Moment, Span),
         method: usize,
         tenant: usize,
         in_time: bool,
         m: &Method,
     ) {
         let worth = if in_time { m.criticality } else { m.overdue_criticality };
-        self.count(born, method, tenant, |c| {
+        self.count(arrived_at, method, tenant, |c| {
             *if in_time { &mut c.in_time } else { &mut c.late } += 1;
             c.served += worth;
         });
-        if born >= self.warm {
-            self.latency.saturating_record(took.nanos() / 1000);
-            self.times.push(took.secs());
+        if arrived_at >= self.warm {
+            self.latency.saturating_record(latency.nanos() / 1000);
+            self.times.push(latency.secs());
         }
     }
 
-    pub fn rejected(&mut self, born: Moment, method: usize, tenant: usize) {
-        self.count(born, method, tenant, |c| c.rejected += 1);
+    pub fn rejected(&mut self, arrived_at: Moment, method: usize, tenant: usize) {
+        self.count(arrived_at, method, tenant, |c| c.rejected += 1);
     }
 
-    pub fn failed(&mut self, born: Moment, method: usize, tenant: usize) {
-        self.count(born, method, tenant, |c| c.failed += 1);
+    pub fn failed(&mut self, arrived_at: Moment, method: usize, tenant: usize) {
+        self.count(arrived_at, method, tenant, |c| c.failed += 1);
     }
 
     pub fn retried(&mut self, now: Moment) {
@@ -192,9 +193,9 @@
         (window.up[tier], window.inside[tier], window.most_inside[tier]) = (up, inside, most);
     }
 
-    /// Takes over what endpoints saw, where that is counted apart from what clients did.
-    pub fn absorb(&mut self, seen: Counters) {
-        for (at, theirs) in seen.windows.into_iter().enumerate() {
+    /// Merges the counters of endpoints, where those are recorded separately from the clients'.
+    pub fn absorb(&mut self, endpoints: Counters) {
+        for (at, theirs) in endpoints.windows.into_iter().enumerate() {
             let ours = self.window(Moment::from_nanos(at as u64 * WINDOW.nanos()));
             (ours.sent, ours.vain) = (theirs.sent, theirs.vain);
             (ours.up, ours.inside, ours.most_inside) = (theirs.up, theirs.inside, theirs.most_inside);
@@ -228,7 +229,7 @@
 }
 
 impl Counts {
-    /// Part of the worth asked for that was served; all of nothing is nothing lost.
+    /// The fraction of offered criticality that was served; 1 if nothing was offered.
     pub fn goodput(&self) -> f64 {
         if self.asked > 0.0 { self.served / self.asked } else { 1.0 }
     }
@@ -248,7 +249,7 @@
 }
 
 impl Outcomes {
-    /// Reads a result file, and refuses one that is damaged or of another version.
+    /// Reads a result file, and rejects one that is damaged or of another version.
     pub fn read(path: &std::path::Path) -> Result<Outcomes, String> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = std::fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
@@ -313,7 +314,7 @@
         text
     }
 
-    /// Worth served and rejections over time, and requests inside the first tier, as a drawing.
+    /// Plots goodput and rejections over time as SVG.
     pub fn svg(&self) -> Result<String, String> {
         let mut drawing = String::new();
         {
@@ -352,7 +353,7 @@
     }
 }
 
-/// Differences of pairs: their mean, their spread and the mean's 95% interval.
+/// Statistics of paired differences: mean, standard deviation and the mean's 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Paired {
     pub pairs: usize,
@@ -367,7 +368,7 @@
     let mean = differences.iter().sum::<f64>() / n.max(1.0);
     let squares = differences.iter().map(|d| (d - mean).powi(2)).sum::<f64>();
     let spread = if n > 1.0 { (squares / (n - 1.0)).sqrt() } else { f64::NAN };
-    let t = T95.get(differences.len().saturating_sub(2)).copied().unwrap_or(T95_MORE);
+    let t = T95.get(differences.len().saturating_sub(2)).copied().unwrap_or(NORMAL95);
     let half = t * spread / n.sqrt();
     Paired { pairs: differences.len(), mean, spread, low: mean - half, high: mean + half }
 }
@@ -377,9 +378,9 @@
     use super::*;
 
     #[test]
-    fn an_interval_of_pairs_is_students() {
+    fn paired_interval_uses_students_t() {
         let of = paired(&[1.0, 2.0, 3.0]);
-        // The mean's standard error is 1/sqrt(3), and t for two degrees of freedom is 4.303.
+        // The mean's standard error is 1/sqrt(3); t for two degrees of freedom is 4.303.
         assert!((of.mean - 2.0).abs() < 1e-12 && (of.spread - 1.0).abs() < 1e-12);
         assert!((of.high - (2.0 + 4.303 / 3.0_f64.sqrt())).abs() < 1e-9);
         assert!(paired(&[1.0]).high.is_nan());
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a scenario file may say, read and checked in this one place. Every message names the file and the key.
+//! The scenario file format, with its parsing and validation. Every error message names the file and the key.
 
 use std::path::Path;
 
@@ -9,24 +9,24 @@
 use oorandom::Rand64;
 use serde::Deserialize;
 
-/// A fleet larger than this is a slip of the pen: it would take hours.
-const MOST_MACHINES: usize = 20_000;
-/// Tiers that call one another: deeper than any chain of calls that is known.
-const MOST_TIERS: f64 = 16.0;
-/// Longest run, in virtual milliseconds: a day.
-const MOST_LENGTH_MS: u64 = 86_400_000;
+/// Most endpoints or sidecars of a tier. A larger number is probably a typing error: the run would take hours.
+const MAX_MACHINES: usize = 20_000;
+/// Most tiers; no known call chain is deeper.
+const MAX_TIERS: f64 = 16.0;
+/// Longest run in virtual milliseconds: one day.
+const MAX_LENGTH_MS: u64 = 86_400_000;
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
     pub length_ms: u64,
-    /// What is offered before this counts for nothing in the report.
+    /// Requests offered before this time are left out of the report.
     #[serde(default)]
     pub warm_up_ms: u64,
     #[serde(default = "one")]
     pub zones: usize,
-    /// Whether a call to the next tier has the time left of the one that makes it; else its method's whole deadline anew.
+    /// Whether a call to the next tier inherits the time left of its caller; otherwise it gets its method's full deadline.
     #[serde(default = "yes")]
     pub deadline_passed: bool,
     pub load: Load,
@@ -38,10 +38,10 @@
     pub list: ListService,
     #[serde(default)]
     pub rules: Rules,
-    /// What sidecars hear of one another by daemons.
+    /// What sidecars learn of each other through daemons.
     #[serde(default)]
     pub fleet: FleetTerms,
-    /// Budgets that the first tier's sidecars share, or those of each tier for themselves.
+    /// Budgets shared by the first tier's sidecars, or by those of each tier.
     #[serde(default)]
     pub budgets: Budgets,
     #[serde(default)]
@@ -52,10 +52,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum By {
-    /// Each has the whole through the number that its file states.
+    /// Each sidecar gets the quota divided by the number of instances in its settings.
     #[default]
     Cut,
-    /// Divided by daemons, by what each wants.
+    /// Daemons divide the quota by demand.
     Parts,
 }
 
@@ -63,32 +63,32 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Budgets {
     pub by: By,
-    /// How many sidecars each file states.
+    /// The number of sidecars stated in each one's settings.
     pub instances: u64,
     pub beat_ms: u64,
-    /// From a proposal to its entry's effect.
+    /// Delay from a proposal until its log entry takes effect.
     pub commit_ms: f64,
-    /// Each tier is a fleet of its own with these budgets; else only the first has them.
+    /// Whether each tier is a fleet of its own with these budgets; otherwise only the first tier has them.
     pub each_tier: bool,
     pub row: Vec<Budget>,
 }
 
 impl Default for Budgets {
     fn default() -> Budgets {
-        // A commit's millisecond is what real daemons take on one machine.
+        // Real daemons on one machine take 1 ms for a commit.
         Budgets { by: By::Cut, instances: 1, beat_ms: 500, commit_ms: 1.0, each_tier: false, row: Vec::new() }
     }
 }
 
-/// What members of a fleet hear of how others' attempts ended.
+/// What members of a fleet learn of the outcomes of others' attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Hears {
     #[default]
     Nothing,
-    /// Those that start or return, the latest.
+    /// Members that start or return receive the latest reports.
     Returning,
-    /// All, at each beat.
+    /// All members receive reports at each heartbeat.
     All,
 }
 
@@ -97,7 +97,7 @@
 pub struct FleetTerms {
     pub hears: Hears,
     pub beat_ms: u64,
-    /// Records in an answer to a member, and for one that returns.
+    /// Most records in a reply to a member, and to a member that returns.
     pub each: usize,
     pub at_return: usize,
 }
@@ -114,22 +114,22 @@
     pub per_second: f64,
     #[serde(default = "one")]
     pub tenants: usize,
-    /// Further tries of a client after the first.
+    /// Most retries of a client.
     #[serde(default)]
     pub retries: u32,
-    /// Wait before a further try where the answer names none.
+    /// Delay before a retry if the answer states none.
     #[serde(default = "hundred")]
     pub back_off_ms: u64,
-    /// Part of the tries whose client goes before its time is up.
+    /// Fraction of tries whose client disconnects before its deadline.
     #[serde(default)]
     pub impatient: f64,
-    /// Times more clients that the last first-tier sidecar has than the first, the others between them.
+    /// Ratio of the last first-tier sidecar's clients to the first one's; the others lie between them.
     #[serde(default = "one_whole")]
     pub uneven: f64,
-    /// After which fronts send nobody to a sidecar that is away; never if not said.
+    /// Time after which the front-end stops sending clients to a sidecar that is down; never if absent.
     #[serde(default)]
     pub notices_ms: Option<u64>,
-    /// Moments of arrival in place of Poisson's, as of the start: a trace.
+    /// A trace of arrival times since the start, in place of Poisson arrivals.
     #[serde(default)]
     pub trace_ms: Vec<u64>,
 }
@@ -180,30 +180,30 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Sidecars before the first tier; later tiers have one beside each endpoint of the tier before.
+    /// Sidecars in front of the first tier; for a later tier, each endpoint of the previous tier has one.
     #[serde(default)]
     pub sidecars: usize,
     pub endpoints: usize,
     #[serde(default = "one")]
     pub cores: usize,
-    /// Requests that may be inside at once, waiting ones included.
+    /// Most requests in an endpoint at once, waiting ones included.
     #[serde(default = "many")]
     pub places: usize,
     #[serde(default = "many")]
     pub connections: usize,
     #[serde(default)]
     pub handshake_ms: f64,
-    /// Work of a request on one core, for each method in its order, or one for all.
+    /// Service time of a request on one core: one per method, in order, or one for all.
     pub work_ms: Vec<f64>,
     #[serde(default)]
     pub spread: Spread,
-    /// Relative difference in speed between the quickest and the slowest endpoint.
+    /// Relative difference in speed between the fastest and the slowest endpoint.
     #[serde(default)]
     pub uneven: f64,
-    /// Calls of a request to the next tier, one after the other.
+    /// Sequential calls to the next tier per request.
     #[serde(default)]
     pub calls: usize,
-    /// Endpoints that discard each other's repeats.
+    /// Number of endpoints that deduplicate requests together.
     #[serde(default = "three")]
     pub cell_size: usize,
 }
@@ -217,7 +217,7 @@
 
 impl Default for Net {
     fn default() -> Net {
-        // Half a millisecond each way is a machine room's; a fifth of a second is long for a handshake there.
+        // 0.5 ms each way is typical within a data center; 200 ms is long for a handshake there.
         Net { hop_ms: 0.5, connect_timeout_ms: 200 }
     }
 }
@@ -225,16 +225,16 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ListService {
-    /// It answers only those who have asked.
+    /// Whether it sends lists only to sidecars that subscribed.
     pub asked: bool,
     pub ask_within_ms: u64,
-    /// From a change to the sidecars' knowledge of it, times one to two by chance.
+    /// Delay from a change until sidecars learn of it, times a random factor from 1 to 2.
     pub delay_ms: f64,
 }
 
 impl Default for ListService {
     fn default() -> ListService {
-        // A second or two is what lists on health checks take.
+        // Lists based on health checks take one to two seconds.
         ListService { asked: false, ask_within_ms: 10_000, delay_ms: 1000.0 }
     }
 }
@@ -246,7 +246,7 @@
     pub cold_start: f64,
     pub cold_ms: u64,
     pub fall_ms: u64,
-    /// Times its cold capacity that an endpoint may be given in a fall window.
+    /// Multiple of its slow-start capacity that an endpoint may be sent in an overload window.
     pub fall_multiple: f64,
     pub most_write_outs: usize,
     pub may_revoke: bool,
@@ -291,8 +291,8 @@
 }
 
 impl Kind {
-    /// Whether it strikes endpoints; else sidecars, or the fleet as a whole.
-    fn strikes_endpoints(self) -> bool {
+    /// Whether it affects endpoints; otherwise sidecars or the whole fleet.
+    fn affects_endpoints(self) -> bool {
         !matches!(
             self,
             Kind::ListLate | Kind::ListAbsent | Kind::RestartSidecars | Kind::Burst | Kind::HotSidecar
@@ -308,11 +308,11 @@
     pub for_ms: u64,
     #[serde(default)]
     pub tier: usize,
-    /// Part of the endpoints or sidecars, drawn by the seed; or the very ones.
+    /// Fraction of the endpoints or sidecars to affect, drawn by the seed; `ids` lists them instead.
     pub share: Option<f64>,
     #[serde(default)]
     pub ids: Vec<usize>,
-    /// How much: times slower, chance of an error, times the load; by kind.
+    /// Size by kind: slowdown factor, error probability or load factor.
     pub size: Option<f64>,
 }
 
@@ -372,7 +372,7 @@
             let fits = value.is_finite() && (least..=most).contains(&value);
             fits.then_some(()).ok_or(format!("{key}: expected {least} to {most}, not {value}"))
         };
-        within("length_ms".into(), self.length_ms as f64, 1.0, MOST_LENGTH_MS as f64)?;
+        within("length_ms".into(), self.length_ms as f64, 1.0, MAX_LENGTH_MS as f64)?;
         within("warm_up_ms".into(), self.warm_up_ms as f64, 0.0, self.length_ms as f64)?;
         within("zones".into(), self.zones as f64, 1.0, 64.0)?;
         within("load.per_second".into(), self.load.per_second, 0.0, 1e6)?;
@@ -403,18 +403,18 @@
         }
         let shares = self.method.iter().map(|m| m.share).sum::<f64>();
         within("method.share, all of them together".into(), shares, 0.999, 1.001)?;
-        within("tier".into(), self.tier.len() as f64, 1.0, MOST_TIERS)?;
+        within("tier".into(), self.tier.len() as f64, 1.0, MAX_TIERS)?;
         for (at, t) in self.tier.iter().enumerate() {
             let key = |name: &str| format!("tier.{at}.{name}");
-            let (least, most) = if at == 0 { (1.0, MOST_MACHINES as f64) } else { (0.0, 0.0) };
+            let (least, most) = if at == 0 { (1.0, MAX_MACHINES as f64) } else { (0.0, 0.0) };
             within(key("sidecars"), t.sidecars as f64, least, most)?;
-            within(key("endpoints"), t.endpoints as f64, 0.0, MOST_MACHINES as f64)?;
+            within(key("endpoints"), t.endpoints as f64, 0.0, MAX_MACHINES as f64)?;
             within(key("cores"), t.cores as f64, 1.0, 1024.0)?;
             within(key("places"), t.places as f64, 1.0, 1e6)?;
             within(key("connections"), t.connections as f64, 1.0, 1e6)?;
             within(key("handshake_ms"), t.handshake_ms, 0.0, 60_000.0)?;
             within(key("uneven"), t.uneven, 0.0, 0.9)?;
-            within(key("cell_size"), t.cell_size as f64, 1.0, MOST_MACHINES as f64)?;
+            within(key("cell_size"), t.cell_size as f64, 1.0, MAX_MACHINES as f64)?;
             let calls = if at + 1 < self.tier.len() { 64.0 } else { 0.0 };
             within(key("calls"), t.calls as f64, 0.0, calls)?;
             if t.work_ms.len() != 1 && t.work_ms.len() != self.method.len() {
@@ -435,10 +435,10 @@
             within(key("tier"), f.tier as f64, 0.0, (self.tier.len() - 1) as f64)?;
             within(key("share"), f.share.unwrap_or(0.0), 0.0, 1.0)?;
             within(key("size"), f.size.unwrap_or(0.0), 0.0, 1e6)?;
-            let there = self.things(f);
+            let count = self.target_count(f);
             for id in &f.ids {
-                if *id >= there {
-                    return Err(format!("{}: there is no {id}, only 0 to {}", key("ids"), there as i64 - 1));
+                if *id >= count {
+                    return Err(format!("{}: there is no {id}, only 0 to {}", key("ids"), count as i64 - 1));
                 }
             }
             if f.share.is_some() && !f.ids.is_empty() {
@@ -448,7 +448,7 @@
         Ok(())
     }
 
-    /// The same world so many times larger: sidecars, endpoints and load.
+    /// The same scenario scaled up: sidecars, endpoints, load and budgets times `times`.
     pub fn grown(&self, times: usize) -> Result<Scenario, String> {
         let mut grown = self.clone();
         grown.load.per_second *= times as f64;
@@ -465,7 +465,7 @@
         Ok(grown)
     }
 
-    /// How many tiers have budgets.
+    /// The number of tiers that have budgets.
     pub fn tiers_with_budgets(&self) -> usize {
         match self.budgets.row.is_empty() {
             true => 0,
@@ -474,25 +474,25 @@
         }
     }
 
-    /// Until when the last call of a client's may have time left, since it came.
+    /// Longest time from a client's arrival until the deadline of its last nested call.
     pub fn longest(&self) -> Span {
         let longest = self.method.iter().map(|m| m.deadline_ms).max().unwrap_or(0);
         let times = if self.deadline_passed { 1 } else { self.tier.len() as u64 };
         Span::from_millis(longest.saturating_mul(times))
     }
 
-    /// How many there are of what a fault may strike.
-    pub fn things(&self, fault: &Fault) -> usize {
+    /// The number of possible targets of a fault.
+    pub fn target_count(&self, fault: &Fault) -> usize {
         match fault.kind {
             Kind::ZoneLoss => self.zones,
-            kind if kind.strikes_endpoints() => self.tier[fault.tier].endpoints,
+            kind if kind.affects_endpoints() => self.tier[fault.tier].endpoints,
             Kind::RestartSidecars | Kind::HotSidecar => self.tier[0].sidecars,
             _ => 1,
         }
     }
 
-    /// The method of a client's next wish, by the shares.
-    pub fn drawn_method(&self, chance: &mut Rand64) -> usize {
+    /// Draws the method of a client's call by the methods' shares.
+    pub fn draw_method(&self, chance: &mut Rand64) -> usize {
         let mut left = chance.rand_float();
         let drawn = self.method.iter().position(|m| {
             left -= m.share;
@@ -510,7 +510,7 @@
         work[method.min(work.len() - 1)]
     }
 
-    /// The settings of a sidecar before this tier, as dotted paths and values.
+    /// The settings of a sidecar in front of this tier, as dotted paths and values.
     pub fn settings(&self, tier: usize) -> Vec<(String, String)> {
         let nanos = |ms: u64| (ms * 1_000_000).to_string();
         let mut pairs: Vec<(String, String)> = [
@@ -560,7 +560,7 @@
     pub fn terms(&self, tier: usize) -> Terms {
         let pairs = self.settings(tier);
         Terms::decode(pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())), &mut Places::default())
-            .expect("a checked scenario makes readable terms")
+            .expect("a validated scenario has valid terms")
     }
 }
 
@@ -572,7 +572,7 @@
         effect='retryable'\nlatency_budget_ms=100\ndeadline_ms=300\n[[tier]]\nsidecars=1\nendpoints=2\nwork_ms=[5]\n";
 
     #[test]
-    fn a_fault_in_the_file_is_named_by_its_key() {
+    fn invalid_file_error_names_the_key() {
         assert!(Scenario::parse(GOOD).is_ok());
         for (more, key) in [
             ("colour=1\n", "unknown field `colour`"),
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -465,7 +465,7 @@
     }
 
     fn add_client(&mut self, at: Moment) {
-        let method = self.scenario.drawn_method(&mut self.rng);
+        let method = self.scenario.draw_method(&mut self.rng);
         let tenant = self.rng.rand_range(0..self.scenario.load.tenants as u64) as usize;
         let deadline = at + Span::from_millis(self.scenario.method[method].deadline_ms);
         self.effects += 1;
--- a/crates/lab/src/sweep.rs
+++ b/crates/lab/src/sweep.rs
@@ -1,18 +1,18 @@
-//! Many runs on all cores, with the same results in the same order on any number of them.
+//! Parallel runs, with the same results in the same order for any number of threads.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Does each piece of work on one of `workers` threads; results stand in the order of the work.
+/// Runs each item of work on one of `workers` threads; results are in the order of the items.
 pub fn each<W: Sync, R: Send>(work: &[W], workers: usize, run: impl Fn(&W) -> R + Sync) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let mut done: Vec<(usize, R)> = std::thread::scope(|scope| {
         let worker = || {
-            let mut mine = Vec::new();
+            let mut results = Vec::new();
             loop {
                 let at = next.fetch_add(1, Ordering::Relaxed);
                 match work.get(at) {
-                    Some(piece) => mine.push((at, run(piece))),
-                    None => return mine,
+                    Some(item) => results.push((at, run(item))),
+                    None => return results,
                 }
             }
         };
