--- a/crates/lab/src/emulate.rs
+++ b/crates/lab/src/emulate.rs
@@ -565,7 +565,7 @@
         let active = self.faults.active_on(tier, number, now);
         let deadline = now + Span::from_millis(message.remaining_ms.unwrap_or(REMAINING_MS));
         self.seen.sent(now, tier);
-        self.checker.sent(now, e.told, &self.scenario.rules, (tier, number));
+        self.checker.attempt_sent(now, e.told, &self.scenario.rules, (tier, number));
         let job = self.jobs.len();
         self.jobs.push(Job {
             link,
@@ -598,7 +598,7 @@
         let e = &mut self.endpoints[endpoint];
         if let Some(started) = e.started {
             let cores = self.scenario.tier[tier].cores as f64;
-            self.checker.given(now, (tier, number), started, (service.work, cores), &self.scenario.rules);
+            self.checker.work_sent(now, (tier, number), started, (service.work, cores), &self.scenario.rules);
         }
         match e.queue.admit(now, job, takes) {
             Admission::Full => self.turn_away(job),
@@ -616,7 +616,7 @@
         let m = &self.scenario.method[j.method];
         let group = service::group(self.scenario, e.tier, e.number, j.method);
         let id = u64::from_str_radix(&j.id, 16).unwrap_or(0);
-        self.checker.effect(now, id, m, group);
+        self.checker.execution_started(now, id, m, group);
         self.due.insert((until, Due::CoreDone(job)));
     }
 
@@ -746,7 +746,7 @@
                 e.process += 1;
                 e.queue = ServerQueue::new(t.cores, t.places);
                 (e.started, e.silent, e.drains, e.told, e.connections) = (Some(now), false, false, None, 0);
-                self.checker.started((tier, number));
+                self.checker.endpoint_restarted((tier, number));
                 self.listen(endpoint)?;
                 self.spread(endpoint, process + 1, "up");
             }
--- a/crates/lab/src/rule_checker.rs
+++ b/crates/lab/src/rule_checker.rs
@@ -37,49 +37,49 @@
 pub struct RuleChecker {
     /// Requests that clients are waiting for, with their deadlines.
     open: BTreeMap<u64, Moment>,
-    ran: BTreeMap<u64, Execution>,
+    executions: BTreeMap<u64, Execution>,
     cold: BTreeMap<(usize, usize), RecentWork>,
-    counts: BTreeMap<Rule, u64>,
+    violations: BTreeMap<Rule, u64>,
     told: Vec<String>,
 }
 
 impl RuleChecker {
     pub fn broken(&self) -> &BTreeMap<Rule, u64> {
-        &self.counts
+        &self.violations
     }
 
     pub fn told(&self) -> &[String] {
         &self.told
     }
 
-    fn breaks(&mut self, rule: Rule, now: Moment, what: String) {
-        *self.counts.entry(rule).or_default() += 1;
+    fn record_violation(&mut self, rule: Rule, now: Moment, what: String) {
+        *self.violations.entry(rule).or_default() += 1;
         if self.told.len() < MAX_DESCRIBED {
             self.told.push(format!("{:.3} s: {rule:?}: {what}", now.nanos() as f64 / 1e9));
         }
     }
 
     /// Records that a sidecar accepted a client's request.
-    pub fn taken(&mut self, request: u64, deadline: Moment) {
+    pub fn request_accepted(&mut self, request: u64, deadline: Moment) {
         self.open.insert(request, deadline);
     }
 
     /// Records that the client was answered or stopped waiting, or that the schedule killed its sidecar. Returns whether
     /// the request was open.
-    pub fn closed(&mut self, request: u64) -> bool {
+    pub fn request_closed(&mut self, request: u64) -> bool {
         self.open.remove(&request).is_some()
     }
 
-    pub fn answered(&mut self, now: Moment, request: u64) {
-        if !self.closed(request) {
-            self.breaks(Rule::NoReqLost, now, format!("req {request} has a second answer"));
+    pub fn request_answered(&mut self, now: Moment, request: u64) {
+        if !self.request_closed(request) {
+            self.record_violation(Rule::NoReqLost, now, format!("req {request} has a second answer"));
         }
     }
 
     /// Records that the request's deadline has passed by more than the slack.
-    pub fn timed_out(&mut self, now: Moment, request: u64) {
-        if self.closed(request) {
-            self.breaks(Rule::NoReqLost, now, format!("req {request} has no answer"));
+    pub fn request_timed_out(&mut self, now: Moment, request: u64) {
+        if self.request_closed(request) {
+            self.record_violation(Rule::NoReqLost, now, format!("req {request} has no answer"));
         }
     }
 
@@ -89,10 +89,16 @@
 
     /// Records that an endpoint starts work on a request. Returns whether the request takes effect: a duplicate may be
     /// discarded.
-    pub fn effect(&mut self, now: Moment, request: u64, method: &Method, group: (usize, u64)) -> bool {
-        let Some(ran) = self.ran.get(&request) else {
+    pub fn execution_started(
+        &mut self,
+        now: Moment,
+        request: u64,
+        method: &Method,
+        group: (usize, u64),
+    ) -> bool {
+        let Some(ran) = self.executions.get(&request) else {
             if method.effect != Effect::Retryable {
-                self.ran.insert(request, Execution { group, at: now });
+                self.executions.insert(request, Execution { group, at: now });
             }
             return true;
         };
@@ -100,36 +106,50 @@
             && ran.group == group
             && now.since(ran.at) < Span::from_millis(method.window_ms);
         if !kept {
-            self.breaks(Rule::NoEffectTwice, now, format!("req {request} of {} ran twice", method.name));
+            self.record_violation(
+                Rule::NoEffectTwice,
+                now,
+                format!("req {request} of {} ran twice", method.name),
+            );
         }
         !kept
     }
 
     /// Records an attempt to an endpoint, with the time at which the sidecar learnt that the endpoint is draining, if it
     /// did.
-    pub fn sent(&mut self, now: Moment, told: Option<Moment>, rules: &Rules, whom: (usize, usize)) {
-        if told.is_some_and(|told| now > told + Span::from_millis(rules.drain_grace_ms)) {
-            self.breaks(Rule::DrainsKept, now, format!("endpoint {whom:?} was sent to while it drained"));
+    pub fn attempt_sent(
+        &mut self,
+        now: Moment,
+        draining_since: Option<Moment>,
+        rules: &Rules,
+        endpoint: (usize, usize),
+    ) {
+        if draining_since.is_some_and(|since| now > since + Span::from_millis(rules.drain_grace_ms)) {
+            self.record_violation(
+                Rule::DrainsKept,
+                now,
+                format!("endpoint {endpoint:?} was sent to while it drained"),
+            );
         }
     }
 
     /// Records work sent to a restarted endpoint, in core seconds, together with its number of cores.
-    pub fn given(
+    pub fn work_sent(
         &mut self,
         now: Moment,
-        whom: (usize, usize),
+        endpoint: (usize, usize),
         started: Moment,
         (work, cores): (f64, f64),
         rules: &Rules,
     ) {
         let up = now.since(started).secs() / (rules.cold_ms as f64 / 1e3).max(1e-9);
         if up >= 1.0 {
-            self.cold.remove(&whom);
+            self.cold.remove(&endpoint);
             return;
         }
         let share = rules.cold_start + (1.0 - rules.cold_start) * up;
         let window = Span::from_millis(rules.fall_ms);
-        let cold = self.cold.entry(whom).or_default();
+        let cold = self.cold.entry(endpoint).or_default();
         while let Some((at, old)) = cold.entries.front().copied().filter(|(at, _)| now.since(*at) >= window) {
             debug_assert!(at <= now);
             cold.entries.pop_front();
@@ -140,20 +160,21 @@
         // Up to 4 requests never count as overload, however small the endpoint.
         let can = (share * cores * window.secs() * rules.fall_multiple).max(work * 4.0);
         if cold.sum > can && cold.entries.len() > 4 {
-            let text = format!("endpoint {whom:?} was given {:.2} s of work where {can:.2} fit", cold.sum);
+            let text =
+                format!("endpoint {endpoint:?} was given {:.2} s of work where {can:.2} fit", cold.sum);
             cold.entries.clear();
             cold.sum = 0.0;
-            self.breaks(Rule::ColdNotPushedOver, now, text);
+            self.record_violation(Rule::ColdNotPushedOver, now, text);
         }
     }
 
     /// Records that a new process started; work sent to the previous process does not count against it.
-    pub fn started(&mut self, whom: (usize, usize)) {
-        self.cold.remove(&whom);
+    pub fn endpoint_restarted(&mut self, endpoint: (usize, usize)) {
+        self.cold.remove(&endpoint);
     }
 
     /// Ends the run. Requests whose deadline has not passed yet count neither as answered nor as lost.
-    pub fn ends(&mut self, end: Moment) {
+    pub fn end_run(&mut self, end: Moment) {
         let lost: Vec<u64> = self
             .open
             .iter()
@@ -161,7 +182,7 @@
             .map(|(request, _)| *request)
             .collect();
         for request in lost {
-            self.timed_out(end, request);
+            self.request_timed_out(end, request);
         }
     }
 }
@@ -191,14 +212,17 @@
             (method(Effect::Deduplicated), method(Effect::NonRetryable), method(Effect::Retryable));
         let at = at_ms;
         let mut checker = RuleChecker::default();
-        assert!(checker.effect(at(0), 1, &order, (0, 4)));
-        assert!(!checker.effect(at(999), 1, &order, (0, 4)) && checker.broken().is_empty());
+        assert!(checker.execution_started(at(0), 1, &order, (0, 4)));
+        assert!(!checker.execution_started(at(999), 1, &order, (0, 4)) && checker.broken().is_empty());
         // After the window, or in another group, the duplicate is a second effect.
-        assert!(checker.effect(at(1000), 1, &order, (0, 4)));
-        assert!(checker.effect(at(10), 1, &order, (0, 5)));
-        assert!(checker.effect(at(0), 2, &pay, (0, 4)) && checker.effect(at(1), 2, &pay, (0, 4)));
+        assert!(checker.execution_started(at(1000), 1, &order, (0, 4)));
+        assert!(checker.execution_started(at(10), 1, &order, (0, 5)));
+        assert!(
+            checker.execution_started(at(0), 2, &pay, (0, 4))
+                && checker.execution_started(at(1), 2, &pay, (0, 4))
+        );
         assert_eq!(checker.broken()[&Rule::NoEffectTwice], 3);
-        assert!((0..9).all(|ms| checker.effect(at(ms), 3, &view, (0, ms))));
+        assert!((0..9).all(|ms| checker.execution_started(at(ms), 3, &view, (0, ms))));
         assert_eq!(checker.broken().len(), 1);
     }
 
@@ -206,14 +230,14 @@
     fn drain_grace_and_slow_start_limits_are_enforced() {
         let rules = Rules::default();
         let mut checker = RuleChecker::default();
-        checker.sent(at_ms(1500), Some(at_ms(0)), &rules, (0, 1));
-        checker.sent(at_ms(9000), None, &rules, (0, 1));
+        checker.attempt_sent(at_ms(1500), Some(at_ms(0)), &rules, (0, 1));
+        checker.attempt_sent(at_ms(9000), None, &rules, (0, 1));
         assert!(checker.broken().is_empty());
-        checker.sent(at_ms(1501), Some(at_ms(0)), &rules, (0, 1));
+        checker.attempt_sent(at_ms(1501), Some(at_ms(0)), &rules, (0, 1));
         assert_eq!(checker.broken()[&Rule::DrainsKept], 1);
         // Just started with one core: a share of 0.3 over 1.5 s, times the allowed multiple of 3, is 1.35 s of work.
         let mut give = |ms, times| {
-            (0..times).for_each(|_| checker.given(at_ms(ms), (0, 2), at_ms(0), (0.1, 1.0), &rules));
+            (0..times).for_each(|_| checker.work_sent(at_ms(ms), (0, 2), at_ms(0), (0.1, 1.0), &rules));
             checker.broken().get(&Rule::ColdNotPushedOver).copied().unwrap_or(0)
         };
         assert_eq!((give(0, 13), give(0, 1)), (0, 1));
@@ -225,13 +249,13 @@
     fn each_request_gets_exactly_one_answer() {
         let mut checker = RuleChecker::default();
         for request in 0..4 {
-            checker.taken(request, at_ms(100));
+            checker.request_accepted(request, at_ms(100));
         }
-        checker.answered(at_ms(50), 0);
-        assert!(checker.closed(1) && checker.broken().is_empty());
-        checker.answered(at_ms(60), 0);
-        checker.timed_out(at_ms(151), 2);
-        checker.ends(at_ms(1000));
+        checker.request_answered(at_ms(50), 0);
+        assert!(checker.request_closed(1) && checker.broken().is_empty());
+        checker.request_answered(at_ms(60), 0);
+        checker.request_timed_out(at_ms(151), 2);
+        checker.end_run(at_ms(1000));
         assert_eq!(checker.broken()[&Rule::NoReqLost], 3);
         assert_eq!(checker.told().len(), 3);
     }
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -392,7 +392,7 @@
                 self.run_decisions(node);
             }
         }
-        self.checker.ends(end);
+        self.checker.end_run(end);
         self.counters.record_violations(&self.checker);
         self.counters.uses = self.shares.first().map(Shares::uses).unwrap_or_default();
     }
@@ -406,7 +406,7 @@
                 if let Some(open) =
                     self.clients[client].open.filter(|_| self.clients[client].attempt == attempt)
                 {
-                    self.checker.closed(open);
+                    self.checker.request_closed(open);
                     self.disconnect_client(client, attempt);
                 }
             }
@@ -514,7 +514,7 @@
         let request = self.arrival(node, from, method, effect, deadline);
         self.effects += 1;
         let open = self.effects;
-        self.checker.taken(open, deadline);
+        self.checker.request_accepted(open, deadline);
         (self.clients[client].at, self.clients[client].open) = (Some((node, request)), Some(open));
         // An answer given exactly at the deadline is still in transit when the deadline passes.
         self.schedule(deadline + self.checker.slack(), Event::ClientTimeout { client, attempt });
@@ -560,7 +560,7 @@
         let open = c.open.take();
         self.counters.failed(c.arrived_at, c.method, c.tenant);
         if let Some(open) = open {
-            self.checker.timed_out(self.now, open);
+            self.checker.request_timed_out(self.now, open);
         }
         let c = &mut self.clients[client];
         if let Some((node, request)) = c.at.take() {
@@ -763,7 +763,7 @@
                 && self.clients[client].attempt == attempt
             {
                 if let Some(open) = self.clients[client].open.take() {
-                    self.checker.closed(open);
+                    self.checker.request_closed(open);
                 }
                 self.schedule_after(self.hop(), Event::Answered { client, attempt, answer: Answer::Failed });
             }
@@ -829,7 +829,7 @@
                 if self.clients[client].attempt == attempt
                     && let Some(open) = self.clients[client].open.take()
                 {
-                    self.checker.answered(self.now, open);
+                    self.checker.request_answered(self.now, open);
                 }
                 self.schedule_after(self.hop(), Event::Answered { client, attempt, answer });
             }
@@ -876,7 +876,7 @@
         self.counters.sent(self.now, n.tier);
         let e = &self.endpoints[endpoint];
         let whom = (e.tier, e.number);
-        self.checker.sent(self.now, drains, &self.scenario.rules, whom);
+        self.checker.attempt_sent(self.now, drains, &self.scenario.rules, whom);
         let tier = &self.scenario.tier[whom.0];
         let reached = e.up && e.process == process;
         let silent = e.silent;
@@ -1022,7 +1022,7 @@
         let e = &mut self.endpoints[endpoint];
         if let Some(started) = e.started {
             let cores = self.scenario.tier[tier].cores as f64;
-            self.checker.given(
+            self.checker.work_sent(
                 self.now,
                 (tier, number),
                 started,
@@ -1054,7 +1054,7 @@
         let m = &self.scenario.method[method];
         let group = service::group(self.scenario, tier, number, method);
         // Calls to later tiers carry ids of their own, so the checker tracks them separately.
-        self.checker.effect(self.now, effect, m, group);
+        self.checker.execution_started(self.now, effect, m, group);
         self.schedule(until, Event::CoreDone { job });
     }
 
@@ -1138,7 +1138,7 @@
                     e.queue =
                         ServerQueue::new(self.scenario.tier[tier].cores, self.scenario.tier[tier].places);
                     e.connections = 0;
-                    self.checker.started((tier, number));
+                    self.checker.endpoint_restarted((tier, number));
                 }
                 if let Some(node) =
                     self.endpoints[endpoint].node.filter(|_| change == LifecycleChange::Starts)
