--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -425,7 +425,7 @@
     played
         .broken
         .iter()
-        .for_each(|broken| println!("BROKEN {} (seed {}): {}", broken.check, asked.seed, broken.what));
+        .for_each(|broken| println!("BROKEN {} (seed {}): {}", broken.check, asked.seed, broken.detail));
     if let Some(out) = &asked.out {
         write(out, &played.json().to_string())?;
     }
--- a/crates/lab/src/rig/judge.rs
+++ b/crates/lab/src/rig/judge.rs
@@ -1,5 +1,5 @@
-//! Judges a run of several processes by what stand-ins saw and what processes said to outsiders. No process is asked whether
-//! it was right.
+//! Checks the record of a run of several processes against the rules. The record holds what test stand-ins observed and
+//! what the processes reported to clients; no process is asked whether it was correct.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 use appledyke_fleet::budgets::Resource;
 use appledyke_fleet::state::SettingsVersion;
 
-/// Of the requests to sidecars that were not struck themselves, the share that may go unserved beyond the paired run's.
-const UNSERVED_MOST: f64 = 0.01;
+/// Largest share of requests that may go unserved beyond the paired run's, at sidecars without injected faults.
+const MAX_EXTRA_UNSERVED: f64 = 0.01;
 
-/// What an operator was told of a write. Moments are milliseconds of the rig's clock.
+/// The reply that an operator got to a write. All times in this module are milliseconds of the rig's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Committed(Version),
@@ -19,277 +19,310 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Put {
-    /// By which it is known again in the history.
-    pub why: String,
-    pub began: u64,
-    pub ended: u64,
+pub struct RecordedWrite {
+    /// Identifies the write in the history.
+    pub reason: String,
+    pub started_at: u64,
+    pub ended_at: u64,
     pub outcome: Outcome,
 }
 
 #[derive(Clone, Debug)]
-pub struct Read {
-    pub began: u64,
-    pub ended: u64,
+pub struct RecordedRead {
+    pub started_at: u64,
+    pub ended_at: u64,
     pub version: Version,
 }
 
-/// What a daemon told a member, or what a member said that it acts on: then without the text.
+/// Settings that a daemon sent to a member, or a version that a member reported as applied; the latter has no text.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Observation {
     pub at: u64,
-    pub who: String,
-    /// Which life of it: versions go forwards within one.
-    pub life: u64,
+    pub observer: String,
+    /// Versions must not decrease within one incarnation.
+    pub incarnation: u64,
     pub version: Version,
     pub settings: Option<String>,
 }
 
-/// What all sidecars together used of a budget at the most, as endpoints counted it.
+/// Peak use of a budget by all sidecars together, as counted by the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Used {
-    pub of: Resource,
-    pub most: u64,
-    pub whole: u64,
+pub struct BudgetUsage {
+    pub resource: Resource,
+    pub peak: u64,
+    pub quota: u64,
 }
 
-/// All that was seen from outside.
+/// Everything observed from outside the processes.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    pub puts: Vec<Put>,
-    pub reads: Vec<Read>,
-    pub seen: Vec<Seen>,
-    /// The history as it was read, each version as often.
+    pub writes: Vec<RecordedWrite>,
+    pub reads: Vec<RecordedRead>,
+    pub observations: Vec<Observation>,
+    /// The history as read; a version appears once for each different reading of it.
     pub history: Vec<SettingsVersion>,
-    /// Each daemon's place, last entry applied and digest, once all was over.
+    /// Each daemon's replica id, last applied entry and state digest at the end of the run.
     pub states: Vec<(u16, u64, u64)>,
-    /// Places that ought to be there in the end.
-    pub places: u16,
-    /// Requests to sidecars that were not struck: served, and all; and of the paired run without faults, none where there was
-    /// no such run.
+    /// Number of replicas expected at the end of the run.
+    pub replicas: u16,
+    /// Requests to sidecars without injected faults: (served, all).
     pub served: (u64, u64),
+    /// The same of the paired run without faults; (0, 0) if there was no such run.
     pub paired: (u64, u64),
-    pub uses: Vec<Used>,
-    /// Of releases, where there were any: the most that were out at once of those that nothing had struck, and the most that
-    /// may be; requests that fronts lost; who was moved to what it ran; what was not over or at one version in the end.
-    pub released: Option<Released>,
+    pub budget_usage: Vec<BudgetUsage>,
+    /// Present if the scenario runs releases.
+    pub releases: Option<ReleaseSummary>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Released {
-    pub out: usize,
-    pub most: usize,
-    pub lost: u64,
-    pub twice: Vec<String>,
+pub struct ReleaseSummary {
+    /// Most sidecars that were out of service at once, without those that had an injected fault.
+    pub peak_out: usize,
+    /// Most sidecars that may be out of service at once.
+    pub max_out: usize,
+    /// Requests that front proxies lost.
+    pub lost_requests: u64,
+    /// Sidecars that were moved to the version that they already ran.
+    pub moved_twice: Vec<String>,
+    /// Releases that had not ended, and sidecars that were not at the common version, at the end of the run.
     pub unfinished: Vec<String>,
-    /// Releases that were ended, and how often one halted.
+    /// Releases that ended.
     pub ended: usize,
+    /// How often a release halted.
     pub halts: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub check: &'static str,
-    pub what: String,
+    pub detail: String,
 }
 
-/// The rules that were broken.
-pub fn judge(record: &Record) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    let mut tell = |check, what: String| broken.push(Broken { check, what });
-    // The history as all readings have it together.
+/// Returns each violation of a rule.
+pub fn judge(record: &Record) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let mut report = |check, detail: String| violations.push(Violation { check, detail });
+    // The union of all readings of the history.
     let mut history: BTreeMap<Version, &SettingsVersion> = BTreeMap::new();
     for written in &record.history {
         if let Some(other) = history.insert(written.version, written)
             && other != written
         {
-            tell(
+            report(
                 "one history",
-                format!("version {} is {:?} and {:?}", written.version, other.reason, written.reason),
+                format!(
+                    "version {} has the reasons {:?} and {:?}",
+                    written.version, other.reason, written.reason
+                ),
             );
         }
     }
-    let mut writes: BTreeMap<&str, BTreeSet<Version>> = BTreeMap::new();
+    let mut versions_by_reason: BTreeMap<&str, BTreeSet<Version>> = BTreeMap::new();
     for written in history.values() {
-        writes.entry(&written.reason).or_default().insert(written.version);
+        versions_by_reason.entry(&written.reason).or_default().insert(written.version);
     }
-    for (why, versions) in &writes {
+    for (reason, versions) in &versions_by_reason {
         if versions.len() > 1 {
-            tell("once", format!("{why} took effect as {versions:?}"));
+            report("once", format!("{reason} took effect as versions {versions:?}"));
         }
     }
-    for put in &record.puts {
-        let effect = writes.get(put.why.as_str()).and_then(|versions| versions.first().copied());
-        match (&put.outcome, effect) {
+    for write in &record.writes {
+        let effect =
+            versions_by_reason.get(write.reason.as_str()).and_then(|versions| versions.first().copied());
+        match (&write.outcome, effect) {
             (Outcome::Committed(version), effect) if effect != Some(*version) => {
-                tell(
+                report(
                     "committed is kept",
-                    format!("{} at {} ms was {version}, and is {effect:?}", put.why, put.ended),
+                    format!(
+                        "{} was acknowledged at {} ms as version {version}; the history has {effect:?}",
+                        write.reason, write.ended_at
+                    ),
                 );
             }
             (Outcome::Refused, Some(version)) => {
-                tell(
+                report(
                     "refused has no effect",
-                    format!("{} at {} ms is version {version}", put.why, put.ended),
+                    format!(
+                        "{} was refused at {} ms but took effect as version {version}",
+                        write.reason, write.ended_at
+                    ),
                 );
             }
             _ => {}
         }
     }
-    // What was over before a read began must be in it; and what a read saw, in every later one.
-    let acknowledged = record.puts.iter().filter_map(|put| match put.outcome {
-        Outcome::Committed(version) => Some((put.ended, version)),
+    // A read must see every write that was committed, and every version that another read returned, before it started.
+    let acknowledged = record.writes.iter().filter_map(|write| match write.outcome {
+        Outcome::Committed(version) => Some((write.ended_at, version)),
         _ => None,
     });
     let ends: Vec<(u64, Version)> =
-        acknowledged.chain(record.reads.iter().map(|read| (read.ended, read.version))).collect();
+        acknowledged.chain(record.reads.iter().map(|read| (read.ended_at, read.version))).collect();
     for read in &record.reads {
-        let before = ends.iter().filter(|(ended, _)| *ended < read.began).map(|(_, version)| *version).max();
+        let before = ends
+            .iter()
+            .filter(|(ended_at, _)| *ended_at < read.started_at)
+            .map(|(_, version)| *version)
+            .max();
         if before.is_some_and(|before| before > read.version) {
-            let what = format!(
-                "a read from {} to {} ms saw {}, after {before:?}",
-                read.began, read.ended, read.version
+            let detail = format!(
+                "a read from {} to {} ms returned {}, older than {before:?}",
+                read.started_at, read.ended_at, read.version
             );
-            tell("linearizable", what);
+            report("linearizable", detail);
         }
     }
     let mut latest: BTreeMap<(&str, u64), Version> = BTreeMap::new();
-    for seen in &record.seen {
-        let Seen { at, who, life, version, settings } = seen;
+    for observation in &record.observations {
+        let Observation { at, observer, incarnation, version, settings } = observation;
         match history.get(version) {
             None if *version != Version::default() => {
-                tell("only what is committed", format!("{who} at {at} ms: {version} is in no history"));
+                report(
+                    "only what is committed",
+                    format!("{observer} at {at} ms: version {version} is not in the history"),
+                );
             }
             Some(written) if settings.as_ref().is_some_and(|settings| *settings != written.settings) => {
-                tell("only what is committed", format!("{who} at {at} ms: other settings as {version}"));
+                report(
+                    "only what is committed",
+                    format!("{observer} at {at} ms: settings differ from those of version {version}"),
+                );
             }
             _ => {}
         }
-        let last = latest.entry((who, *life)).or_default();
+        let last = latest.entry((observer, *incarnation)).or_default();
         if *last > *version {
-            tell("only forwards", format!("{who} at {at} ms: {version} after {last}"));
+            report("only forwards", format!("{observer} at {at} ms: version {version} after {last}"));
         }
         *last = (*last).max(*version);
     }
     let states: BTreeSet<(u64, u64)> =
         record.states.iter().map(|(_, applied, digest)| (*applied, *digest)).collect();
-    if record.states.len() != usize::from(record.places) || states.len() > 1 {
-        tell("one state", format!("{:?} of {} places", record.states, record.places));
+    if record.states.len() != usize::from(record.replicas) || states.len() > 1 {
+        report("one state", format!("{:?} of {} replicas", record.states, record.replicas));
     }
-    for Used { of, most, whole } in record.uses.iter().filter(|used| used.most > used.whole) {
-        tell("never above the whole", format!("{most} {of} of {whole}"));
+    for BudgetUsage { resource, peak, quota } in
+        record.budget_usage.iter().filter(|usage| usage.peak > usage.quota)
+    {
+        report("never above the whole", format!("peak of {peak} {resource} exceeds the quota of {quota}"));
     }
-    if let Some(Released { out, most, lost, twice, unfinished, .. }) = &record.released {
-        if out > most {
-            tell("no more out than may be", format!("{out} of {most}"));
+    if let Some(ReleaseSummary { peak_out, max_out, lost_requests, moved_twice, unfinished, .. }) =
+        &record.releases
+    {
+        if peak_out > max_out {
+            report("no more out than may be", format!("{peak_out} of {max_out}"));
         }
-        if *lost > 0 {
-            tell("no req lost to a drain", format!("{lost} reqs"));
+        if *lost_requests > 0 {
+            report("no req lost to a drain", format!("{lost_requests} requests"));
         }
-        if !twice.is_empty() {
-            tell("none moved twice", twice.join(", "));
+        if !moved_twice.is_empty() {
+            report("none moved twice", moved_twice.join(", "));
         }
         if !unfinished.is_empty() {
-            tell("ended, halted or undone", unfinished.join(", "));
+            report("ended, halted or undone", unfinished.join(", "));
         }
     }
     let unserved = |(served, all): (u64, u64)| 1.0 - served as f64 / (all as f64).max(1.0);
-    if record.paired.1 > 0 && unserved(record.served) > unserved(record.paired) + UNSERVED_MOST {
-        tell(
+    if record.paired.1 > 0 && unserved(record.served) > unserved(record.paired) + MAX_EXTRA_UNSERVED {
+        report(
             "served throughout",
             format!("(served, all): {:?}, and {:?} without faults", record.served, record.paired),
         );
     }
-    broken
+    violations
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn number(number: u64) -> Version {
+    fn version(number: u64) -> Version {
         Version { generation: 0, number }
     }
 
-    fn written(at: u64, why: &str) -> SettingsVersion {
-        let (by, why, settings) = ("rig".to_string(), why.to_string(), format!("s{at}"));
+    fn settings_version(number: u64, reason: &str) -> SettingsVersion {
+        let (author, reason, settings) = ("rig".to_string(), reason.to_string(), format!("s{number}"));
         SettingsVersion {
-            version: number(at),
+            version: version(number),
             settings,
             budgets: Vec::new(),
             groups: Vec::new(),
-            author: by,
-            reason: why,
+            author,
+            reason,
             at_ms: 0,
             rollback_to: None,
         }
     }
 
-    fn put(why: &str, ended: u64, outcome: Outcome) -> Put {
-        Put { why: why.to_string(), began: ended - 5, ended, outcome }
+    fn write(reason: &str, ended_at: u64, outcome: Outcome) -> RecordedWrite {
+        RecordedWrite { reason: reason.to_string(), started_at: ended_at - 5, ended_at, outcome }
     }
 
-    fn seen(who: &str, version: u64, settings: Option<&str>) -> Seen {
-        let (who, settings) = (who.to_string(), settings.map(ToString::to_string));
-        Seen { at: 1, who, life: 1, version: number(version), settings }
+    fn observation(observer: &str, number: u64, settings: Option<&str>) -> Observation {
+        let (observer, settings) = (observer.to_string(), settings.map(ToString::to_string));
+        Observation { at: 1, observer, incarnation: 1, version: version(number), settings }
     }
 
-    fn good() -> Record {
+    fn valid_record() -> Record {
         Record {
-            puts: vec![
-                put("a", 10, Outcome::Committed(number(1))),
-                put("b", 20, Outcome::Unknown),
-                put("c", 30, Outcome::Refused),
+            writes: vec![
+                write("a", 10, Outcome::Committed(version(1))),
+                write("b", 20, Outcome::Unknown),
+                write("c", 30, Outcome::Refused),
+            ],
+            reads: vec![RecordedRead { started_at: 12, ended_at: 14, version: version(1) }],
+            observations: vec![
+                observation("m", 1, Some("s1")),
+                observation("m", 2, Some("s2")),
+                observation("s", 2, None),
             ],
-            reads: vec![Read { began: 12, ended: 14, version: number(1) }],
-            seen: vec![seen("m", 1, Some("s1")), seen("m", 2, Some("s2")), seen("s", 2, None)],
-            history: vec![written(1, "a"), written(2, "b"), written(1, "a")],
+            history: vec![settings_version(1, "a"), settings_version(2, "b"), settings_version(1, "a")],
             states: vec![(1, 7, 9), (2, 7, 9), (3, 7, 9)],
-            places: 3,
+            replicas: 3,
             served: (985, 1000),
             paired: (990, 1000),
-            uses: vec![Used { of: Resource::Attempts, most: 100, whole: 100 }],
-            released: Some(Released { out: 2, most: 2, ..Released::default() }),
+            budget_usage: vec![BudgetUsage { resource: Resource::Attempts, peak: 100, quota: 100 }],
+            releases: Some(ReleaseSummary { peak_out: 2, max_out: 2, ..ReleaseSummary::default() }),
         }
     }
 
     #[test]
-    fn each_check_fails_on_a_record_made_to_break_it() {
-        assert_eq!(judge(&good()), []);
-        type Breaks = fn(&mut Record);
-        fn released(r: &mut Record) -> &mut Released {
-            r.released.as_mut().expect("a record with releases")
+    fn each_check_fails_on_a_record_that_violates_it() {
+        assert_eq!(judge(&valid_record()), []);
+        type Breakage = fn(&mut Record);
+        fn releases(r: &mut Record) -> &mut ReleaseSummary {
+            r.releases.as_mut().expect("a record with releases")
         }
-        let cases: [(&str, Breaks); 18] = [
-            ("no more out than may be", |r| released(r).out = 3),
-            ("no req lost to a drain", |r| released(r).lost = 1),
-            ("none moved twice", |r| released(r).twice.push("s1 to 2".into())),
-            ("ended, halted or undone", |r| released(r).unfinished.push("r1".into())),
-            ("never above the whole", |r| r.uses[0].most = 101),
-            ("one history", |r| r.history.push(written(2, "other"))),
-            ("once", |r| r.history.push(written(3, "a"))),
+        let cases: [(&str, Breakage); 18] = [
+            ("no more out than may be", |r| releases(r).peak_out = 3),
+            ("no req lost to a drain", |r| releases(r).lost_requests = 1),
+            ("none moved twice", |r| releases(r).moved_twice.push("s1 to 2".into())),
+            ("ended, halted or undone", |r| releases(r).unfinished.push("r1".into())),
+            ("never above the whole", |r| r.budget_usage[0].peak = 101),
+            ("one history", |r| r.history.push(settings_version(2, "other"))),
+            ("once", |r| r.history.push(settings_version(3, "a"))),
             ("committed is kept", |r| r.history.retain(|w| w.reason != "a")),
-            ("committed is kept", |r| r.puts[0].outcome = Outcome::Committed(number(2))),
-            ("refused has no effect", |r| r.history.push(written(3, "c"))),
-            ("linearizable", |r| r.reads[0].version = number(0)),
+            ("committed is kept", |r| r.writes[0].outcome = Outcome::Committed(version(2))),
+            ("refused has no effect", |r| r.history.push(settings_version(3, "c"))),
+            ("linearizable", |r| r.reads[0].version = version(0)),
             ("linearizable", |r| {
-                r.reads.push(Read { began: 40, ended: 41, version: number(2) });
-                r.reads.push(Read { began: 42, ended: 43, version: number(1) });
+                r.reads.push(RecordedRead { started_at: 40, ended_at: 41, version: version(2) });
+                r.reads.push(RecordedRead { started_at: 42, ended_at: 43, version: version(1) });
             }),
-            ("only what is committed", |r| r.seen.push(seen("s", 9, None))),
-            ("only what is committed", |r| r.seen.push(seen("x", 1, Some("s2")))),
-            ("only forwards", |r| r.seen.push(seen("s", 1, None))),
+            ("only what is committed", |r| r.observations.push(observation("s", 9, None))),
+            ("only what is committed", |r| r.observations.push(observation("x", 1, Some("s2")))),
+            ("only forwards", |r| r.observations.push(observation("s", 1, None))),
             ("one state", |r| r.states[1].2 = 8),
             ("served throughout", |r| r.served.0 = 979),
             ("served throughout", |r| r.served = (0, 0)),
         ];
-        for (check, breaks) in cases {
-            let mut record = good();
-            breaks(&mut record);
-            let broken = judge(&record);
-            assert!(broken.iter().any(|broken| broken.check == check), "{check}: {broken:?}");
+        for (check, break_rule) in cases {
+            let mut record = valid_record();
+            break_rule(&mut record);
+            let violations = judge(&record);
+            assert!(violations.iter().any(|violation| violation.check == check), "{check}: {violations:?}");
         }
-        let mut record = good();
+        let mut record = valid_record();
         record.states.pop();
         assert_eq!(judge(&record)[0].check, "one state");
     }
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -27,7 +27,9 @@
 
 use super::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
 use super::folders;
-use super::judge::{Broken, Outcome, Put, Read, Record, Released, Seen, Used, judge};
+use super::judge::{
+    BudgetUsage, Observation, Outcome, Record, RecordedRead, RecordedWrite, ReleaseSummary, Violation, judge,
+};
 use super::links::{Standing, Way};
 use super::operators::Operators;
 use super::sidecars::{Clients, Endpoint, Sidecars, health, most_within};
@@ -221,7 +223,7 @@
 /// What a run came to.
 #[derive(Debug, Default)]
 pub struct Played {
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// What was struck, when and whom, and what was not as another was struck so still.
     pub struck: Vec<String>,
     pub puts: [usize; 3],
@@ -241,7 +243,7 @@
 impl Played {
     pub fn json(&self) -> serde_json::Value {
         let broken: Vec<_> =
-            self.broken.iter().map(|b| serde_json::json!({"check": b.check, "what": b.what})).collect();
+            self.broken.iter().map(|b| serde_json::json!({"check": b.check, "what": b.detail})).collect();
         serde_json::json!({
             "broken": broken, "struck": self.struck, "committed": self.puts[0], "refused": self.puts[1],
             "unknown": self.puts[2], "reads": self.reads, "versions": self.versions, "told": self.told,
@@ -350,7 +352,7 @@
 
     fn put(&self, chance: &mut Rand64) {
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let why = format!("write {number}");
+        let reason = format!("write {number}");
         let cold = 8_000_000_000_u64 + number;
         let settings = format!(
             "{{\"rules\": {{\"startCapacity\": 0.3, \"coldNs\": {cold}, \"overloadForNs\": 1500000000}}}}"
@@ -362,7 +364,7 @@
             id,
             expected_version: expects,
             author: "rig".into(),
-            reason: why.clone(),
+            reason: reason.clone(),
             at_ms: 0,
             change: SettingsChange::Put(settings, self.budgets.clone(), self.groups.clone()),
         };
@@ -370,18 +372,18 @@
             Scope::All => OperatorRequest::Write(write),
             scope => OperatorRequest::WriteScoped { scope: scope.clone(), write },
         };
-        let began = self.now();
+        let started_at = self.now();
         let outcome = match self.ask(&asked, WRITE_IN) {
             Ok(OperatorReply::Committed(version)) => Outcome::Committed(version),
             Ok(OperatorReply::Refused(_) | OperatorReply::Invalid(_)) | Err(false) => Outcome::Refused,
             _ => Outcome::Unknown,
         };
-        let ended = self.now();
-        self.tell(|record| record.puts.push(Put { why, began, ended, outcome }));
+        let ended_at = self.now();
+        self.tell(|record| record.writes.push(RecordedWrite { reason, started_at, ended_at, outcome }));
     }
 
     fn read(&self) {
-        let began = self.now();
+        let started_at = self.now();
         let asked = if self.scopes.len() > 1 { OperatorRequest::Scopes } else { OperatorRequest::Get(None) };
         let version = match self.ask(&asked, ONE_IN) {
             // What was put last, for whomever.
@@ -390,8 +392,8 @@
             Ok(OperatorReply::Settings(None)) => Version::default(),
             _ => return,
         };
-        let ended = self.now();
-        self.tell(|record| record.reads.push(Read { began, ended, version }));
+        let ended_at = self.now();
+        self.tell(|record| record.reads.push(RecordedRead { started_at, ended_at, version }));
     }
 
     fn history(&self) -> bool {
@@ -441,8 +443,8 @@
     }
 
     /// A member that keeps what each daemon tells it.
-    fn listen(&self, place: u16, life: u64) -> std::io::Result<()> {
-        let who = format!("a member of place {place}");
+    fn listen(&self, place: u16, incarnation: u64) -> std::io::Result<()> {
+        let observer = format!("a member of replica {place}");
         let mut stream = TcpStream::connect_timeout(&self.doors[&place], ONE_IN)?;
         stream.set_read_timeout(Some(ONE_IN))?;
         let name = format!("stand-in-{place}");
@@ -458,8 +460,8 @@
         while !self.over() {
             let report = Report {
                 name: name.clone(),
-                incarnation: life,
-                process_nonce: life,
+                incarnation,
+                process_nonce: incarnation,
                 status: Member::Serving,
                 version,
                 latest_known: version,
@@ -480,8 +482,14 @@
             if let Some((told, settings)) = told.settings {
                 version = told;
                 let settings = (!scoped).then_some(settings);
-                let seen = Seen { at: self.now(), who: who.clone(), life, version, settings };
-                self.tell(|record| record.seen.push(seen));
+                let observation = Observation {
+                    at: self.now(),
+                    observer: observer.clone(),
+                    incarnation,
+                    version,
+                    settings,
+                };
+                self.tell(|record| record.observations.push(observation));
             }
             thread::sleep(Duration::from_millis(BEAT_MS));
         }
@@ -508,9 +516,9 @@
     operators: Operators,
     /// The release that is under way, the version that all run, and since when it is halted.
     releases: (u64, String, Option<u64>),
-    released: Released,
+    released: ReleaseSummary,
     played: Played,
-    seen: Vec<Seen>,
+    seen: Vec<Observation>,
     watchers: &'a Watchers,
 }
 
@@ -587,7 +595,7 @@
         start: Instant::now(),
         over: AtomicBool::new(false),
         doors: members.iter().copied().collect(),
-        record: Mutex::new(Record { places: scenario.daemons, ..Record::default() }),
+        record: Mutex::new(Record { replicas: scenario.daemons, ..Record::default() }),
         budgets: scenario.budget.clone(),
         groups,
         scopes: scopes(scenario.scopes),
@@ -669,7 +677,7 @@
         struck_sidecars: Vec::new(),
         operators: Operators::default(),
         releases: (0, "v0".to_string(), None),
-        released: Released { most: most.unwrap_or(0) as usize, ..Released::default() },
+        released: ReleaseSummary { max_out: most.unwrap_or(0) as usize, ..ReleaseSummary::default() },
         played: Played::default(),
         seen: Vec::new(),
         watchers: &watchers,
@@ -688,7 +696,7 @@
         .iter()
         .map(|a| (a.served, a.served + a.rejected + a.failed + a.none))
         .fold((0, 0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
-    run.released.lost = answers.iter().map(|a| a.failed + a.none).sum();
+    run.released.lost_requests = answers.iter().map(|a| a.failed + a.none).sum();
     let result = run.end(keep, served, paired.unwrap_or_default());
     let _ = fs::remove_dir_all(folder);
     result
@@ -733,7 +741,7 @@
     /// A look at the releases: whoever is empty is moved; one that ended is followed by another; one that halted goes on, or
     /// goes back, by an operator's word after a while.
     fn release(&mut self, more: bool) -> Result<Option<Release>, String> {
-        if self.released.most == 0 {
+        if self.released.max_out == 0 {
             return Ok(None);
         }
         let (number, runs, halted) = self.releases.clone();
@@ -787,7 +795,7 @@
             target_kind: TargetKind::Sidecars,
             group: "all".to_string(),
             order: Vec::new(),
-            max_out: self.released.most as u32,
+            max_out: self.released.max_out as u32,
             from: from.to_string(),
             to: format!("v{number}"),
             action: None,
@@ -812,7 +820,7 @@
 
     /// Waits until the last release is over, and looks what all run.
     fn finish(&mut self) -> Result<(), String> {
-        if self.released.most == 0 {
+        if self.released.max_out == 0 {
             return Ok(());
         }
         let until = Instant::now() + 4 * PATIENCE;
@@ -979,7 +987,7 @@
                 let Some(number) = fault.sidecar else { return Ok(()) };
                 let name = format!("s{number}");
                 if fault.kind == Kind::KillSidecar {
-                    if self.released.most > 0 {
+                    if self.released.max_out > 0 {
                         let version = self.operators.versions.get(&name).map_or("v0", String::as_str);
                         self.sidecars.version(version, false);
                     }
@@ -998,22 +1006,28 @@
 
     /// What a sidecar has said, in its log, that it acts on.
     fn note_acts(&mut self, name: &str) {
-        let life = u64::from(self.sidecars.process(name).id());
+        let incarnation = u64::from(self.sidecars.process(name).id());
         let at = self.watchers.now();
         for line in self.sidecars.process(name).log() {
             let version =
                 line.split("acts on settings ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
             if let Some(version) = version {
-                self.seen.push(Seen { at, who: name.to_string(), life, version, settings: None });
+                self.seen.push(Observation {
+                    at,
+                    observer: name.to_string(),
+                    incarnation,
+                    version,
+                    settings: None,
+                });
             }
         }
     }
 
     /// What all sidecars together did at the most, as the endpoints counted it by their own clock.
-    fn uses(&self) -> Vec<Used> {
+    fn uses(&self) -> Vec<BudgetUsage> {
         let used = |budget: &Budget| {
             let endpoints = &self.sidecars.endpoints;
-            let most = match budget.resource {
+            let peak = match budget.resource {
                 Resource::Attempts => {
                     let times = endpoints.iter().flat_map(Endpoint::times).collect();
                     let window = Duration::from_millis(budget.window_ms).saturating_sub(UNDER_WAY);
@@ -1027,7 +1041,7 @@
                 // No stand-in can tell a repeat, or what is out, from what it sees; and none here starts anew.
                 Resource::Retries | Resource::InFlight | Resource::ColdAttempts => return None,
             };
-            Some(Used { of: budget.resource, most, whole: budget.quota })
+            Some(BudgetUsage { resource: budget.resource, peak, quota: budget.quota })
         };
         self.watchers.budgets.iter().filter_map(used).collect()
     }
@@ -1047,37 +1061,42 @@
         let mut record = std::mem::take(&mut *self.watchers.record.lock().expect("all watchers are over"));
         // Those that wrote, read and listened are over: what is there now is the end.
         let statuses = self.daemons.statuses();
-        record.uses = self.uses();
+        record.budget_usage = self.uses();
         record.states = statuses.iter().map(|(place, s)| (*place, s.applied, s.digest)).collect();
-        record.seen.append(&mut self.seen);
+        record.observations.append(&mut self.seen);
         (record.served, record.paired) = (served, paired);
-        if self.released.most > 0 {
+        if self.released.max_out > 0 {
             let (out, who) = self.watchers.out.lock().expect("all watchers are over").clone();
-            if out > self.released.most {
+            if out > self.released.max_out {
                 self.played.struck.push(format!("out at once: {who}"));
             }
-            (self.released.out, self.released.twice) = (out, self.operators.twice.clone());
-            record.released = Some(self.released.clone());
+            (self.released.peak_out, self.released.moved_twice) = (out, self.operators.twice.clone());
+            record.releases = Some(self.released.clone());
         }
-        let count =
-            |wanted: fn(&Outcome) -> bool| record.puts.iter().filter(|put| wanted(&put.outcome)).count();
+        let count = |wanted: fn(&Outcome) -> bool| {
+            record.writes.iter().filter(|write| wanted(&write.outcome)).count()
+        };
         let mut played = self.played;
         played.puts = [
             count(|outcome| matches!(outcome, Outcome::Committed(_))),
             count(|outcome| *outcome == Outcome::Refused),
             count(|outcome| *outcome == Outcome::Unknown),
         ];
-        played.uses = record.uses.iter().map(|used| (used.of.to_string(), used.most, used.whole)).collect();
-        (played.reads, played.told) = (record.reads.len(), record.seen.len());
+        played.uses = record
+            .budget_usage
+            .iter()
+            .map(|usage| (usage.resource.to_string(), usage.peak, usage.quota))
+            .collect();
+        (played.reads, played.told) = (record.reads.len(), record.observations.len());
         (played.served, played.paired) = (served, paired);
         let versions: std::collections::BTreeSet<Version> =
             record.history.iter().map(|w| w.version).collect();
         played.versions = versions.len();
         played.entries = statuses.values().map(|status| status.applied).max().unwrap_or(0);
-        played.releases = record.released.as_ref().map(|r| (r.ended, r.halts, r.out));
+        played.releases = record.releases.as_ref().map(|r| (r.ended, r.halts, r.peak_out));
         played.broken = judge(&record);
-        if let Err(what) = came {
-            played.broken.push(Broken { check: "comes right", what });
+        if let Err(detail) = came {
+            played.broken.push(Violation { check: "comes right", detail });
         }
         let last = versions.last().map_or(0, |version| version.number);
         if last as usize != versions.len() {
