--- a/crates/daemon/tests/scenarios.rs
+++ b/crates/daemon/tests/scenarios.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use appledyke_lab::rig::play::{Place, Scenario, play};
+use appledyke_lab::rig::play::{Environment, Scenario, play};
 use appledyke_lab::rig::processes::beside;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -15,18 +15,18 @@
     let folder = std::env::temp_dir().join(format!("appledyke-scenario-{}", std::process::id()));
     let (daemon, sidecar) =
         (Path::new(env!("CARGO_BIN_EXE_appledyke-daemon")), beside("appledyke-sidecar").unwrap());
-    let place = Place { daemon, sidecar: &sidecar, folder: &folder, base: BASE };
+    let environment = Environment { daemon, sidecar: &sidecar, folder: &folder, base: BASE };
     let seed = 1;
-    let played = play(&scenario, seed, &place, None).unwrap();
+    let played = play(&scenario, seed, &environment, None).unwrap();
     assert!(
-        played.broken.is_empty(),
+        played.violations.is_empty(),
         "{} seed {seed}: {:#?}\n{:#?}",
         scenario.name,
-        played.broken,
-        played.struck
+        played.violations,
+        played.fault_log
     );
-    // It did something: faults struck, and writes took effect among them.
-    assert!(played.struck.len() > 5 && played.versions > 10, "{played:?}");
+    // The run is not empty: faults were injected, and writes took effect meanwhile.
+    assert!(played.fault_log.len() > 5 && played.versions > 10, "{played:?}");
 }
 
 #[test]
@@ -36,11 +36,11 @@
     let folder = std::env::temp_dir().join(format!("appledyke-scenario-drains-{}", std::process::id()));
     let (daemon, sidecar) =
         (Path::new(env!("CARGO_BIN_EXE_appledyke-daemon")), beside("appledyke-sidecar").unwrap());
-    let place = Place { daemon, sidecar: &sidecar, folder: &folder, base: BASE };
+    let environment = Environment { daemon, sidecar: &sidecar, folder: &folder, base: BASE };
     let seed = 1;
-    let played = play(&scenario, seed, &place, None).unwrap();
-    let (broken, struck) = (&played.broken, &played.struck);
-    assert!(broken.is_empty(), "{} seed {seed}: {broken:#?}\n{struck:#?}", scenario.name);
+    let played = play(&scenario, seed, &environment, None).unwrap();
+    let (violations, fault_log) = (&played.violations, &played.fault_log);
+    assert!(violations.is_empty(), "{} seed {seed}: {violations:#?}\n{fault_log:#?}", scenario.name);
     assert!(played.releases.is_some_and(|(ended, _, _)| ended >= 1), "{played:?}");
 }
 
@@ -50,7 +50,7 @@
     for (from, to, said) in [
         ("daemons = 3", "daemons = 0", "daemons: expected 1 to 9, not 0"),
         ("kind = \"stop\"", "kind = \"stun\"", "fault[0].kind: "),
-        ("for_ms = 1200", "for_ms = 120000", "fault[0].for_ms: it lasts longer than the run"),
+        ("for_ms = 1200", "for_ms = 120000", "fault[0].for_ms: the fault ends after the end of the run"),
         ("daemons = 3", "demons = 3", "demons: "),
     ] {
         let found = Scenario::parse(&text.replacen(from, to, 1)).unwrap_err();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -396,16 +396,16 @@
     let sidecar = asked.sidecar.map_or_else(|| beside("appledyke-sidecar"), Ok)?;
     let folder = std::env::temp_dir().join(format!("appledyke-fleet-{}", std::process::id()));
     let base = include_str!("../../../examples/sidecar.json");
-    let place = rig::play::Place { daemon: &daemon, sidecar: &sidecar, folder: &folder, base };
-    let played = rig::play::play(&scenario, asked.seed, &place, asked.keep_logs.as_deref())?;
-    played.struck.iter().for_each(|struck| println!("{struck}"));
+    let environment = rig::play::Environment { daemon: &daemon, sidecar: &sidecar, folder: &folder, base };
+    let played = rig::play::play(&scenario, asked.seed, &environment, asked.keep_logs.as_deref())?;
+    played.fault_log.iter().for_each(|line| println!("{line}"));
     println!(
         "{} seed {}: {} committed, {} refused, {} unknown; {} reads, {} versions, {} entries; {} of {} reqs served, {} of {} without faults",
         scenario.name,
         asked.seed,
-        played.puts[0],
-        played.puts[1],
-        played.puts[2],
+        played.writes[0],
+        played.writes[1],
+        played.writes[2],
         played.reads,
         played.versions,
         played.entries,
@@ -419,17 +419,17 @@
             "{ended} releases ended, {halts} halts, {out} out at once at the most beside what was struck"
         );
     }
-    for (of, most, whole) in &played.uses {
+    for (of, most, whole) in &played.budget_usage {
         println!("{of}: {most} of {whole} at the most");
     }
     played
-        .broken
+        .violations
         .iter()
         .for_each(|broken| println!("BROKEN {} (seed {}): {}", broken.check, asked.seed, broken.detail));
     if let Some(out) = &asked.out {
         write(out, &played.json().to_string())?;
     }
-    Ok(played.broken.is_empty())
+    Ok(played.violations.is_empty())
 }
 
 fn scale_once(asked: Scale) -> Result<bool, String> {
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -1,5 +1,5 @@
-//! Plays a scenario of several processes: starts them, strikes them by its script and by a seed, and gives what was seen
-//! from outside to the judge.
+//! Runs a scenario of several processes: starts them, injects the faults that the scenario states or the seed draws, and
+//! passes the external observations to the judge.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -34,60 +34,60 @@
 use super::operators::Operators;
 use super::sidecars::{Clients, Endpoint, Sidecars, health, most_within};
 
-/// Between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(5);
-/// Longest that a write is tried for: longer than an election with lost messages.
-const WRITE_IN: Duration = Duration::from_secs(4);
-const ONE_IN: Duration = Duration::from_millis(700);
-/// Between two readings of the history: fewer versions come in that time than are kept.
-const HISTORY_EVERY: Duration = Duration::from_millis(400);
-const BEAT_MS: u64 = 80;
-/// How long a release that halted is left so, before an operator's word.
-const HALTED_FOR_MS: u64 = 800;
-/// By how much later than another an attempt may be delivered on a busy machine: windows are counted shorter by it.
-const UNDER_WAY: Duration = Duration::from_millis(60);
-/// Longest that the paired run without faults lasts: its share served settles well within that.
-const PAIR_MOST_MS: u64 = 60_000;
-/// Least and most time that a drawn fault lasts, as parts of an election's time: some are over before anyone notices, some
-/// outlast every lease.
-const LAST_LEAST: f64 = 0.3;
-const LAST_MOST: f64 = 6.0;
+/// How often faults that are due and health checks are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a write is retried: longer than an election with lost messages.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval between reads of the history: fewer versions are written in that time than the daemons retain.
+const HISTORY_INTERVAL: Duration = Duration::from_millis(400);
+const HEARTBEAT_MS: u64 = 80;
+/// How long a halted release stays halted before the operator resumes it or rolls it back.
+const HALT_MS: u64 = 800;
+/// Difference in delivery delay between two attempts on a busy machine. Budget windows are shortened by it when counting.
+const DELIVERY_JITTER: Duration = Duration::from_millis(60);
+/// Longest duration of the paired run without faults; its served share settles well within that.
+const MAX_PAIRED_RUN_MS: u64 = 60_000;
+/// Bounds of a drawn fault's duration, as multiples of the election timeout: some end before they are detected, some outlast
+/// every lease.
+const MIN_FAULT_ELECTIONS: f64 = 0.3;
+const MAX_FAULT_ELECTIONS: f64 = 6.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Killed outright, and started again.
+    /// SIGKILL, then a restart.
     Kill,
-    /// All daemons at once.
+    /// As `Kill`, for all daemons at once.
     KillAll,
-    /// Stopped and continued.
+    /// Paused and continued.
     Stop,
-    /// Told to leave, and started again.
+    /// Asked to leave, then restarted.
     Leave,
-    /// Killed, and started with an empty folder.
+    /// Killed, then restarted with an empty data folder.
     Empty,
-    /// Killed, and started with its folder as it was some time before.
+    /// Killed, then restarted with an earlier copy of its data folder.
     OldCopy,
-    /// Killed, and started with damage in both copies of its log.
+    /// Killed, then restarted with both copies of its log corrupted.
     Damage,
-    /// Killed, and started with one copy of its log cut short.
+    /// Killed, then restarted with one copy of its log truncated.
     CutShort,
-    /// Cut off from all other daemons, silently; members and operators reach it.
+    /// Partitioned from all other daemons without connection errors; members and operators still reach it.
     Around,
-    /// Cut off from one other, both ways.
+    /// Partitioned from one other daemon, in both directions.
     Between,
-    /// What it says to the others is held back and delivered late; it hears them.
+    /// Its messages to the other daemons are held and delivered late; it still receives theirs.
     OneWay,
     /// Its connections to the others are reset.
     Reset,
     /// Its links to the others are slow.
     Slow,
-    /// What it answers members and operators is held back and delivered late.
+    /// Its replies to members and operators are held and delivered late.
     Door,
-    /// A sidecar is killed outright, and started again.
+    /// SIGKILL to a sidecar, then a restart.
     KillSidecar,
     StopSidecar,
-    /// The list's service ends all watches and answers nobody.
+    /// The service of the endpoint list closes all watches and answers no request.
     ListAway,
 }
 
@@ -118,10 +118,10 @@
     pub at_ms: u64,
     /// How long it lasts.
     pub for_ms: u64,
-    /// Whom it strikes; the leader of that moment if not said.
+    /// Replica id of the affected daemon; by default the leader at that time.
     #[serde(default)]
     pub place: Option<u16>,
-    /// Which sidecar, for those that strike one.
+    /// Index of the sidecar, for faults of sidecars.
     #[serde(default)]
     pub sidecar: Option<usize>,
 }
@@ -132,28 +132,28 @@
     pub name: String,
     pub daemons: u16,
     pub sidecars: usize,
-    /// How many of them no draw strikes: what these serve is held against the paired run.
+    /// How many sidecars get no drawn fault; the share that these serve is compared with the paired run.
     #[serde(default)]
     pub spared: usize,
     pub endpoints: usize,
     pub length_ms: u64,
-    /// Between two writes of an operator; there are two of them.
+    /// Interval between the writes of an operator; there are two operators.
     pub put_every_ms: u64,
     pub election_ms: u64,
     pub compact_every: u64,
-    /// Budgets that are put at the start, and with every write.
+    /// Budgets written at the start and with every write.
     #[serde(default)]
     pub budget: Vec<Budget>,
-    /// Releases of all sidecars, one after another for as long as the run lasts: the most that may be out at once.
+    /// If set, sidecars are released one version after another throughout the run, with at most so many out of service at once.
     #[serde(default)]
     pub release_most: Option<u32>,
-    /// Settings are put for parts of the fleet in turn with those for all, and sidecars belong to these.
+    /// Writes alternate between settings for the whole fleet and for its scopes, and sidecars belong to these scopes.
     #[serde(default)]
     pub scopes: bool,
-    /// Faults drawn by the seed, beside those that are stated.
+    /// Number of faults drawn from the seed, in addition to `fault`.
     #[serde(default)]
     pub drawn: usize,
-    /// Of these kinds; all if none is stated.
+    /// Kinds of drawn faults; all kinds if empty.
     #[serde(default)]
     pub kinds: Vec<Kind>,
     #[serde(default)]
@@ -162,7 +162,7 @@
 
 impl Scenario {
     /// # Errors
-    /// The file, and the key that is at fault.
+    /// The file and the invalid key.
     pub fn read(path: &Path) -> Result<Scenario, String> {
         let named = |what: String| format!("{}: {what}", path.display());
         let text = fs::read_to_string(path).map_err(|e| named(e.to_string()))?;
@@ -170,7 +170,7 @@
     }
 
     /// # Errors
-    /// The key that is at fault.
+    /// The invalid key.
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let reader = toml::Deserializer::parse(text).map_err(|e| e.message().to_string())?;
         let read: Scenario = serde_path_to_error::deserialize(reader)
@@ -186,129 +186,123 @@
             return Err("endpoints: expected at least one".to_string());
         }
         for (at, fault) in read.fault.iter().enumerate() {
-            if fault.place.is_some_and(|place| !(1..=read.daemons).contains(&place)) {
+            if fault.place.is_some_and(|replica| !(1..=read.daemons).contains(&replica)) {
                 return Err(format!("fault[{at}].place: there are {} daemons", read.daemons));
             }
             if fault.sidecar.is_some_and(|sidecar| sidecar >= read.sidecars) {
                 return Err(format!("fault[{at}].sidecar: there are {} sidecars", read.sidecars));
             }
             if fault.at_ms + fault.for_ms > read.length_ms {
-                return Err(format!("fault[{at}].for_ms: it lasts longer than the run"));
+                return Err(format!("fault[{at}].for_ms: the fault ends after the end of the run"));
             }
         }
         Ok(read)
     }
 
-    /// The stated faults and the drawn ones, in order.
-    fn faults(&self, chance: &mut Rand64) -> Vec<Fault> {
+    /// Returns the stated and the drawn faults, ordered by start time.
+    fn faults(&self, random: &mut Rand64) -> Vec<Fault> {
         let kinds = if self.kinds.is_empty() { &KINDS[..] } else { &self.kinds[..] };
         let mut all = self.fault.clone();
         for _ in 0..self.drawn {
-            let kind = kinds[chance.rand_range(0..kinds.len() as u64) as usize];
-            let last = LAST_LEAST + (LAST_MOST - LAST_LEAST) * chance.rand_float();
+            let kind = kinds[random.rand_range(0..kinds.len() as u64) as usize];
+            let last =
+                MIN_FAULT_ELECTIONS + (MAX_FAULT_ELECTIONS - MIN_FAULT_ELECTIONS) * random.rand_float();
             let for_ms = ((self.election_ms as f64 * last) as u64).min(self.length_ms / 2);
-            let at_ms = chance.rand_range(0..(self.length_ms - for_ms).max(1));
-            // As often the leader as any one.
-            let any = 1 + chance.rand_range(0..u64::from(self.daemons)) as u16;
-            let place = (chance.rand_float() < 0.6).then_some(any);
-            let strikable = (self.sidecars - self.spared) as u64;
-            let sidecar = (strikable > 0).then(|| self.spared + chance.rand_range(0..strikable) as usize);
-            all.push(Fault { kind, at_ms, for_ms, place, sidecar });
+            let at_ms = random.rand_range(0..(self.length_ms - for_ms).max(1));
+            // 60 percent of the faults hit a drawn replica, the others the leader.
+            let drawn = 1 + random.rand_range(0..u64::from(self.daemons)) as u16;
+            let replica = (random.rand_float() < 0.6).then_some(drawn);
+            let eligible = (self.sidecars - self.spared) as u64;
+            let sidecar = (eligible > 0).then(|| self.spared + random.rand_range(0..eligible) as usize);
+            all.push(Fault { kind, at_ms, for_ms, place: replica, sidecar });
         }
         all.sort_by_key(|fault| fault.at_ms);
         all
     }
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Debug, Default)]
-pub struct Played {
-    pub broken: Vec<Violation>,
-    /// What was struck, when and whom, and what was not as another was struck so still.
-    pub struck: Vec<String>,
-    pub puts: [usize; 3],
+pub struct RunResult {
+    pub violations: Vec<Violation>,
+    /// Injected faults with time and target, and faults skipped because of another active one.
+    pub fault_log: Vec<String>,
+    /// Writes that were committed, refused, and with unknown outcome.
+    pub writes: [usize; 3],
     pub reads: usize,
     pub versions: usize,
-    pub told: usize,
-    /// Requests served, and all; and in the paired run without faults.
+    pub observations: usize,
+    /// Requests: (served, all); `paired` is of the paired run without faults.
     pub served: (u64, u64),
     pub paired: (u64, u64),
     pub entries: u64,
-    /// Of each budget: the most that was used at once, or in a window, and its whole.
-    pub uses: Vec<(String, u64, u64)>,
-    /// Releases that ended, halts, and the most that were out at once beside what was struck.
+    /// Resource, peak use at once or in a window, and quota of each budget.
+    pub budget_usage: Vec<(String, u64, u64)>,
+    /// Releases that ended, halts, and the most sidecars without injected faults that were out of service at once.
     pub releases: Option<(usize, usize, usize)>,
 }
 
-impl Played {
+impl RunResult {
     pub fn json(&self) -> serde_json::Value {
-        let broken: Vec<_> =
-            self.broken.iter().map(|b| serde_json::json!({"check": b.check, "what": b.detail})).collect();
+        let violations: Vec<_> =
+            self.violations.iter().map(|b| serde_json::json!({"check": b.check, "what": b.detail})).collect();
         serde_json::json!({
-            "broken": broken, "struck": self.struck, "committed": self.puts[0], "refused": self.puts[1],
-            "unknown": self.puts[2], "reads": self.reads, "versions": self.versions, "told": self.told,
-            "uses": self.uses, "releases": self.releases, "served": self.served.0, "reqs": self.served.1,
+            "broken": violations, "struck": self.fault_log, "committed": self.writes[0], "refused": self.writes[1],
+            "unknown": self.writes[2], "reads": self.reads, "versions": self.versions, "told": self.observations,
+            "uses": self.budget_usage, "releases": self.releases, "served": self.served.0, "reqs": self.served.1,
             "pairedServed": self.paired.0, "pairedReqs": self.paired.1, "entries": self.entries,
         })
     }
 }
 
-/// The programs, and where the run's files are.
-pub struct Place<'a> {
+/// The programs to run, and the folder of the run's files.
+pub struct Environment<'a> {
     pub daemon: &'a Path,
     pub sidecar: &'a Path,
     pub folder: &'a Path,
-    /// A sidecar's configuration, as the base of each.
+    /// Base configuration of every sidecar.
     pub base: &'a str,
 }
 
-/// What runs beside the faults, and is over when they are.
+/// State shared by the threads that write, read and poll while faults are injected.
 struct Watchers {
     start: Instant,
-    over: AtomicBool,
-    doors: BTreeMap<u16, SocketAddr>,
+    stop: AtomicBool,
+    addresses: BTreeMap<u16, SocketAddr>,
     record: Mutex<Record>,
     budgets: Vec<Budget>,
     groups: Vec<Group>,
-    /// For which settings are put in turn.
+    /// Writes go to these scopes in turn.
     scopes: Vec<Scope>,
-    numbers: AtomicU64,
-    /// Those that were struck, whether they are so still, until they are well again; and the most of the others that were out at once.
-    excused: Mutex<BTreeMap<String, bool>>,
-    out: Mutex<(usize, String)>,
+    next_write: AtomicU64,
+    /// Sidecars with an injected fault, until they are healthy again; the value is whether the fault is still active.
+    faulted: Mutex<BTreeMap<String, bool>>,
+    /// Most sidecars without injected faults that were out of service at once, with their names and the time.
+    peak_out: Mutex<(usize, String)>,
 }
 
-/// For which settings are put in turn, where scopes are played.
-fn scopes(played: bool) -> Vec<Scope> {
+/// Returns the scopes that writes go to in turn.
+fn scopes(scoped: bool) -> Vec<Scope> {
     let (zone, service) = (|| Scope::Zone("z1".into()), |name: &str| Scope::Service(name.into()));
-    match played {
+    match scoped {
         false => vec![Scope::All],
         true => vec![Scope::All, service("v0"), zone(), service("v1")],
     }
 }
 
-/// What a sidecar's file says that it belongs to then: each second one to a service, every third to a zone too.
-fn belongs(number: usize) -> serde_json::Value {
-    let mut belongs = serde_json::json!({"service": format!("v{}", number % 2)});
+/// Returns the `belongs` setting of a sidecar: sidecars alternate between two services, and every third is in a zone too.
+fn locality(number: usize) -> serde_json::Value {
+    let mut locality = serde_json::json!({"service": format!("v{}", number % 2)});
     if number.is_multiple_of(3) {
-        belongs["zone"] = "z1".into();
+        locality["zone"] = "z1".into();
     }
-    belongs
+    locality
 }
 
-fn as_written(scoped: ScopedSettings) -> SettingsVersion {
-    let ScopedSettings { version, settings, author: by, reason: why, at_ms, rollback_to: back_to } = scoped;
+fn settings_version(scoped: ScopedSettings) -> SettingsVersion {
+    let ScopedSettings { version, settings, author, reason, at_ms, rollback_to } = scoped;
     let (settings, budgets, groups) = (settings.unwrap_or_default(), Vec::new(), Vec::new());
-    SettingsVersion {
-        version,
-        settings,
-        budgets,
-        groups,
-        author: by,
-        reason: why,
-        at_ms,
-        rollback_to: back_to,
-    }
+    SettingsVersion { version, settings, budgets, groups, author, reason, at_ms, rollback_to }
 }
 
 impl Watchers {
@@ -316,49 +310,49 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    fn over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.stop.load(Ordering::Relaxed)
     }
 
-    fn tell(&self, change: impl FnOnce(&mut Record)) {
-        change(&mut self.record.lock().expect("no watcher panics with the record"));
+    fn update_record(&self, change: impl FnOnce(&mut Record)) {
+        change(&mut self.record.lock().expect("no thread panics with the record"));
     }
 
-    /// One round over all daemons after another, until one answers for good.
-    fn ask(&self, asked: &OperatorRequest, within: Duration) -> Result<OperatorReply, bool> {
+    /// Asks all daemons in turn until one gives a final reply. On a timeout, returns whether the request may have been applied.
+    fn ask(&self, request: &OperatorRequest, within: Duration) -> Result<OperatorReply, bool> {
         let until = Instant::now() + within;
-        // Whether someone may have acted on it without saying so.
-        let mut open = false;
-        let mut places: Vec<u16> = self.doors.keys().copied().collect();
+        // Whether a daemon may have applied the request without a reply.
+        let mut may_be_applied = false;
+        let mut places: Vec<u16> = self.addresses.keys().copied().collect();
         while Instant::now() < until {
-            for place in places.clone() {
-                match ask(self.doors[&place], asked, ONE_IN) {
+            for replica in places.clone() {
+                match ask(self.addresses[&replica], request, REPLY_TIMEOUT) {
                     Ok(OperatorReply::NotLeader(Some(leader))) => {
-                        places.sort_by_key(|place| *place != leader)
+                        places.sort_by_key(|replica| *replica != leader)
                     }
                     Ok(OperatorReply::NotLeader(None)) => {}
-                    Ok(OperatorReply::Unknown(_)) => open = true,
-                    // Danger: what one finds faulty another may have taken before.
-                    Ok(OperatorReply::Invalid(_)) if open => {}
+                    Ok(OperatorReply::Unknown(_)) => may_be_applied = true,
+                    // Danger: a request that one daemon finds invalid may have been accepted by another before.
+                    Ok(OperatorReply::Invalid(_)) if may_be_applied => {}
                     Ok(reply) => return Ok(reply),
-                    // Whether it was taken before the connection broke cannot be told.
-                    Err(_) => open = true,
+                    // The request may have been accepted before the connection broke.
+                    Err(_) => may_be_applied = true,
                 }
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        Err(open)
+        Err(may_be_applied)
     }
 
-    fn put(&self, chance: &mut Rand64) {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+    fn write(&self, random: &mut Rand64) {
+        let number = self.next_write.fetch_add(1, Ordering::Relaxed);
         let reason = format!("write {number}");
-        let cold = 8_000_000_000_u64 + number;
+        let cold_ns = 8_000_000_000_u64 + number;
         let settings = format!(
-            "{{\"rules\": {{\"startCapacity\": 0.3, \"coldNs\": {cold}, \"overloadForNs\": 1500000000}}}}"
+            "{{\"rules\": {{\"startCapacity\": 0.3, \"coldNs\": {cold_ns}, \"overloadForNs\": 1500000000}}}}"
         );
-        // Some expect a version that has long passed, and are refused.
-        let expects = (chance.rand_float() < 0.1).then_some(Version { generation: 0, number: 0 });
+        // One in ten writes expects an outdated version and is refused.
+        let expects = (random.rand_float() < 0.1).then_some(Version { generation: 0, number: 0 });
         let id = WriteId(9, number);
         let write = Write {
             id,
@@ -368,47 +362,50 @@
             at_ms: 0,
             change: SettingsChange::Put(settings, self.budgets.clone(), self.groups.clone()),
         };
-        let asked = match &self.scopes[number as usize % self.scopes.len()] {
+        let request = match &self.scopes[number as usize % self.scopes.len()] {
             Scope::All => OperatorRequest::Write(write),
             scope => OperatorRequest::WriteScoped { scope: scope.clone(), write },
         };
         let started_at = self.now();
-        let outcome = match self.ask(&asked, WRITE_IN) {
+        let outcome = match self.ask(&request, WRITE_TIMEOUT) {
             Ok(OperatorReply::Committed(version)) => Outcome::Committed(version),
             Ok(OperatorReply::Refused(_) | OperatorReply::Invalid(_)) | Err(false) => Outcome::Refused,
             _ => Outcome::Unknown,
         };
         let ended_at = self.now();
-        self.tell(|record| record.writes.push(RecordedWrite { reason, started_at, ended_at, outcome }));
+        self.update_record(|record| {
+            record.writes.push(RecordedWrite { reason, started_at, ended_at, outcome })
+        });
     }
 
     fn read(&self) {
         let started_at = self.now();
-        let asked = if self.scopes.len() > 1 { OperatorRequest::Scopes } else { OperatorRequest::Get(None) };
-        let version = match self.ask(&asked, ONE_IN) {
-            // What was put last, for whomever.
+        let request =
+            if self.scopes.len() > 1 { OperatorRequest::Scopes } else { OperatorRequest::Get(None) };
+        let version = match self.ask(&request, REPLY_TIMEOUT) {
+            // The latest write of any scope.
             Ok(OperatorReply::Scopes(rows)) => rows.iter().map(|row| row.version).max().unwrap_or_default(),
             Ok(OperatorReply::Settings(Some(written))) => written.version,
             Ok(OperatorReply::Settings(None)) => Version::default(),
             _ => return,
         };
         let ended_at = self.now();
-        self.tell(|record| record.reads.push(RecordedRead { started_at, ended_at, version }));
+        self.update_record(|record| record.reads.push(RecordedRead { started_at, ended_at, version }));
     }
 
-    fn history(&self) -> bool {
+    fn read_history(&self) -> bool {
         self.scopes.iter().all(|scope| {
             let rows = match scope {
-                Scope::All => match self.ask(&OperatorRequest::History, WRITE_IN) {
+                Scope::All => match self.ask(&OperatorRequest::History, WRITE_TIMEOUT) {
                     Ok(OperatorReply::History(rows)) => rows,
                     _ => return false,
                 },
-                scope => match self.ask(&OperatorRequest::ScopeHistory(scope.clone()), WRITE_IN) {
-                    Ok(OperatorReply::ScopeHistory(rows)) => rows.into_iter().map(as_written).collect(),
+                scope => match self.ask(&OperatorRequest::ScopeHistory(scope.clone()), WRITE_TIMEOUT) {
+                    Ok(OperatorReply::ScopeHistory(rows)) => rows.into_iter().map(settings_version).collect(),
                     _ => return false,
                 },
             };
-            self.tell(|record| {
+            self.update_record(|record| {
                 let new: Vec<SettingsVersion> =
                     rows.into_iter().filter(|row| !record.history.contains(row)).collect();
                 record.history.extend(new);
@@ -417,47 +414,44 @@
         })
     }
 
-    /// Asks all health checks once, and counts those that say no and were not struck.
-    fn check(&self, at: &impl Fn(&str) -> Option<SocketAddr>, names: &[String]) {
-        let excused = |name: &String| self.excused.lock().expect("no watcher panics").contains_key(name);
+    /// Polls each sidecar's health check once, and counts the unhealthy ones that have no injected fault.
+    fn poll_health(&self, at: &impl Fn(&str) -> Option<SocketAddr>, names: &[String]) {
+        let faulted = |name: &String| self.faulted.lock().expect("no thread panics").contains_key(name);
         let mut out = Vec::new();
         for name in names {
-            // Danger: struck while it is asked, it says no by that.
-            let before = excused(name);
+            // Danger: a fault injected during the poll makes the health check fail, so it is looked up before and after.
+            let before = faulted(name);
             match at(name).and_then(health) {
-                // Danger: one that is about to be struck is well still.
+                // Danger: a sidecar is registered just before its fault is injected and is still healthy then, so an active one stays.
                 Some(true) if before => {
-                    self.excused
-                        .lock()
-                        .expect("no watcher panics")
-                        .retain(|other, now| other != name || *now);
+                    self.faulted.lock().expect("no thread panics").retain(|other, now| other != name || *now);
                 }
-                Some(false) if !before && !excused(name) => out.push(name.clone()),
+                Some(false) if !before && !faulted(name) => out.push(name.clone()),
                 _ => {}
             }
         }
-        let mut most = self.out.lock().expect("no watcher panics");
-        if out.len() > most.0 {
-            *most = (out.len(), format!("{} at {} ms", out.join(", "), self.now()));
+        let mut peak = self.peak_out.lock().expect("no thread panics");
+        if out.len() > peak.0 {
+            *peak = (out.len(), format!("{} at {} ms", out.join(", "), self.now()));
         }
     }
 
-    /// A member that keeps what each daemon tells it.
-    fn listen(&self, place: u16, incarnation: u64) -> std::io::Result<()> {
-        let observer = format!("a member of replica {place}");
-        let mut stream = TcpStream::connect_timeout(&self.doors[&place], ONE_IN)?;
-        stream.set_read_timeout(Some(ONE_IN))?;
-        let name = format!("stand-in-{place}");
+    /// Acts as a member of a daemon, and records the settings that the daemon sends.
+    fn run_member(&self, replica: u16, incarnation: u64) -> std::io::Result<()> {
+        let observer = format!("a member of replica {replica}");
+        let mut stream = TcpStream::connect_timeout(&self.addresses[&replica], REPLY_TIMEOUT)?;
+        stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+        let name = format!("stand-in-{replica}");
         let (mut out, mut frames, mut piece) = (Vec::new(), FrameReader::default(), vec![0; 64 * 1024]);
         Frame::hello(FLEET, Initiator::Member { name: name.clone() }).write(&mut out);
-        // One of them has what is merged, which is the text of no version by itself.
-        let scoped = self.scopes.len() > 1 && place == 1;
+        // The member of replica 1 gets merged settings, which are the text of no single version.
+        let scoped = self.scopes.len() > 1 && replica == 1;
         if scoped {
             let service = Some("v0".to_string());
             Frame::Locality(Locality { service, ..Locality::default() }).write(&mut out);
         }
         let mut version = Version::default();
-        while !self.over() {
+        while !self.is_stopped() {
             let report = Report {
                 name: name.clone(),
                 incarnation,
@@ -469,9 +463,9 @@
             };
             Frame::Report(report).write(&mut out);
             stream.write_all(&std::mem::take(&mut out))?;
-            let told = loop {
+            let answer = loop {
                 match frames.pop().map_err(std::io::Error::other)? {
-                    Some(Frame::ReportAnswer(told)) => break told,
+                    Some(Frame::ReportAnswer(answer)) => break answer,
                     Some(_) => {}
                     None => match stream.read(&mut piece)? {
                         0 => return Ok(()),
@@ -479,8 +473,8 @@
                     },
                 }
             };
-            if let Some((told, settings)) = told.settings {
-                version = told;
+            if let Some((sent, settings)) = answer.settings {
+                version = sent;
                 let settings = (!scoped).then_some(settings);
                 let observation = Observation {
                     at: self.now(),
@@ -489,19 +483,19 @@
                     version,
                     settings,
                 };
-                self.tell(|record| record.observations.push(observation));
+                self.update_record(|record| record.observations.push(observation));
             }
-            thread::sleep(Duration::from_millis(BEAT_MS));
+            thread::sleep(Duration::from_millis(HEARTBEAT_MS));
         }
         Ok(())
     }
 }
 
-/// What is struck now, and when it is over.
-struct Strike {
+/// An injected fault and when it is removed.
+struct ActiveFault {
     until: u64,
     fault: Fault,
-    place: u16,
+    replica: u16,
     other: u16,
 }
 
@@ -509,41 +503,47 @@
     daemons: Daemons,
     sidecars: Sidecars,
     members: Vec<(u16, SocketAddr)>,
-    strikes: Vec<Strike>,
-    /// The place whose folder was struck, and how far all had come: no other folder is struck before it is back.
-    wounded: Option<(u16, u64)>,
-    struck_sidecars: Vec<String>,
+    active_faults: Vec<ActiveFault>,
+    /// Replica that lost stored data, and the last log entry of any replica at that time. No other replica loses data before
+    /// this one has caught up.
+    recovering: Option<(u16, u64)>,
+    faulted_sidecars: Vec<String>,
     operators: Operators,
-    /// The release that is under way, the version that all run, and since when it is halted.
+    /// Number of the current release, the version that all sidecars run, and since when the release is halted.
     releases: (u64, String, Option<u64>),
     released: ReleaseSummary,
-    played: Played,
-    seen: Vec<Observation>,
+    played: RunResult,
+    applied: Vec<Observation>,
     watchers: &'a Watchers,
 }
 
-/// Plays a scenario with this seed: once without its faults, as what is served is held against that, and once with them.
+/// Runs a scenario with this seed: once without faults, as the baseline for the served share, and once with them.
 ///
 /// # Errors
-/// What could not be started, or never came right; a broken rule is no error.
-pub fn play(scenario: &Scenario, seed: u64, place: &Place, keep: Option<&Path>) -> Result<Played, String> {
-    // What a budget refuses is not a loss that a fault made.
+/// What could not be started or did not recover. A violated rule is no error.
+pub fn play(
+    scenario: &Scenario,
+    seed: u64,
+    environment: &Environment,
+    keep: Option<&Path>,
+) -> Result<RunResult, String> {
+    // With budgets there is no baseline: requests that a budget refuses are not lost to a fault.
     let mut paired = (0, 0);
     if scenario.budget.is_empty() {
-        let calm = Scenario { length_ms: scenario.length_ms.min(PAIR_MOST_MS), ..scenario.clone() };
-        paired = once(&calm, seed, place, None, None)?.served;
+        let baseline = Scenario { length_ms: scenario.length_ms.min(MAX_PAIRED_RUN_MS), ..scenario.clone() };
+        paired = run_once(&baseline, seed, environment, None, None)?.served;
     }
-    once(scenario, seed, place, keep, Some(paired))
+    run_once(scenario, seed, environment, keep, Some(paired))
 }
 
-/// One run: with its faults if it is to be held against a paired one.
-fn once(
+/// Runs the scenario once; faults are injected if `paired` holds the baseline.
+fn run_once(
     scenario: &Scenario,
     seed: u64,
-    place: &Place,
+    environment: &Environment,
     keep: Option<&Path>,
     paired: Option<(u64, u64)>,
-) -> Result<Played, String> {
+) -> Result<RunResult, String> {
     let shape = Shape {
         daemons: scenario.daemons,
         election_ms: scenario.election_ms,
@@ -552,11 +552,15 @@
         compact_every: scenario.compact_every,
         ..Shape::default()
     };
-    let mut daemons = Daemons::new(place.folder, place.daemon, place.base, shape)?;
+    let mut daemons = Daemons::new(environment.folder, environment.daemon, environment.base, shape)?;
     daemons.begin()?;
-    let mut sidecars =
-        Sidecars::new(&place.folder.join("sidecars"), place.sidecar, place.base, scenario.endpoints)?;
-    let members: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
+    let mut sidecars = Sidecars::new(
+        &environment.folder.join("sidecars"),
+        environment.sidecar,
+        environment.base,
+        scenario.endpoints,
+    )?;
+    let members: Vec<_> = daemons.places().map(|replica| (replica, daemons.at(replica))).collect();
     let most = scenario.release_most;
     let group = |most| Group {
         name: "all".to_string(),
@@ -573,7 +577,7 @@
         let mut write = daemons
             .a_write(SettingsChange::Put("{}".to_string(), scenario.budget.clone(), groups.clone()), None);
         write.reason = "budgets".to_string();
-        daemons.ask(&OperatorRequest::Write(write), WRITE_IN)?;
+        daemons.ask(&OperatorRequest::Write(write), WRITE_TIMEOUT)?;
     }
     if !scenario.budget.is_empty() {
         let alone = scenario.budget.iter().map(|budget| {
@@ -587,36 +591,37 @@
     }
     for number in 0..scenario.sidecars {
         if scenario.scopes {
-            sidecars.belongs(belongs(number));
+            sidecars.belongs(locality(number));
         }
-        sidecars.start(&format!("s{number}"), &members, BEAT_MS)?;
+        sidecars.start(&format!("s{number}"), &members, HEARTBEAT_MS)?;
     }
     let watchers = Arc::new(Watchers {
         start: Instant::now(),
-        over: AtomicBool::new(false),
-        doors: members.iter().copied().collect(),
+        stop: AtomicBool::new(false),
+        addresses: members.iter().copied().collect(),
         record: Mutex::new(Record { replicas: scenario.daemons, ..Record::default() }),
         budgets: scenario.budget.clone(),
         groups,
         scopes: scopes(scenario.scopes),
-        numbers: AtomicU64::new(1),
-        excused: Mutex::default(),
-        out: Mutex::default(),
+        next_write: AtomicU64::new(1),
+        faulted: Mutex::default(),
+        peak_out: Mutex::default(),
     });
-    let mut chance = Rand64::new(u128::from(seed));
-    let faults = scenario.faults(&mut chance);
+    let mut random = Rand64::new(u128::from(seed));
+    let faults = scenario.faults(&mut random);
     let spared: Vec<usize> = (0..scenario.sidecars)
         .filter(|at| {
-            let strikes = |fault: &&Fault| matches!(fault.kind, Kind::KillSidecar | Kind::StopSidecar);
-            !faults.iter().filter(strikes).any(|fault| fault.sidecar == Some(*at))
+            let targets_sidecar =
+                |fault: &&Fault| matches!(fault.kind, Kind::KillSidecar | Kind::StopSidecar);
+            !faults.iter().filter(targets_sidecar).any(|fault| fault.sidecar == Some(*at))
         })
         .collect();
     let at: Vec<SocketAddr> = spared.iter().map(|number| sidecars.at(&format!("s{number}"))).collect();
     let pause = Duration::from_millis(3);
-    // A budget is wanted by all that there are, struck or not, and far above the whole.
+    // With budgets, requests go to all sidecars, with or without faults, at a rate far above the quota.
     let clients = match scenario.budget.is_empty() {
         true if most.is_some() => {
-            // All have requests, or none could be judged; those of what is struck are not counted.
+            // A release is judged by requests, so all sidecars get some; those to sidecars with faults are not counted.
             let names: Vec<String> = (0..scenario.sidecars).map(|number| format!("s{number}")).collect();
             Clients::front(&sidecars, &names, 1, "/menu/1", pause)
         }
@@ -626,45 +631,45 @@
     let every = Duration::from_millis(scenario.put_every_ms);
     let mut threads = Vec::new();
     for writer in 0..2 {
-        let (watchers, mut chance) = (watchers.clone(), Rand64::new(u128::from(seed) * 7 + writer));
+        let (watchers, mut random) = (watchers.clone(), Rand64::new(u128::from(seed) * 7 + writer));
         threads.push(thread::spawn(move || {
-            while !watchers.over() {
-                watchers.put(&mut chance);
+            while !watchers.is_stopped() {
+                watchers.write(&mut random);
                 thread::sleep(every);
             }
         }));
     }
     let reader = watchers.clone();
     threads.push(thread::spawn(move || {
-        while !reader.over() {
+        while !reader.is_stopped() {
             reader.read();
             thread::sleep(every / 2);
         }
     }));
     let historian = watchers.clone();
     threads.push(thread::spawn(move || {
-        while !historian.over() {
-            historian.history();
-            thread::sleep(HISTORY_EVERY);
+        while !historian.is_stopped() {
+            historian.read_history();
+            thread::sleep(HISTORY_INTERVAL);
         }
     }));
-    for place in daemons.places() {
+    for replica in daemons.places() {
         let watchers = watchers.clone();
         threads.push(thread::spawn(move || {
-            let mut life = 0;
-            while !watchers.over() {
-                life += 1;
-                let _ = watchers.listen(place, life);
-                thread::sleep(LOOK);
+            let mut incarnation = 0;
+            while !watchers.is_stopped() {
+                incarnation += 1;
+                let _ = watchers.run_member(replica, incarnation);
+                thread::sleep(POLL_INTERVAL);
             }
         }));
     }
     if most.is_some() {
         let (watchers, names, at) = (watchers.clone(), sidecars.names(), sidecars.lookup());
         threads.push(thread::spawn(move || {
-            while !watchers.over() {
-                watchers.check(&at, &names);
-                thread::sleep(LOOK);
+            while !watchers.is_stopped() {
+                watchers.poll_health(&at, &names);
+                thread::sleep(POLL_INTERVAL);
             }
         }));
     }
@@ -672,90 +677,90 @@
         daemons,
         sidecars,
         members,
-        strikes: Vec::new(),
-        wounded: None,
-        struck_sidecars: Vec::new(),
+        active_faults: Vec::new(),
+        recovering: None,
+        faulted_sidecars: Vec::new(),
         operators: Operators::default(),
         releases: (0, "v0".to_string(), None),
         released: ReleaseSummary { max_out: most.unwrap_or(0) as usize, ..ReleaseSummary::default() },
-        played: Played::default(),
-        seen: Vec::new(),
+        played: RunResult::default(),
+        applied: Vec::new(),
         watchers: &watchers,
     };
     let faults = if paired.is_some() { faults } else { Vec::new() };
-    let played = run.through(faults, scenario.length_ms).and_then(|()| run.finish());
-    watchers.over.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| thread.join().expect("a watcher does not panic"));
+    let played = run.inject_faults(faults, scenario.length_ms).and_then(|()| run.finish_releases());
+    watchers.stop.store(true, Ordering::Relaxed);
+    threads.into_iter().for_each(|thread| thread.join().expect("no thread panics"));
     let mut answers = clients.stop();
     if most.is_some() {
         answers = spared.iter().map(|number| answers[*number]).collect();
     }
-    let folder = place.folder.to_path_buf();
+    let folder = environment.folder.to_path_buf();
     played?;
     let served = answers
         .iter()
         .map(|a| (a.served, a.served + a.rejected + a.failed + a.none))
         .fold((0, 0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
     run.released.lost_requests = answers.iter().map(|a| a.failed + a.none).sum();
-    let result = run.end(keep, served, paired.unwrap_or_default());
+    let result = run.judge(keep, served, paired.unwrap_or_default());
     let _ = fs::remove_dir_all(folder);
     result
 }
 
-/// Whether it takes from a folder what its replica may have acknowledged.
-fn wounds(kind: Kind) -> bool {
+/// Returns whether a fault removes stored data that the replica may have acknowledged.
+fn loses_data(kind: Kind) -> bool {
     matches!(kind, Kind::Empty | Kind::OldCopy | Kind::Damage)
 }
 
 impl Run<'_> {
-    fn through(&mut self, faults: Vec<Fault>, length: u64) -> Result<(), String> {
+    fn inject_faults(&mut self, faults: Vec<Fault>, length: u64) -> Result<(), String> {
         let mut faults = faults.into_iter().peekable();
         loop {
             let now = self.watchers.now();
-            while let Some(at) = self.strikes.iter().position(|strike| strike.until <= now) {
-                let strike = self.strikes.remove(at);
-                self.mend(strike)?;
+            while let Some(at) = self.active_faults.iter().position(|active| active.until <= now) {
+                let active = self.active_faults.remove(at);
+                self.remove_fault(active)?;
             }
             while faults.peek().is_some_and(|fault| fault.at_ms <= now) {
-                let fault = faults.next().expect("looked");
-                self.strike(fault, now)?;
+                let fault = faults.next().expect("peeked");
+                self.inject(fault, now)?;
             }
-            if let Some((place, entries)) = self.wounded
-                // Danger: an old copy is put back when the strike is over, and not before.
-                && !self.strikes.iter().any(|strike| strike.place == place && wounds(strike.fault.kind))
-                && self.daemons.running(place)
-                && self.daemons.status(place).is_some_and(|s| {
+            if let Some((replica, entries)) = self.recovering
+                // Danger: an old copy is restored only when the fault is removed.
+                && !self.active_faults.iter().any(|active| active.replica == replica && loses_data(active.fault.kind))
+                && self.daemons.running(replica)
+                && self.daemons.status(replica).is_some_and(|s| {
                     ["Leader", "Follower"].contains(&s.role.as_str()) && s.applied >= entries
                 })
             {
-                self.wounded = None;
+                self.recovering = None;
             }
-            self.release(true)?;
-            if now >= length && faults.peek().is_none() && self.strikes.is_empty() {
+            self.poll_release(true)?;
+            if now >= length && faults.peek().is_none() && self.active_faults.is_empty() {
                 return Ok(());
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// A look at the releases: whoever is empty is moved; one that ended is followed by another; one that halted goes on, or
-    /// goes back, by an operator's word after a while.
-    fn release(&mut self, more: bool) -> Result<Option<Release>, String> {
+    /// Polls the current release: restarts drained sidecars with their new version, starts the next release after one that
+    /// ended, and resumes or rolls back a halted one after a delay.
+    fn poll_release(&mut self, more: bool) -> Result<Option<Release>, String> {
         if self.released.max_out == 0 {
             return Ok(None);
         }
         let (number, runs, halted) = self.releases.clone();
         let now = self.watchers.now();
         let (name, to) = (format!("r{number}"), format!("v{number}"));
-        let seen = match number {
+        let polled = match number {
             0 => None,
-            _ => self.operators.turn(&self.daemons, &mut self.sidecars, &name, BEAT_MS)?,
+            _ => self.operators.turn(&self.daemons, &mut self.sidecars, &name, HEARTBEAT_MS)?,
         };
-        let Some(release) = seen else {
-            // Danger: a start that was refused, or whose answer was lost, is to be said again; it begins once.
+        let Some(release) = polled else {
+            // Danger: a start that was refused or whose reply was lost is repeated; a repeated start has no further effect.
             if more {
                 self.releases.0 = number.max(1);
-                self.begin(number.max(1), &runs);
+                self.start_release(number.max(1), &runs);
             }
             return Ok(None);
         };
@@ -766,20 +771,20 @@
                 (self.releases.1, self.releases.2) = (runs.clone(), None);
                 if more {
                     self.releases.0 = number + 1;
-                    self.begin(number + 1, &runs);
+                    self.start_release(number + 1, &runs);
                 }
             }
             ReleaseState::Halted => {
                 let since = *self.releases.2.get_or_insert(now);
                 if halted.is_none() {
                     self.released.halts += 1;
-                    self.played.struck.push(format!("{now} ms: {}", release.summary()));
+                    self.played.fault_log.push(format!("{now} ms: {}", release.summary()));
                 }
-                if now >= since + HALTED_FOR_MS && release.transitions().next().is_none() {
-                    let back = self.released.halts.is_multiple_of(3);
+                if now >= since + HALT_MS && release.transitions().next().is_none() {
+                    let roll_back = self.released.halts.is_multiple_of(3);
                     let order =
-                        if back { ReleaseUpdate::Rollback(name) } else { ReleaseUpdate::Resume(name) };
-                    let _ = self.daemons.ask(&OperatorRequest::Release(order), ONE_IN);
+                        if roll_back { ReleaseUpdate::Rollback(name) } else { ReleaseUpdate::Resume(name) };
+                    let _ = self.daemons.ask(&OperatorRequest::Release(order), REPLY_TIMEOUT);
                     self.releases.2 = None;
                 }
             }
@@ -788,7 +793,7 @@
         Ok(Some(release))
     }
 
-    fn begin(&self, number: u64, from: &str) {
+    fn start_release(&self, number: u64, from: &str) {
         let plan = Plan {
             format: FORMAT,
             name: format!("r{number}"),
@@ -813,176 +818,179 @@
             },
             rollback: RollbackPolicy::Never,
         };
-        // Whether it has begun shows at the next look: said again it begins once.
+        // The next poll shows whether the release started; a repeated start has no further effect.
         let start = ReleaseUpdate::Start(Box::new(plan), RequestCounts::default());
-        let _ = self.daemons.ask(&OperatorRequest::Release(start), ONE_IN);
+        let _ = self.daemons.ask(&OperatorRequest::Release(start), REPLY_TIMEOUT);
     }
 
-    /// Waits until the last release is over, and looks what all run.
-    fn finish(&mut self) -> Result<(), String> {
+    /// Waits until the last release has ended, and checks the version that each sidecar runs.
+    fn finish_releases(&mut self) -> Result<(), String> {
         if self.released.max_out == 0 {
             return Ok(());
         }
         let until = Instant::now() + 4 * PATIENCE;
         loop {
-            let seen = self.release(false)?;
-            if let Some(release) = &seen
+            let release = self.poll_release(false)?;
+            if let Some(release) = &release
                 && release.is_ended()
             {
                 break;
             }
             if Instant::now() >= until {
-                let line = seen.map_or("no release can be seen".to_string(), |release| release.summary());
+                let line =
+                    release.map_or("no daemon reports the release".to_string(), |release| release.summary());
                 self.released.unfinished.push(line);
                 break;
             }
-            if seen.is_none() {
-                self.begin(self.releases.0, &self.releases.1.clone());
+            if release.is_none() {
+                self.start_release(self.releases.0, &self.releases.1.clone());
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         if let Ok(OperatorReply::Releases(_, runs)) = self.daemons.ask(&OperatorRequest::Releases, PATIENCE) {
             let wanted = &self.releases.1;
-            let odd = runs
+            let others = runs
                 .iter()
                 .filter(|(who, runs)| who.starts_with('s') && !who.contains('-') && runs != wanted);
             self.released
                 .unfinished
-                .extend(odd.map(|(who, runs)| format!("{who} runs {runs}, not {wanted}")));
+                .extend(others.map(|(who, runs)| format!("{who} runs {runs}, not {wanted}")));
         }
         Ok(())
     }
 
-    fn strike(&mut self, fault: Fault, now: u64) -> Result<(), String> {
+    fn inject(&mut self, fault: Fault, now: u64) -> Result<(), String> {
         let leader = || self.daemons.leader();
-        let place = fault.place.or_else(leader).unwrap_or(1);
+        let replica = fault.place.or_else(leader).unwrap_or(1);
         let count = self.members.len() as u16;
-        let other = place % count + 1;
-        let wounds = wounds(fault.kind);
-        // Danger: a place that is down or stopped already must not be started, or go on, too early.
-        let taken = self.strikes.iter().any(|strike| {
-            let all = matches!(strike.fault.kind, Kind::KillAll) || matches!(fault.kind, Kind::KillAll);
+        let other = replica % count + 1;
+        let data_loss = loses_data(fault.kind);
+        // Danger: a replica that is already down or paused must not be started or continued too early by a second fault.
+        let conflicts = self.active_faults.iter().any(|active| {
+            let all = matches!(active.fault.kind, Kind::KillAll) || matches!(fault.kind, Kind::KillAll);
             let sidecars = |kind| matches!(kind, Kind::KillSidecar | Kind::StopSidecar);
-            if [strike.fault.kind, fault.kind].contains(&Kind::ListAway) {
-                return strike.fault.kind == fault.kind;
+            if [active.fault.kind, fault.kind].contains(&Kind::ListAway) {
+                return active.fault.kind == fault.kind;
             }
-            match (sidecars(strike.fault.kind), sidecars(fault.kind)) {
-                (true, true) => strike.fault.sidecar == fault.sidecar,
+            match (sidecars(active.fault.kind), sidecars(fault.kind)) {
+                (true, true) => active.fault.sidecar == fault.sidecar,
                 (false, false) => {
-                    all || strike.place == place || strike.other == place || strike.place == other
+                    all || active.replica == replica || active.other == replica || active.replica == other
                 }
                 _ => false,
             }
         });
-        let alone = wounds && (count < 3 || self.wounded.is_some());
-        if taken || alone {
+        let unsafe_loss = data_loss && (count < 3 || self.recovering.is_some());
+        if conflicts || unsafe_loss {
             self.played
-                .struck
-                .push(format!("{now} ms: {:?} of {place} left out, as another holds", fault.kind));
+                .fault_log
+                .push(format!("{now} ms: {:?} of {replica} left out, as another holds", fault.kind));
             return Ok(());
         }
-        self.played.struck.push(match fault.sidecar {
+        self.played.fault_log.push(match fault.sidecar {
             Some(at) if matches!(fault.kind, Kind::KillSidecar | Kind::StopSidecar) => {
                 format!("{now} ms: {:?} s{at} for {} ms", fault.kind, fault.for_ms)
             }
-            _ => format!("{now} ms: {:?} {place} for {} ms", fault.kind, fault.for_ms),
+            _ => format!("{now} ms: {:?} {replica} for {} ms", fault.kind, fault.for_ms),
         });
-        if wounds {
+        if data_loss {
             let entries = self.daemons.statuses().values().map(|status| status.last).max().unwrap_or(0);
-            self.wounded = Some((place, entries));
+            self.recovering = Some((replica, entries));
         }
         let one_way = Standing { to: Way::Held, ..Standing::default() };
         match fault.kind {
-            Kind::Kill | Kind::CutShort | Kind::Empty | Kind::Damage => self.daemons.kill(place),
+            Kind::Kill | Kind::CutShort | Kind::Empty | Kind::Damage => self.daemons.kill(replica),
             Kind::OldCopy => {
-                // The copy is taken of a folder at rest; time passes, and then the process comes back with it.
-                let copy = self.daemons.root.join(format!("copy-{place}"));
-                self.daemons.kill(place);
-                folders::copy(&self.daemons.folder(place), &copy)?;
-                self.daemons.start(place)?;
+                // The folder is copied while the process is down. The copy is restored when the fault is removed.
+                let copy = self.daemons.root.join(format!("copy-{replica}"));
+                self.daemons.kill(replica);
+                folders::copy(&self.daemons.folder(replica), &copy)?;
+                self.daemons.start(replica)?;
             }
             Kind::ListAway => self.sidecars.list.is_away(true),
-            Kind::KillAll => self.daemons.places().for_each(|place| self.daemons.kill(place)),
-            Kind::Stop => self.daemons.process(place).stop(),
-            Kind::Leave => self.daemons.process(place).leave(),
-            Kind::Around => self.daemons.around(place, Standing::cut()),
-            Kind::Between => self.daemons.between(place, other, Standing::cut()),
+            Kind::KillAll => self.daemons.places().for_each(|replica| self.daemons.kill(replica)),
+            Kind::Stop => self.daemons.process(replica).stop(),
+            Kind::Leave => self.daemons.process(replica).leave(),
+            Kind::Around => self.daemons.around(replica, Standing::cut()),
+            Kind::Between => self.daemons.between(replica, other, Standing::cut()),
             Kind::OneWay => {
-                let others = self.daemons.places().filter(|other| *other != place);
-                others.for_each(|other| self.daemons.link(place, other).stand(one_way));
+                let others = self.daemons.places().filter(|other| *other != replica);
+                others.for_each(|other| self.daemons.link(replica, other).stand(one_way));
             }
             Kind::Reset => {
-                let others = self.daemons.places().filter(|other| *other != place);
-                others.for_each(|other| self.daemons.link(place, other).reset());
+                let others = self.daemons.places().filter(|other| *other != replica);
+                others.for_each(|other| self.daemons.link(replica, other).reset());
             }
             Kind::Slow => {
-                self.daemons.around(place, Standing { to: Way::Slow(20_000), ..Standing::default() })
+                self.daemons.around(replica, Standing { to: Way::Slow(20_000), ..Standing::default() })
+            }
+            Kind::Door => {
+                self.daemons.door(replica).stand(Standing { back: Way::Held, ..Standing::default() })
             }
-            Kind::Door => self.daemons.door(place).stand(Standing { back: Way::Held, ..Standing::default() }),
             Kind::KillSidecar | Kind::StopSidecar => {
                 let Some(number) = fault.sidecar else { return Ok(()) };
                 let name = format!("s{number}");
-                self.struck_sidecars.push(name.clone());
-                self.watchers.excused.lock().expect("no watcher panics").insert(name.clone(), true);
+                self.faulted_sidecars.push(name.clone());
+                self.watchers.faulted.lock().expect("no thread panics").insert(name.clone(), true);
                 if fault.kind == Kind::KillSidecar {
-                    self.note_acts(&name);
+                    self.record_applied_versions(&name);
                     self.sidecars.kill(&name);
                 } else {
                     self.sidecars.process(&name).stop();
                 }
             }
         }
-        self.strikes.push(Strike { until: now + fault.for_ms, fault, place, other });
+        self.active_faults.push(ActiveFault { until: now + fault.for_ms, fault, replica, other });
         Ok(())
     }
 
-    fn mend(&mut self, strike: Strike) -> Result<(), String> {
-        let Strike { fault, place, other, .. } = strike;
-        let folder = self.daemons.folder(place);
-        if wounds(fault.kind) {
+    fn remove_fault(&mut self, active: ActiveFault) -> Result<(), String> {
+        let ActiveFault { fault, replica, other, .. } = active;
+        let folder = self.daemons.folder(replica);
+        if loses_data(fault.kind) {
             let entries = self.daemons.statuses().values().map(|status| status.last).max().unwrap_or(0);
-            self.wounded = Some((place, entries));
+            self.recovering = Some((replica, entries));
         }
         match fault.kind {
-            Kind::Kill => self.daemons.start(place)?,
+            Kind::Kill => self.daemons.start(replica)?,
             Kind::KillAll => {
-                for place in self.daemons.places() {
-                    self.daemons.start(place)?;
+                for replica in self.daemons.places() {
+                    self.daemons.start(replica)?;
                 }
             }
             Kind::Leave => {
-                if self.daemons.process(place).ended(Duration::from_secs(10)).is_none() {
-                    return Err(format!("d{place} was told to leave and stays"));
+                if self.daemons.process(replica).ended(Duration::from_secs(10)).is_none() {
+                    return Err(format!("d{replica} did not exit after it was asked to leave"));
                 }
-                self.daemons.kill(place);
-                self.daemons.start(place)?;
+                self.daemons.kill(replica);
+                self.daemons.start(replica)?;
             }
-            Kind::Stop => self.daemons.process(place).go_on(),
+            Kind::Stop => self.daemons.process(replica).go_on(),
             Kind::Empty => {
                 folders::empty(&folder)?;
-                self.daemons.start(place)?;
+                self.daemons.start(replica)?;
             }
             Kind::OldCopy => {
-                self.daemons.kill(place);
-                folders::copy(&self.daemons.root.join(format!("copy-{place}")), &folder)?;
-                self.daemons.start(place)?;
+                self.daemons.kill(replica);
+                folders::copy(&self.daemons.root.join(format!("copy-{replica}")), &folder)?;
+                self.daemons.start(replica)?;
             }
             Kind::Damage => {
                 let length = fs::metadata(folder.join("log.0")).map_or(0, |file| file.len());
                 for copy in ["log.0", "log.1"] {
                     folders::damage(&folder.join(copy), length / 2)?;
                 }
-                self.daemons.start(place)?;
+                self.daemons.start(replica)?;
             }
             Kind::CutShort => {
                 folders::cut_short(&folder.join("log.1"), 300)?;
-                self.daemons.start(place)?;
+                self.daemons.start(replica)?;
             }
-            Kind::Around | Kind::OneWay | Kind::Slow => self.daemons.around(place, Standing::default()),
-            Kind::Between => self.daemons.between(place, other, Standing::default()),
+            Kind::Around | Kind::OneWay | Kind::Slow => self.daemons.around(replica, Standing::default()),
+            Kind::Between => self.daemons.between(replica, other, Standing::default()),
             Kind::ListAway => self.sidecars.list.is_away(false),
             Kind::Reset => {}
-            Kind::Door => self.daemons.door(place).stand(Standing::default()),
+            Kind::Door => self.daemons.door(replica).stand(Standing::default()),
             Kind::KillSidecar | Kind::StopSidecar => {
                 let Some(number) = fault.sidecar else { return Ok(()) };
                 let name = format!("s{number}");
@@ -992,27 +1000,27 @@
                         self.sidecars.version(version, false);
                     }
                     if self.watchers.scopes.len() > 1 {
-                        self.sidecars.belongs(belongs(number));
+                        self.sidecars.belongs(locality(number));
                     }
-                    self.sidecars.start(&name, &self.members, BEAT_MS)?;
+                    self.sidecars.start(&name, &self.members, HEARTBEAT_MS)?;
                 } else {
                     self.sidecars.process(&name).go_on();
                 }
-                self.watchers.excused.lock().expect("no watcher panics").insert(name, false);
+                self.watchers.faulted.lock().expect("no thread panics").insert(name, false);
             }
         }
         Ok(())
     }
 
-    /// What a sidecar has said, in its log, that it acts on.
-    fn note_acts(&mut self, name: &str) {
+    /// Records the settings versions that a sidecar reported as applied in its log.
+    fn record_applied_versions(&mut self, name: &str) {
         let incarnation = u64::from(self.sidecars.process(name).id());
         let at = self.watchers.now();
         for line in self.sidecars.process(name).log() {
             let version =
                 line.split("acts on settings ").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
             if let Some(version) = version {
-                self.seen.push(Observation {
+                self.applied.push(Observation {
                     at,
                     observer: name.to_string(),
                     incarnation,
@@ -1023,22 +1031,22 @@
         }
     }
 
-    /// What all sidecars together did at the most, as the endpoints counted it by their own clock.
-    fn uses(&self) -> Vec<BudgetUsage> {
+    /// Returns the peak use of each budget by all sidecars together, as counted by the endpoints with their own clock.
+    fn budget_usage(&self) -> Vec<BudgetUsage> {
         let used = |budget: &Budget| {
             let endpoints = &self.sidecars.endpoints;
             let peak = match budget.resource {
                 Resource::Attempts => {
                     let times = endpoints.iter().flat_map(Endpoint::times).collect();
-                    let window = Duration::from_millis(budget.window_ms).saturating_sub(UNDER_WAY);
+                    let window = Duration::from_millis(budget.window_ms).saturating_sub(DELIVERY_JITTER);
                     most_within(times, window).0 as u64
                 }
                 Resource::Connections => endpoints.iter().map(Endpoint::most_open).max().unwrap_or(0),
                 Resource::DiscoveryCalls => {
-                    let window = Duration::from_millis(budget.window_ms).saturating_sub(UNDER_WAY);
+                    let window = Duration::from_millis(budget.window_ms).saturating_sub(DELIVERY_JITTER);
                     most_within(self.sidecars.list.calls(), window).0 as u64
                 }
-                // No stand-in can tell a repeat, or what is out, from what it sees; and none here starts anew.
+                // The stand-in endpoints cannot tell a retry, or which requests are in flight, and no endpoint starts cold here.
                 Resource::Retries | Resource::InFlight | Resource::ColdAttempts => return None,
             };
             Some(BudgetUsage { resource: budget.resource, peak, quota: budget.quota })
@@ -1046,29 +1054,37 @@
         self.watchers.budgets.iter().filter_map(used).collect()
     }
 
-    /// Waits until all is right again, and judges.
-    fn end(mut self, keep: Option<&Path>, served: (u64, u64), paired: (u64, u64)) -> Result<Played, String> {
+    /// Waits until all replicas have the same state, and judges the run.
+    fn judge(
+        mut self,
+        keep: Option<&Path>,
+        served: (u64, u64),
+        paired: (u64, u64),
+    ) -> Result<RunResult, String> {
         let names = self.sidecars.names();
-        let came = self.daemons.wait_for_one_state();
-        if !self.watchers.history() {
-            let struck = self.played.struck.join("\n");
-            return Err(format!("the history cannot be read: {}\n{struck}", came.err().unwrap_or_default()));
+        let recovered = self.daemons.wait_for_one_state();
+        if !self.watchers.read_history() {
+            let fault_log = self.played.fault_log.join("\n");
+            return Err(format!(
+                "the history cannot be read: {}\n{fault_log}",
+                recovered.err().unwrap_or_default()
+            ));
         }
-        names.iter().for_each(|name| self.note_acts(name));
+        names.iter().for_each(|name| self.record_applied_versions(name));
         if let Some(to) = keep {
             self.keep_logs(to)?;
         }
-        let mut record = std::mem::take(&mut *self.watchers.record.lock().expect("all watchers are over"));
-        // Those that wrote, read and listened are over: what is there now is the end.
+        let mut record = std::mem::take(&mut *self.watchers.record.lock().expect("all threads have ended"));
+        // All threads that write, read and listen have ended, so this is the final state.
         let statuses = self.daemons.statuses();
-        record.budget_usage = self.uses();
-        record.states = statuses.iter().map(|(place, s)| (*place, s.applied, s.digest)).collect();
-        record.observations.append(&mut self.seen);
+        record.budget_usage = self.budget_usage();
+        record.states = statuses.iter().map(|(replica, s)| (*replica, s.applied, s.digest)).collect();
+        record.observations.append(&mut self.applied);
         (record.served, record.paired) = (served, paired);
         if self.released.max_out > 0 {
-            let (out, who) = self.watchers.out.lock().expect("all watchers are over").clone();
+            let (out, who) = self.watchers.peak_out.lock().expect("all threads have ended").clone();
             if out > self.released.max_out {
-                self.played.struck.push(format!("out at once: {who}"));
+                self.played.fault_log.push(format!("out at once: {who}"));
             }
             (self.released.peak_out, self.released.moved_twice) = (out, self.operators.twice.clone());
             record.releases = Some(self.released.clone());
@@ -1077,41 +1093,43 @@
             record.writes.iter().filter(|write| wanted(&write.outcome)).count()
         };
         let mut played = self.played;
-        played.puts = [
+        played.writes = [
             count(|outcome| matches!(outcome, Outcome::Committed(_))),
             count(|outcome| *outcome == Outcome::Refused),
             count(|outcome| *outcome == Outcome::Unknown),
         ];
-        played.uses = record
+        played.budget_usage = record
             .budget_usage
             .iter()
             .map(|usage| (usage.resource.to_string(), usage.peak, usage.quota))
             .collect();
-        (played.reads, played.told) = (record.reads.len(), record.observations.len());
+        (played.reads, played.observations) = (record.reads.len(), record.observations.len());
         (played.served, played.paired) = (served, paired);
         let versions: std::collections::BTreeSet<Version> =
             record.history.iter().map(|w| w.version).collect();
         played.versions = versions.len();
         played.entries = statuses.values().map(|status| status.applied).max().unwrap_or(0);
         played.releases = record.releases.as_ref().map(|r| (r.ended, r.halts, r.peak_out));
-        played.broken = judge(&record);
-        if let Err(detail) = came {
-            played.broken.push(Violation { check: "comes right", detail });
+        played.violations = judge(&record);
+        if let Err(detail) = recovered {
+            played.violations.push(Violation { check: "comes right", detail });
         }
         let last = versions.last().map_or(0, |version| version.number);
         if last as usize != versions.len() {
-            // Danger: what was never read cannot be judged.
+            // Danger: a version that was never read cannot be judged.
             return Err(format!("void: {} of {last} versions were read", versions.len()));
         }
         Ok(played)
     }
 
-    /// What each process has logged since it started last.
+    /// Saves what each process has logged since its last start.
     fn keep_logs(&mut self, to: &Path) -> Result<(), String> {
         fs::create_dir_all(to).map_err(|e| format!("{}: {e}", to.display()))?;
         let mut logs = Vec::new();
-        for place in self.daemons.places().filter(|place| self.daemons.running(*place)).collect::<Vec<_>>() {
-            logs.push((format!("d{place}.log"), self.daemons.process(place).log()));
+        for replica in
+            self.daemons.places().filter(|replica| self.daemons.running(*replica)).collect::<Vec<_>>()
+        {
+            logs.push((format!("d{replica}.log"), self.daemons.process(replica).log()));
         }
         for name in self.sidecars.names() {
             logs.push((format!("{name}.log"), self.sidecars.process(&name).log()));
