--- a/crates/daemon/tests/backlog.rs
+++ b/crates/daemon/tests/backlog.rs
@@ -23,8 +23,8 @@
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
     let shape = Shape { daemons: 1, ..Shape::default() };
     let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-    daemons.begin().unwrap();
-    let place = daemons.places().next().unwrap();
+    daemons.start_all().unwrap();
+    let place = daemons.replicas().next().unwrap();
     let at = daemons.own_address(place).unwrap();
     daemons.process(place).stop();
     let mut taken = Vec::new();
--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -10,7 +10,7 @@
 use appledyke_fleet::state::SettingsChange;
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::holders::Holders;
-use appledyke_lab::rig::links::Standing;
+use appledyke_lab::rig::links::LinkState;
 use appledyke_lab::rig::processes::beside;
 use appledyke_lab::rig::sidecars::{Clients, Endpoint, How, Sidecars, entry, most_within};
 use serde_json::json;
@@ -49,7 +49,7 @@
         let root = std::env::temp_dir().join(format!("appledyke-budgets-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-        daemons.begin().unwrap();
+        daemons.start_all().unwrap();
         let mut sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
         sidecars.alone(alone);
@@ -59,13 +59,13 @@
     }
 
     fn start(&mut self, name: &str) {
-        let at: Vec<_> = self.daemons.places().map(|place| (place, self.daemons.at(place))).collect();
+        let at: Vec<_> = self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect();
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
     fn put(&mut self, budgets: &[Budget]) {
         let write =
-            self.daemons.a_write(SettingsChange::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
+            self.daemons.new_write(SettingsChange::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
         assert!(matches!(
             self.daemons.ask(&OperatorRequest::Write(write), PATIENCE),
             Ok(OperatorReply::Committed(_))
@@ -132,20 +132,20 @@
     both.daemons.start(leader).unwrap();
     // The leader is cut off from the others, and reaches all members still.
     let leader = both.daemons.wait_for_leader().unwrap();
-    both.daemons.around(leader, Standing::cut());
+    both.daemons.set_links_of(leader, LinkState::partitioned());
     std::thread::sleep(Duration::from_millis(2000));
-    both.daemons.around(leader, Standing::default());
-    both.daemons.wait_for_one_state().unwrap();
+    both.daemons.set_links_of(leader, LinkState::default());
+    both.daemons.wait_for_same_state().unwrap();
     // The clients of what was started anew go to its new address.
     let more = both.load(&["s0"]);
     both.divided(4);
     // All daemons away for longer than a lease: each has what it has alone.
-    both.daemons.places().for_each(|place| both.daemons.kill(place));
+    both.daemons.replicas().for_each(|place| both.daemons.kill(place));
     std::thread::sleep(Duration::from_millis(4200));
     let (from, to) = (Instant::now() - WINDOW, Instant::now());
     let without = both.times(from, to).len();
     assert!(without <= 4 * 3, "{without} without daemons");
-    for place in both.daemons.places() {
+    for place in both.daemons.replicas() {
         both.daemons.start(place).unwrap();
     }
     both.divided(4);
@@ -173,7 +173,7 @@
     let alone = json!({"write-outs": {"part": 200, "windowMs": 1000}});
     let mut both = Both::begin("flaw", 2, alone);
     both.put(&[write_outs(60)]);
-    both.daemons.places().for_each(|place| both.daemons.kill(place));
+    both.daemons.replicas().for_each(|place| both.daemons.kill(place));
     both.sidecars.names().iter().for_each(|name| both.sidecars.kill(name));
     for name in ["s0", "s1"] {
         let _ = std::fs::remove_file(both.sidecars.keep(name));
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -8,7 +8,7 @@
 use appledyke_fleet::messages::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
-use appledyke_lab::rig::links::{Standing as Link, Way};
+use appledyke_lab::rig::links::{Flow, LinkState};
 use appledyke_lab::rig::processes::beside;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
 
@@ -26,8 +26,9 @@
         let root = std::env::temp_dir().join(format!("appledyke-drains-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
-        daemons.begin().unwrap();
-        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
+        daemons.start_all().unwrap();
+        let write =
+            daemons.new_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
         assert!(matches!(
             daemons.ask(&OperatorRequest::Write(write), PATIENCE),
             Ok(OperatorReply::Committed(_))
@@ -42,7 +43,7 @@
     }
 
     fn start(&mut self, name: &str) {
-        let at: Vec<_> = self.daemons.places().map(|place| (place, self.daemons.at(place))).collect();
+        let at: Vec<_> = self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect();
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
@@ -159,14 +160,14 @@
     let both = Both::begin("lost", 3, &most(1));
     // All that the daemons answer is held back: the permission is given, and never heard.
     let hold = |way| {
-        both.daemons
-            .places()
-            .for_each(|place| both.daemons.door(place).stand(Link { back: way, ..Link::default() }))
+        both.daemons.replicas().for_each(|place| {
+            both.daemons.client_link(place).set_state(LinkState { back: way, ..LinkState::default() })
+        })
     };
-    hold(Way::Held);
+    hold(Flow::Held);
     assert_eq!(both.drain(&["s0".to_string()]), ["400 not now: no daemon heard\n"]);
     assert_eq!(both.away(&names(3)), 0);
-    hold(Way::Open);
+    hold(Flow::Open);
     // What comes late sends nobody out, and is taken back.
     both.wait("it is taken back", |rows| rows.len() == 3 && rows.iter().all(|row| !row.out));
     assert_eq!(both.away(&names(3)), 0);
@@ -202,7 +203,7 @@
 fn without_a_majority_nobody_goes_out_but_by_an_operators_second_word() {
     let mut both = Both::begin("majority", 2, &most(1));
     let leader = both.daemons.wait_for_leader().unwrap();
-    let others: Vec<u16> = both.daemons.places().filter(|place| *place != leader).collect();
+    let others: Vec<u16> = both.daemons.replicas().filter(|place| *place != leader).collect();
     others.iter().for_each(|place| both.daemons.kill(*place));
     let said = both.drain(&names(2));
     assert!(said.iter().all(|said| said.starts_with("400 not now: ")), "{said:?}");
@@ -212,7 +213,7 @@
     assert_eq!(both.drain(&names(2)), ["400 not now: no daemon heard\n"; 2]);
     assert_eq!(both.sidecars.told("s0", "drain anyway\n").unwrap(), "200 drains\n");
     assert_eq!(both.away(&names(2)), 1);
-    for place in both.daemons.places() {
+    for place in both.daemons.replicas() {
         both.daemons.start(place).unwrap();
     }
     // Once daemons are back they know of it.
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -8,7 +8,7 @@
 use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
-use appledyke_lab::rig::links::Standing as Link;
+use appledyke_lab::rig::links::LinkState;
 use appledyke_lab::rig::processes::beside;
 use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, request};
 
@@ -25,7 +25,7 @@
         let root = std::env::temp_dir().join(format!("appledyke-members-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
-        daemons.begin().unwrap();
+        daemons.start_all().unwrap();
         let sidecars =
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
         let mut both = Both { daemons, sidecars };
@@ -39,7 +39,7 @@
     }
 
     fn start(&mut self, name: &str) {
-        let at: Vec<_> = self.daemons.places().map(|place| (place, self.daemons.at(place))).collect();
+        let at: Vec<_> = self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect();
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
@@ -94,8 +94,9 @@
     }
     // A leader that is cut off with all members takes a put that is never committed: nobody acts on it.
     let old = both.daemons.wait_for_leader().unwrap();
-    both.daemons.around(old, Link::cut());
-    let write = both.daemons.a_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
+    both.daemons.set_links_of(old, LinkState::partitioned());
+    let write =
+        both.daemons.new_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
     let at = both.daemons.at(old);
     let asked = std::thread::spawn(move || {
         appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), PATIENCE)
@@ -109,10 +110,10 @@
             (Some(404), Some(200))
         );
     }
-    both.daemons.around(old, Link::default());
+    both.daemons.set_links_of(old, LinkState::default());
     assert!(!matches!(asked.join().unwrap(), Ok(OperatorReply::Committed(version)) if version <= second));
     // A way back is a way forwards.
-    let back = both.daemons.a_write(SettingsChange::Rollback(first), None);
+    let back = both.daemons.new_write(SettingsChange::Rollback(first), None);
     let OperatorReply::Committed(third) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
     else {
         panic!()
@@ -133,7 +134,7 @@
     both.sidecars.process("s2").stop();
     both.stands("s2", MemberStatus::Silent);
     let first = both.daemons.put(&with_method("soup")).unwrap();
-    let back = both.daemons.a_write(SettingsChange::Rollback(first), None);
+    let back = both.daemons.new_write(SettingsChange::Rollback(first), None);
     let OperatorReply::Committed(second) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
     else {
         panic!()
@@ -155,7 +156,7 @@
     let mut both = Both::begin("away", 2);
     let version = both.daemons.put(&with_method("soup")).unwrap();
     both.acts_on(&["s0", "s1"], version);
-    both.daemons.places().for_each(|place| both.daemons.kill(place));
+    both.daemons.replicas().for_each(|place| both.daemons.kill(place));
     let clients = Clients::start(&[both.sidecars.at("s0")], "/soup/1", Duration::from_millis(2));
     both.sidecars.kill("s1");
     both.start("s1");
@@ -179,7 +180,7 @@
         .unwrap();
     assert!(line.contains("settings.methods"), "{line}");
     assert_eq!(request(both.sidecars.at("s1"), "/menu/1"), Some(200));
-    for place in both.daemons.places() {
+    for place in both.daemons.replicas() {
         both.daemons.start(place).unwrap();
     }
     both.acts_on(&["s0", "s1", "s2"], version);
@@ -200,7 +201,7 @@
         1,
     )
     .unwrap();
-    let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
+    let at: Vec<_> = both.daemons.replicas().map(|place| (place, both.daemons.at(place))).collect();
     odd.start("odd", &at, BEAT_MS).unwrap();
     let version = both.daemons.put(&with_method("soup")).unwrap();
     both.acts_on(&["s0"], version);
@@ -250,7 +251,7 @@
     let mut twin =
         Sidecars::new(&both.daemons.root.join("twin"), &beside("appledyke-sidecar").unwrap(), BASE, 1)
             .unwrap();
-    let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
+    let at: Vec<_> = both.daemons.replicas().map(|place| (place, both.daemons.at(place))).collect();
     twin.start("s0", &at, BEAT_MS).unwrap();
     let later = |line: &str| line.contains("a later process has taken this name");
     both.sidecars.process("s0").line(0, PATIENCE, later).unwrap();
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -12,7 +12,7 @@
 use appledyke_fleet::{Command, Version};
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape, ask};
 use appledyke_lab::rig::folders;
-use appledyke_lab::rig::links::{Standing, Way};
+use appledyke_lab::rig::links::{Flow, LinkState};
 use appledyke_store::Store;
 use appledyke_store::disk::Folder;
 use appledyke_store::format::Change;
@@ -31,7 +31,7 @@
 
 fn begun(name: &str) -> Daemons {
     let mut fleet = daemons(name, Shape::default());
-    fleet.begin().unwrap();
+    fleet.start_all().unwrap();
     fleet
 }
 
@@ -100,7 +100,7 @@
         fleet.kill(leader);
         versions.push(fleet.put(&settings(100 + round)).unwrap());
         fleet.start(leader).unwrap();
-        fleet.wait_for_one_state().unwrap();
+        fleet.wait_for_same_state().unwrap();
     }
     let history: Vec<Version> = fleet.history().unwrap().iter().map(|written| written.version).collect();
     assert_eq!(history, versions);
@@ -112,11 +112,11 @@
     for round in 0..40 {
         fleet.put(&settings(round)).unwrap();
     }
-    fleet.places().for_each(|place| fleet.kill(place));
-    for place in fleet.places() {
+    fleet.replicas().for_each(|place| fleet.kill(place));
+    for place in fleet.replicas() {
         fleet.start(place).unwrap();
     }
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let history = fleet.history().unwrap();
     assert_eq!(history.len(), 40);
     assert!(history.iter().zip(0..).all(|(written, round)| written.settings == settings(round)));
@@ -131,7 +131,7 @@
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let later = fleet.put(&settings(2)).unwrap();
     // What is asked of it while it stands still is the first that it reads when it goes on.
-    let write = fleet.a_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
+    let write = fleet.new_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
     let at = fleet.at(old);
     let asked = [OperatorRequest::Get(None), OperatorRequest::Write(write)]
         .map(|question| std::thread::spawn(move || ask(at, &question, PATIENCE)));
@@ -147,7 +147,7 @@
         put.unwrap(),
         OperatorReply::NotLeader(_) | OperatorReply::Unknown(_) | OperatorReply::Refused(_)
     ));
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 2);
 }
 
@@ -157,16 +157,16 @@
     fleet.put(&settings(1)).unwrap();
     let old = fleet.wait_for_leader().unwrap();
     // Cut off from the others, silently; all operators reach it still.
-    fleet.around(old, Standing::cut());
-    let write = fleet.a_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
+    fleet.set_links_of(old, LinkState::partitioned());
+    let write = fleet.new_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
     let at = fleet.at(old);
     let put = std::thread::spawn(move || ask(at, &OperatorRequest::Write(write), PATIENCE));
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let version = fleet.put(&settings(3)).unwrap();
-    fleet.around(old, Standing::default());
+    fleet.set_links_of(old, LinkState::default());
     let said = put.join().unwrap();
     assert!(!matches!(said, Ok(OperatorReply::Committed(_))), "{said:?}");
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let history = fleet.history().unwrap();
     assert_eq!(
         history.last().map(|written| (written.version, written.settings.as_str())),
@@ -180,19 +180,19 @@
 fn two_that_do_not_reach_one_another_agree_through_the_third() {
     let mut fleet = begun("between");
     let leader = fleet.wait_for_leader().unwrap();
-    let other = fleet.places().find(|place| *place != leader).unwrap();
-    fleet.between(leader, other, Standing::cut());
+    let other = fleet.replicas().find(|place| *place != leader).unwrap();
+    fleet.set_links_between(leader, other, LinkState::partitioned());
     for round in 0..5 {
         fleet.put(&settings(round)).unwrap();
     }
     // One way only, then the other.
-    fleet.between(leader, other, Standing::default());
-    fleet.link(leader, other).stand(Standing { to: Way::Held, ..Standing::default() });
+    fleet.set_links_between(leader, other, LinkState::default());
+    fleet.link(leader, other).set_state(LinkState { to: Flow::Held, ..LinkState::default() });
     fleet.put(&settings(6)).unwrap();
-    fleet.link(leader, other).stand(Standing::default());
+    fleet.link(leader, other).set_state(LinkState::default());
     fleet.link(other, leader).reset();
     fleet.put(&settings(7)).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 7);
 }
 
@@ -203,15 +203,15 @@
     fleet.put(&settings(0)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
     let (struck, third) = {
-        let mut others = fleet.places().filter(|place| *place != leader);
+        let mut others = fleet.replicas().filter(|place| *place != leader);
         (others.next().unwrap(), others.next().unwrap())
     };
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let (folder, copy) = (fleet.folder(struck), fleet.root.join("copy"));
     fleet.kill(struck);
     folders::copy(&folder, &copy).unwrap();
     fleet.start(struck).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     fleet.kill(third);
     let version = fleet.put(&settings(1)).unwrap();
     fleet.kill(struck);
@@ -223,7 +223,7 @@
     let elected = fleet.process(struck).line(0, Duration::from_millis(1500), is_leader).is_ok()
         || fleet.process(third).line(0, Duration::ZERO, is_leader).is_ok();
     fleet.start(leader).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     (elected, version, fleet.history().unwrap().iter().map(|written| written.version).collect())
 }
 
@@ -244,14 +244,14 @@
         // More than the entries that are kept behind a snapshot.
         fleet.put(&settings(round)).unwrap();
     }
-    let before = fleet.wait_for_one_state().unwrap();
-    for place in fleet.places() {
+    let before = fleet.wait_for_same_state().unwrap();
+    for place in fleet.replicas() {
         fleet.kill(place);
         folders::empty(&fleet.folder(place)).unwrap();
         fleet.start(place).unwrap();
-        fleet.wait_for_one_state().unwrap();
+        fleet.wait_for_same_state().unwrap();
     }
-    let after = fleet.wait_for_one_state().unwrap();
+    let after = fleet.wait_for_same_state().unwrap();
     assert!(after.iter().all(|id| !before.contains(id)), "{before:?} {after:?}");
     assert_eq!(fleet.history().unwrap().len(), 60);
 }
@@ -259,11 +259,11 @@
 #[test]
 fn one_of_five_with_damage_in_both_copies_is_set_aside_and_comes_back() {
     let mut fleet = daemons("damage", Shape { daemons: 5, ..Shape::default() });
-    fleet.begin().unwrap();
+    fleet.start_all().unwrap();
     for round in 0..10 {
         fleet.put(&settings(round)).unwrap();
     }
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let (struck, also_down) = (2, 3);
     let before = fleet.status(struck).unwrap().id;
     fleet.kill(struck);
@@ -280,14 +280,14 @@
         })
         .unwrap();
     fleet.start(also_down).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     // A copy that is damaged alone is mended from the other.
     fleet.kill(struck);
     let id =
         fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.replica_id == struck);
     folders::cut_short(&fleet.folder(struck).join("log.1"), 700).unwrap();
     fleet.start(struck).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.status(struck).map(|status| status.id), id);
     assert_eq!(fleet.history().unwrap().len(), 10);
 }
@@ -307,7 +307,7 @@
     assert!(status.excluded.is_some() && status.voters.is_empty(), "{status:?}");
     std::fs::remove_dir(&log).unwrap();
     std::fs::rename(&away, &log).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 4);
 }
 
@@ -315,17 +315,17 @@
 fn a_put_whose_answer_is_lost_is_said_again_elsewhere_and_takes_effect_once() {
     let mut fleet = begun("answer");
     let leader = fleet.wait_for_leader().unwrap();
-    fleet.door(leader).stand(Standing { back: Way::Held, ..Standing::default() });
+    fleet.client_link(leader).set_state(LinkState { back: Flow::Held, ..LinkState::default() });
     let write = OperatorRequest::Write(
-        fleet.a_write(SettingsChange::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))),
+        fleet.new_write(SettingsChange::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))),
     );
     assert!(ask(fleet.at(leader), &write, Duration::from_millis(400)).is_err());
     // It took effect, and its teller never heard. The leader goes; another says what came of it.
     fleet.kill(leader);
-    fleet.door(leader).stand(Standing::default());
+    fleet.client_link(leader).set_state(LinkState::default());
     assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
     fleet.start(leader).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
     assert_eq!(fleet.history().unwrap().len(), 1);
 }
@@ -357,8 +357,8 @@
     for round in 0..5 {
         fleet.put(&settings(round)).unwrap();
     }
-    let before = fleet.wait_for_one_state().unwrap();
-    let struck = fleet.places().find(|place| Some(*place) != fleet.leader()).unwrap();
+    let before = fleet.wait_for_same_state().unwrap();
+    let struck = fleet.replicas().find(|place| Some(*place) != fleet.leader()).unwrap();
     fleet.kill(struck);
     tamper(&fleet.folder(struck));
     fleet.start(struck).unwrap();
@@ -369,7 +369,7 @@
     let (line, _) =
         fleet.process(struck).line(0, PATIENCE, |line| line.contains("differs from a majority's")).unwrap();
     assert!(line.contains("stops serving"), "{line}");
-    let after = fleet.wait_for_one_state().unwrap();
+    let after = fleet.wait_for_same_state().unwrap();
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
     assert!(fleet.history().unwrap().iter().all(|written| written.reason != "altered"));
 }
@@ -425,7 +425,7 @@
     assert_eq!(run(&fleet, &["backup", &file]).0, Some(1), "a backup is never written over");
     fleet.put(&settings(2)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
-    let out = fleet.places().find(|place| *place != leader).unwrap().to_string();
+    let out = fleet.replicas().find(|place| *place != leader).unwrap().to_string();
     let (status, said) = run(&fleet, &["take-out", &out]);
     assert!(status == Some(1) && said.contains("--anyway"), "{said}");
     let (status, said) = run(&fleet, &["take-out", &leader.to_string()]);
@@ -433,15 +433,15 @@
     let (status, said) = run(&fleet, &["restore", &file]);
     assert!(status == Some(1) && said.contains("already"), "{said}");
     // All is lost but the backup.
-    for place in fleet.places() {
+    for place in fleet.replicas() {
         fleet.kill(place);
         folders::empty(&fleet.folder(place)).unwrap();
     }
     assert_eq!(run(&fleet, &["restore", &file]).0, Some(0));
-    for place in fleet.places() {
+    for place in fleet.replicas() {
         fleet.start(place).unwrap();
     }
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let history = fleet.history().unwrap();
     let last = history.last().unwrap();
     assert!(last.version > number(2) && last.version.generation > 0, "{last:?}");
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -15,7 +15,7 @@
 };
 use appledyke_fleet::state::SettingsChange;
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
-use appledyke_lab::rig::links::{Link, Standing as Way};
+use appledyke_lab::rig::links::{Link, LinkState};
 use appledyke_lab::rig::operators::Operators;
 use appledyke_lab::rig::processes::{Process, Recipe, beside};
 use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, entry, request};
@@ -78,7 +78,7 @@
         let root = std::env::temp_dir().join(format!("appledyke-releases-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-        daemons.begin().unwrap();
+        daemons.start_all().unwrap();
         let group = |name: &str, most, endpoints: &[&str]| Group {
             name: name.into(),
             max_out: Some(Amount::Number(most)),
@@ -86,7 +86,7 @@
             endpoints: endpoints.iter().map(ToString::to_string).collect(),
         };
         let groups = vec![group("zone a", 2, &[]), group("pool", 1, &["e0", "e1"])];
-        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups), None);
+        let write = daemons.new_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups), None);
         assert!(matches!(
             daemons.ask(&OperatorRequest::Write(write), PATIENCE),
             Ok(OperatorReply::Committed(_))
@@ -95,7 +95,7 @@
             Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
         sidecars.groups(&["zone a"]);
         sidecars.version("1", false);
-        let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
+        let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
         names(members).iter().for_each(|name| sidecars.start(name, &at, BEAT_MS).unwrap());
         let both = Both { daemons, sidecars, operators: Operators::default() };
         both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
@@ -261,7 +261,7 @@
         .map(|()| both.release("r").transitions().next().map(|(who, _)| who.clone()));
     let first = first.unwrap().unwrap_or("s0".to_string());
     // Killed outright before it is empty, and back by itself with the old version: its place in the release stands.
-    let at: Vec<_> = both.daemons.places().map(|place| (place, both.daemons.at(place))).collect();
+    let at: Vec<_> = both.daemons.replicas().map(|place| (place, both.daemons.at(place))).collect();
     both.sidecars.kill(&first);
     both.sidecars.start(&first, &at, BEAT_MS).unwrap();
     let release = both.until("r", "it halts, or goes on", |release| {
@@ -313,13 +313,13 @@
     let (status, text) = both.daemons.command(&["backup", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
     assert_eq!(both.say(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
-    for place in both.daemons.places() {
+    for place in both.daemons.replicas() {
         both.daemons.kill(place);
         std::fs::remove_dir_all(both.daemons.folder(place)).unwrap();
     }
     let (status, text) = both.daemons.command(&["restore", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
-    both.daemons.places().for_each(|place| both.daemons.start(place).unwrap());
+    both.daemons.replicas().for_each(|place| both.daemons.start(place).unwrap());
     both.daemons.wait_for_leader().unwrap();
     let release = both.until("r", "it is there", |_| true);
     assert!(release.summary().contains("halted: restored from a backup"), "{}", release.summary());
@@ -336,15 +336,15 @@
 fn a_zone_that_is_cut_off_in_the_middle_of_a_step_counts_as_out_and_sends_nobody_out_itself() {
     let mut both = Both::begin("zone", 3);
     // Two more, behind links of their own: the zone that is cut off.
-    let links: Vec<_> = both.daemons.places().map(|place| (place, Link::new(None).unwrap())).collect();
-    links.iter().for_each(|(place, link)| link.lead_to(both.daemons.at(*place)));
+    let links: Vec<_> = both.daemons.replicas().map(|place| (place, Link::new(None).unwrap())).collect();
+    links.iter().for_each(|(place, link)| link.set_target(both.daemons.at(*place)));
     let at: Vec<_> = links.iter().map(|(place, link)| (*place, link.at())).collect();
     ["s3", "s4"].iter().for_each(|name| both.sidecars.start(name, &at, BEAT_MS).unwrap());
     both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 5);
     let clients = front(&both, 5);
     both.start(&plan("r"));
     both.until("r", "one is on its way", |release| release.transitions().next().is_some());
-    links.iter().for_each(|(_, link)| link.stand(Way::cut()));
+    links.iter().for_each(|(_, link)| link.set_state(LinkState::partitioned()));
     let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("more out than may be"), "{}", release.summary());
     both.until("r", "nobody is under way", |release| {
@@ -356,7 +356,7 @@
         assert_eq!(both.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
         assert_eq!(request(both.sidecars.at(name), "/healthz"), Some(200));
     }
-    links.iter().for_each(|(_, link)| link.stand(Way::default()));
+    links.iter().for_each(|(_, link)| link.set_state(LinkState::default()));
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
     both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -17,7 +17,7 @@
 use appledyke_fleet::scopes::{Locality, Scope};
 use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
 use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
-use appledyke_lab::rig::links::Standing as Link;
+use appledyke_lab::rig::links::LinkState;
 use appledyke_lab::rig::processes::beside;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
 use serde_json::{Value, json};
@@ -31,7 +31,7 @@
     // Elections that a busy machine does not bring about: leaders change where a test has them change.
     let shape = Shape { election_ms: 1000, lease_ms: 2000, ..Shape::default() };
     let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-    daemons.begin().unwrap();
+    daemons.start_all().unwrap();
     daemons
 }
 
@@ -42,7 +42,7 @@
 
 fn start(sidecars: &mut Sidecars, daemons: &Daemons, name: &str, belongs: Value) {
     sidecars.belongs(belongs);
-    let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
+    let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
     sidecars.start(name, &at, BEAT_MS).unwrap();
 }
 
@@ -85,7 +85,7 @@
 }
 
 fn written(daemons: &mut Daemons, of: &str, what: SettingsChange, expects: Option<Version>) -> OperatorReply {
-    let write = daemons.a_write(what, expects);
+    let write = daemons.new_write(what, expects);
     daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, PATIENCE).unwrap()
 }
 
@@ -350,7 +350,7 @@
         let expects = row(daemons, "service=menu").version;
         assert!(expects >= holds);
         let writes: Vec<Write> = ["bread", "stew"]
-            .map(|method| daemons.a_write(put(&with_method(&format!("{method}{round}"))), Some(expects)))
+            .map(|method| daemons.new_write(put(&with_method(&format!("{method}{round}"))), Some(expects)))
             .into();
         let at = daemons.at(daemons.wait_for_leader().unwrap());
         let asked = writes.into_iter().map(|write| {
@@ -384,7 +384,7 @@
             .iter()
             .map(|(of, text)| OperatorRequest::WriteScoped {
                 scope: scope(of),
-                write: daemons.a_write(put(&text.to_string()), None),
+                write: daemons.new_write(put(&text.to_string()), None),
             })
             .collect();
         let at = daemons.at(daemons.wait_for_leader().unwrap());
@@ -488,14 +488,14 @@
     sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     assert!(sidecars.keep("s0").exists());
     // No daemon is there to say what holds: kept settings of another service would be taken for its own.
-    daemons.places().for_each(|place| daemons.kill(place));
+    daemons.replicas().for_each(|place| daemons.kill(place));
     sidecars.kill("s0");
     start(&mut sidecars, daemons, "s0", json!({"service": "bar"}));
     assert_eq!(
         (request(sidecars.at("s0"), "/soup/1"), request(sidecars.at("s0"), "/menu/1")),
         (Some(404), Some(200))
     );
-    for place in daemons.places() {
+    for place in daemons.replicas() {
         daemons.start(place).unwrap();
     }
     daemons.wait_for_leader().unwrap();
@@ -553,8 +553,8 @@
     let daemons = &mut begun("newcomer");
     let first = committed(daemons, "service=menu", &with_method("soup"));
     let old = daemons.wait_for_leader().unwrap();
-    daemons.around(old, Link::cut());
-    let write = daemons.a_write(put(&with_method("bread")), None);
+    daemons.set_links_of(old, LinkState::partitioned());
+    let write = daemons.new_write(put(&with_method("bread")), None);
     let (at, asked) = (
         daemons.at(old),
         OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() },
@@ -570,7 +570,7 @@
     let (told, settings) = newcomer.wait_for_settings();
     assert_eq!((told, &settings["methods"][0]["name"]), (first, &json!("soup")));
     assert!(newcomer.settings().is_none());
-    daemons.around(old, Link::default());
+    daemons.set_links_of(old, LinkState::default());
     let _ = waits.join().unwrap();
     // Said again by its id, whatever became of it: it has its effect once.
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
@@ -625,7 +625,7 @@
         let mut member = Raw::greet(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
         assert_eq!(member.wait_for_settings().0, version);
         let before = daemons.status(leader).unwrap().last;
-        let write = daemons.a_write(put(&with_method(&format!("bread{round}"))), None);
+        let write = daemons.new_write(put(&with_method(&format!("bread{round}"))), None);
         let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() };
         let (at, said) = (daemons.at(leader), asked.clone());
         let first = thread::spawn(move || ask(at, &said, PATIENCE));
@@ -654,7 +654,7 @@
         assert!(
             second > version && !matches!(first, Ok(OperatorReply::Committed(version)) if version != second)
         );
-        daemons.wait_for_one_state().unwrap();
+        daemons.wait_for_same_state().unwrap();
         let OperatorReply::ScopeHistory(rows) =
             daemons.ask(&OperatorRequest::ScopeHistory(scope("service=menu")), PATIENCE).unwrap()
         else {
@@ -736,13 +736,13 @@
 fn scoped_puts_are_refused_until_all_voters_speak_version_three() {
     let daemons = &mut begun("voters");
     daemons.put(&with_method("soup")).unwrap();
-    daemons.wait_for_one_state().unwrap();
+    daemons.wait_for_same_state().unwrap();
     let leader = daemons.wait_for_leader().unwrap();
-    let other = daemons.places().find(|place| *place != leader).unwrap();
+    let other = daemons.replicas().find(|place| *place != leader).unwrap();
     let id = daemons.status(other).unwrap().id;
     let refused = |daemons: &mut Daemons, what: &str| {
         let wanted = format!("not before all daemons speak version {VERSION}: place {other} {what}");
-        let write = daemons.a_write(put(&with_method("never")), None);
+        let write = daemons.new_write(put(&with_method("never")), None);
         let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
         daemons
             .wait(
@@ -752,20 +752,20 @@
             .unwrap();
     };
     daemons.kill(other);
-    daemons.link(leader, other).lead_to("127.0.0.1:1".parse().unwrap());
+    daemons.link(leader, other).set_target("127.0.0.1:1".parse().unwrap());
     // Danger: what is left has a majority and would commit what an older replica passes over.
     refused(daemons, "is not heard");
-    daemons.link(leader, other).lead_to(stand_in(id));
+    daemons.link(leader, other).set_target(stand_in(id));
     refused(daemons, "speaks 2");
     // What is for all is written as ever.
     daemons.put(&with_method("bread")).unwrap();
     daemons.start(other).unwrap();
     daemons.link(leader, other).reset();
     let _ = committed(daemons, "service=menu", &with_method("stew"));
-    daemons.wait_for_one_state().unwrap();
+    daemons.wait_for_same_state().unwrap();
     // Danger: from then on one machine that is away would hold up all that is put for a part of the fleet.
     daemons.kill(other);
-    let write = daemons.a_write(put(&with_method("cake")), None);
+    let write = daemons.new_write(put(&with_method("cake")), None);
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
     assert!(matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_))));
 }
@@ -837,12 +837,12 @@
 fn what_an_earlier_process_of_a_voter_has_greeted_with_does_not_count() {
     let daemons = &mut begun("replaced");
     daemons.put(&with_method("soup")).unwrap();
-    daemons.wait_for_one_state().unwrap();
+    daemons.wait_for_same_state().unwrap();
     let leader = daemons.wait_for_leader().unwrap();
-    let other = daemons.places().find(|place| *place != leader).unwrap();
+    let other = daemons.replicas().find(|place| *place != leader).unwrap();
     let id = daemons.status(other).unwrap().id;
     // The leader's own connection to that place stands, and nobody is at its other end any more.
-    daemons.link(leader, other).stand(Link::cut());
+    daemons.link(leader, other).set_state(LinkState::partitioned());
     daemons.kill(other);
     let mut stream = TcpStream::connect(daemons.at(leader)).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -1,4 +1,5 @@
-//! Daemons of one fleet as real processes, with a link of the rig between any two of them and before each for all others.
+//! Runs the daemons of one fleet as processes. A link of the rig connects each pair of daemons, and one in front of each daemon
+//! serves members and operators.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,16 +15,16 @@
 use std::net::TcpStream;
 
 use super::folders;
-use super::links::{Link, Standing};
+use super::links::{Link, LinkState};
 use super::processes::{Process, Recipe};
 
-/// Longer than anything here takes; what waits for so long has failed.
+/// Timeout of every wait: longer than any expected step, so a wait that reaches it has failed.
 pub const PATIENCE: Duration = Duration::from_secs(20);
-/// Between two looks at what a wait is for.
-const LOOK: Duration = Duration::from_millis(15);
+/// Interval between checks of a wait's condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(15);
 pub const FLEET: &str = "rig";
 
-/// How the daemons are set up, in milliseconds and entries.
+/// Settings of the daemons, in milliseconds and log entries.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub daemons: u16,
@@ -54,25 +55,25 @@
     shape: Shape,
     program: PathBuf,
     processes: BTreeMap<u16, Process>,
-    /// From one daemon to another.
+    /// Links from one daemon to another, by replica ids.
     links: BTreeMap<(u16, u16), Link>,
-    /// From all others to a daemon.
-    doors: BTreeMap<u16, Link>,
+    /// Links from members and operators to a daemon.
+    client_links: BTreeMap<u16, Link>,
     writes: u64,
 }
 
-/// One answer, over a connection of its own.
+/// Sends a request over a new connection and returns the reply.
 ///
 /// # Errors
-/// Why there was none.
+/// Why there was no reply.
 pub fn ask(at: SocketAddr, ask: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
-    let told = |e: std::io::Error| format!("{at}: {e}");
+    let error = |e: std::io::Error| format!("{at}: {e}");
     let until = Instant::now() + within;
-    let mut stream = TcpStream::connect_timeout(&at, within).map_err(told)?;
+    let mut stream = TcpStream::connect_timeout(&at, within).map_err(error)?;
     let mut out = Vec::new();
     Frame::hello(FLEET, Initiator::Operator).write(&mut out);
     Frame::Request { number: 1, ask: ask.clone() }.write(&mut out);
-    stream.write_all(&out).map_err(told)?;
+    stream.write_all(&out).map_err(error)?;
     let (mut frames, mut piece) = (FrameReader::default(), [0; 16 * 1024]);
     loop {
         while let Some(frame) = frames.pop()? {
@@ -82,21 +83,21 @@
         }
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(format!("{at}: no answer in time"));
+            return Err(format!("{at}: no reply before the timeout"));
         }
-        stream.set_read_timeout(Some(left)).map_err(told)?;
-        match stream.read(&mut piece).map_err(told)? {
-            0 => return Err(format!("{at}: closed")),
+        stream.set_read_timeout(Some(left)).map_err(error)?;
+        match stream.read(&mut piece).map_err(error)? {
+            0 => return Err(format!("{at}: connection closed before a reply")),
             read => frames.push(&piece[..read]),
         }
     }
 }
 
 impl Daemons {
-    /// Writes the configurations, and founds the fleet at place 1. Nothing runs yet.
+    /// Writes the daemons' configurations and creates the links. Starts no process.
     ///
     /// # Errors
-    /// What could not be made.
+    /// What could not be created.
     pub fn new(root: &Path, program: &Path, template: &str, shape: Shape) -> Result<Daemons, String> {
         folders::empty(root)?;
         let write = |name: &str, text: &str| {
@@ -104,54 +105,55 @@
             fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
         };
         write("template.json", template)?;
-        let places: Vec<u16> = (1..=shape.daemons).collect();
-        let told = |e: std::io::Error| format!("link: {e}");
-        let (mut links, mut doors) = (BTreeMap::new(), BTreeMap::new());
-        for from in &places {
-            doors.insert(*from, Link::new(None).map_err(told)?);
-            for to in places.iter().filter(|to| *to != from) {
-                links.insert((*from, *to), Link::new(None).map_err(told)?);
+        let replicas: Vec<u16> = (1..=shape.daemons).collect();
+        let error = |e: std::io::Error| format!("link: {e}");
+        let (mut links, mut client_links) = (BTreeMap::new(), BTreeMap::new());
+        for from in &replicas {
+            client_links.insert(*from, Link::new(None).map_err(error)?);
+            for to in replicas.iter().filter(|to| *to != from) {
+                links.insert((*from, *to), Link::new(None).map_err(error)?);
             }
         }
-        for place in &places {
-            let address = |to: u16| if to == *place { doors[&to].at() } else { links[&(*place, to)].at() };
+        for replica in &replicas {
+            let address =
+                |to: u16| if to == *replica { client_links[&to].at() } else { links[&(*replica, to)].at() };
             let row = |to: &u16| format!("[[daemons]]\nplace = {to}\naddress = \"{}\"\n", address(*to));
-            let daemons: String = places.iter().map(row).collect();
+            let daemons: String = replicas.iter().map(row).collect();
             let Shape { election_ms, beat_ms, lease_ms, gone_ms, compact_every, compare_every, .. } = shape;
             let text = format!(
-                "fleet = \"{FLEET}\"\nplace = {place}\nlisten = \"127.0.0.1:0\"\nfolder = \"{}\"\ntemplate = \"{}\"\n\
+                "fleet = \"{FLEET}\"\nplace = {replica}\nlisten = \"127.0.0.1:0\"\nfolder = \"{}\"\ntemplate = \"{}\"\n\
                  election_ms = {election_ms}\nbeat_ms = {beat_ms}\nlease_ms = {lease_ms}\ngone_ms = {gone_ms}\n\
                  compact_every = {compact_every}\ncompare_every = {compare_every}\n{daemons}",
-                root.join(format!("d{place}")).display(),
+                root.join(format!("d{replica}")).display(),
                 root.join("template.json").display()
             );
-            write(&format!("d{place}.toml"), &text)?;
+            write(&format!("d{replica}.toml"), &text)?;
         }
         let (processes, writes, program) = (BTreeMap::new(), 0, program.to_path_buf());
-        Ok(Daemons { root: root.to_path_buf(), shape, program, processes, links, doors, writes })
+        Ok(Daemons { root: root.to_path_buf(), shape, program, processes, links, client_links, writes })
     }
 
-    pub fn places(&self) -> impl Iterator<Item = u16> + use<> {
+    pub fn replicas(&self) -> impl Iterator<Item = u16> + use<> {
         1..=self.shape.daemons
     }
 
-    pub fn folder(&self, place: u16) -> PathBuf {
-        self.root.join(format!("d{place}"))
+    pub fn folder(&self, replica: u16) -> PathBuf {
+        self.root.join(format!("d{replica}"))
     }
 
-    pub fn configuration(&self, place: u16) -> PathBuf {
-        self.root.join(format!("d{place}.toml"))
+    pub fn configuration(&self, replica: u16) -> PathBuf {
+        self.root.join(format!("d{replica}.toml"))
     }
 
-    /// Where a daemon is reached by all but daemons, whether it runs or not.
-    pub fn at(&self, place: u16) -> SocketAddr {
-        self.doors[&place].at()
+    /// Returns the address at which members and operators reach a daemon, also while it is down.
+    pub fn at(&self, replica: u16) -> SocketAddr {
+        self.client_links[&replica].at()
     }
 
-    /// Runs the program for its end: its exit status, and all that it says.
+    /// Runs the program to its end and returns its exit code and output.
     ///
     /// # Errors
-    /// Why it can't be started.
+    /// Why it cannot be started.
     pub fn command(&self, arguments: &[&str]) -> Result<(Option<i32>, String), String> {
         let ran = std::process::Command::new(&self.program).args(arguments).output();
         let ran = ran.map_err(|e| format!("{}: {e}", self.program.display()))?;
@@ -160,46 +162,46 @@
     }
 
     /// # Errors
-    /// What the program said.
-    pub fn found(&self, place: u16) -> Result<(), String> {
-        let file = self.configuration(place).display().to_string();
+    /// The program's output.
+    pub fn found(&self, replica: u16) -> Result<(), String> {
+        let file = self.configuration(replica).display().to_string();
         match self.command(&["found", "--config", &file])? {
             (Some(0), _) => Ok(()),
-            (_, said) => Err(said),
+            (_, output) => Err(output),
         }
     }
 
     /// # Errors
     /// Why it does not listen.
-    pub fn start(&mut self, place: u16) -> Result<(), String> {
-        self.start_with(place, &[])
+    pub fn start(&mut self, replica: u16) -> Result<(), String> {
+        self.start_with(replica, &[])
     }
 
-    /// With more arguments.
+    /// Starts a daemon with additional arguments.
     ///
     /// # Errors
     /// Why it does not listen.
-    pub fn start_with(&mut self, place: u16, more: &[&str]) -> Result<(), String> {
-        let file = self.configuration(place).display().to_string();
+    pub fn start_with(&mut self, replica: u16, more: &[&str]) -> Result<(), String> {
+        let file = self.configuration(replica).display().to_string();
         let arguments = [&["serve", "--config", &file], more].concat();
-        let process = Recipe::new(&format!("d{place}"), &self.program, &arguments).start()?;
+        let process = Recipe::new(&format!("d{replica}"), &self.program, &arguments).start()?;
         let (line, _) = process.line(0, PATIENCE, |line| line.contains("listens on "))?;
         let at = line.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
-        let at = at.ok_or("listens at no address")?;
-        let before = self.links.iter().filter(|((_, to), _)| *to == place).map(|(_, link)| link);
-        before.chain([&self.doors[&place]]).for_each(|link| link.lead_to(at));
-        self.processes.insert(place, process);
+        let at = at.ok_or("the log names no listen address")?;
+        let incoming = self.links.iter().filter(|((_, to), _)| *to == replica).map(|(_, link)| link);
+        incoming.chain([&self.client_links[&replica]]).for_each(|link| link.set_target(at));
+        self.processes.insert(replica, process);
         Ok(())
     }
 
-    /// Founds, starts all, and waits until all vote.
+    /// Creates the fleet, starts all daemons, and waits until all are voters.
     ///
     /// # Errors
-    /// What did not come.
-    pub fn begin(&mut self) -> Result<(), String> {
+    /// What failed or timed out.
+    pub fn start_all(&mut self) -> Result<(), String> {
         self.found(1)?;
-        for place in self.places() {
-            self.start(place)?;
+        for replica in self.replicas() {
+            self.start(replica)?;
         }
         let count = usize::from(self.shape.daemons);
         self.wait("all vote", |fleet| {
@@ -208,140 +210,144 @@
         })
     }
 
-    /// A daemon that runs or is stopped.
+    /// Returns a daemon's process, running or paused.
     ///
     /// # Panics
-    /// Where there is none.
-    pub fn process(&mut self, place: u16) -> &mut Process {
-        self.processes.get_mut(&place).expect("a process that was started")
+    /// If the daemon was not started.
+    pub fn process(&mut self, replica: u16) -> &mut Process {
+        self.processes.get_mut(&replica).expect("a process that was started")
     }
 
-    /// Where a daemon that runs listens itself, past the rig's links: two threads for each connection would be measured too.
+    /// Returns a running daemon's own listen address. It bypasses the rig's links, whose two threads per connection would be
+    /// measured too.
     ///
     /// # Errors
-    /// That it has not said so.
-    pub fn own_address(&mut self, place: u16) -> Result<SocketAddr, String> {
-        let said = self.process(place).line(0, PATIENCE, |line| line.contains("listens on "))?.0;
-        let at = said.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
-        at.ok_or("no address".to_string())
+    /// The daemon has not logged its address.
+    pub fn own_address(&mut self, replica: u16) -> Result<SocketAddr, String> {
+        let line = self.process(replica).line(0, PATIENCE, |line| line.contains("listens on "))?.0;
+        let at = line.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
+        at.ok_or("the log names no listen address".to_string())
     }
 
-    /// The same of all, the leader first if there is one.
+    /// Returns the own listen addresses of all daemons, the leader first if there is one.
     ///
     /// # Errors
-    /// The one that has not said so.
+    /// The daemon that has not logged its address.
     pub fn own_addresses(&mut self) -> Result<Vec<(u16, SocketAddr)>, String> {
         let leader = self.leader();
-        let mut places: Vec<u16> = self.places().collect();
-        places.sort_by_key(|place| Some(*place) != leader);
-        places.into_iter().map(|place| Ok((place, self.own_address(place)?))).collect()
+        let mut replicas: Vec<u16> = self.replicas().collect();
+        replicas.sort_by_key(|replica| Some(*replica) != leader);
+        replicas.into_iter().map(|replica| Ok((replica, self.own_address(replica)?))).collect()
     }
 
-    pub fn running(&self, place: u16) -> bool {
-        self.processes.contains_key(&place)
+    pub fn running(&self, replica: u16) -> bool {
+        self.processes.contains_key(&replica)
     }
 
-    pub fn kill(&mut self, place: u16) {
-        self.processes.remove(&place);
+    pub fn kill(&mut self, replica: u16) {
+        self.processes.remove(&replica);
     }
 
-    /// The link from one daemon to another.
+    /// Returns the link from one daemon to another.
     pub fn link(&self, from: u16, to: u16) -> &Link {
         &self.links[&(from, to)]
     }
 
-    pub fn door(&self, place: u16) -> &Link {
-        &self.doors[&place]
+    pub fn client_link(&self, replica: u16) -> &Link {
+        &self.client_links[&replica]
     }
 
-    /// Cuts or mends all between two daemons, silently.
-    pub fn between(&self, one: u16, other: u16, standing: Standing) {
-        self.link(one, other).stand(standing);
-        self.link(other, one).stand(standing);
+    /// Sets the state of both links between two daemons.
+    pub fn set_links_between(&self, one: u16, other: u16, state: LinkState) {
+        self.link(one, other).set_state(state);
+        self.link(other, one).set_state(state);
     }
 
-    /// Cuts or mends all between a daemon and the others.
-    pub fn around(&self, place: u16, standing: Standing) {
-        self.places().filter(|other| *other != place).for_each(|other| self.between(place, other, standing));
+    /// Sets the state of all links between a daemon and the others.
+    pub fn set_links_of(&self, replica: u16, state: LinkState) {
+        self.replicas()
+            .filter(|other| *other != replica)
+            .for_each(|other| self.set_links_between(replica, other, state));
     }
 
-    pub fn status(&self, place: u16) -> Option<Status> {
-        match ask(self.at(place), &OperatorRequest::Status, Duration::from_millis(500)) {
+    pub fn status(&self, replica: u16) -> Option<Status> {
+        match ask(self.at(replica), &OperatorRequest::Status, Duration::from_millis(500)) {
             Ok(OperatorReply::Status(status)) => Some(status),
             _ => None,
         }
     }
 
-    /// Of those that run, not stopped.
+    /// Returns the status of each daemon that runs and is not paused.
     pub fn statuses(&self) -> BTreeMap<u16, Status> {
         let running = self.processes.iter().filter(|(_, process)| !process.is_stopped());
-        running.filter_map(|(place, _)| Some((*place, self.status(*place)?))).collect()
+        running.filter_map(|(replica, _)| Some((*replica, self.status(*replica)?))).collect()
     }
 
-    /// The place that leads by what the latest term's leader says.
+    /// Returns the replica that reports to lead in the highest term.
     pub fn leader(&self) -> Option<u16> {
         let statuses = self.statuses();
         let leaders = statuses.iter().filter(|(_, status)| status.role == "Leader");
-        leaders.max_by_key(|(_, status)| status.term).map(|(place, _)| *place)
+        leaders.max_by_key(|(_, status)| status.term).map(|(replica, _)| *replica)
     }
 
     /// # Errors
-    /// What did not come, and how the daemons stand.
+    /// What timed out, and the status of each daemon.
     pub fn wait(&self, what: &str, check: impl Fn(&Daemons) -> bool) -> Result<(), String> {
         let until = Instant::now() + PATIENCE;
         while !check(self) {
             if Instant::now() >= until {
-                let told: Vec<String> =
+                let statuses: Vec<String> =
                     self.statuses().iter().map(|(at, s)| format!("{at}: {s:?}")).collect();
-                return Err(format!("{what}: it did not come; {}", told.join("\n")));
+                return Err(format!("timed out waiting for {what}; {}", statuses.join("\n")));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
     /// # Errors
-    /// That nobody came to lead.
+    /// No leader was elected in time.
     pub fn wait_for_leader(&self) -> Result<u16, String> {
         self.wait("a leader", |fleet| fleet.leader().is_some())?;
-        self.leader().ok_or("the leader has gone".to_string())
+        self.leader().ok_or("the leader stepped down or exited".to_string())
     }
 
-    /// What the fleet answers: all daemons in turn, until one does.
+    /// Asks the running daemons in turn until one gives a final reply.
     ///
     /// # Errors
-    /// That none did in time; for a write, that its fate is unknown.
-    pub fn ask(&self, asked: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
+    /// No daemon replied in time. The outcome of a write is then unknown.
+    pub fn ask(&self, request: &OperatorRequest, within: Duration) -> Result<OperatorReply, String> {
         let until = Instant::now() + within;
         let mut last = String::new();
         while Instant::now() < until {
-            for place in self.places().filter(|place| self.running(*place)) {
+            for replica in self.replicas().filter(|replica| self.running(*replica)) {
                 let left = until.saturating_duration_since(Instant::now()).min(Duration::from_secs(2));
-                match ask(self.at(place), asked, left.max(Duration::from_millis(1))) {
+                match ask(self.at(replica), request, left.max(Duration::from_millis(1))) {
                     Ok(OperatorReply::NotLeader(_)) => {}
-                    Ok(OperatorReply::Unknown(why)) => last = why,
+                    Ok(OperatorReply::Unknown(reason)) => last = reason,
                     Ok(reply) => return Ok(reply),
-                    Err(why) => last = why,
+                    Err(reason) => last = reason,
                 }
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        Err(format!("nobody answered: {last}"))
+        Err(format!("no daemon replied: {last}"))
     }
 
-    /// A write that is like no other.
-    pub fn a_write(&mut self, what: SettingsChange, expects: Option<Version>) -> Write {
+    /// Builds a write with a unique id.
+    pub fn new_write(&mut self, change: SettingsChange, expected_version: Option<Version>) -> Write {
         self.writes += 1;
-        let (id, by, why) = (WriteId(7, self.writes), "rig".to_string(), format!("write {}", self.writes));
-        Write { id, expected_version: expects, author: by, reason: why, at_ms: 0, change: what }
+        let (id, author, reason) =
+            (WriteId(7, self.writes), "rig".to_string(), format!("write {}", self.writes));
+        Write { id, expected_version, author, reason, at_ms: 0, change }
     }
 
-    /// Puts settings, and says which version they became.
+    /// Writes settings and returns their version.
     ///
     /// # Errors
-    /// What came instead.
+    /// The unexpected reply.
     pub fn put(&mut self, settings: &str) -> Result<Version, String> {
-        let write = self.a_write(SettingsChange::Put(settings.to_string(), Vec::new(), Vec::new()), None);
+        let write = self.new_write(SettingsChange::Put(settings.to_string(), Vec::new(), Vec::new()), None);
         match self.ask(&OperatorRequest::Write(write), PATIENCE)? {
             OperatorReply::Committed(version) => Ok(version),
             other => Err(format!("{other:?}")),
@@ -349,7 +355,7 @@
     }
 
     /// # Errors
-    /// What came instead.
+    /// The unexpected reply.
     pub fn history(&self) -> Result<Vec<SettingsVersion>, String> {
         match self.ask(&OperatorRequest::History, PATIENCE)? {
             OperatorReply::History(rows) => Ok(rows),
@@ -357,11 +363,11 @@
         }
     }
 
-    /// Waits until all places run, vote, and hold the same state.
+    /// Waits until all replicas run, are voters, and hold the same state.
     ///
     /// # Errors
-    /// How they stand if they never do.
-    pub fn wait_for_one_state(&self) -> Result<Vec<Id>, String> {
+    /// The status of each daemon on a timeout.
+    pub fn wait_for_same_state(&self) -> Result<Vec<Id>, String> {
         let count = usize::from(self.shape.daemons);
         let same = |fleet: &Daemons| {
             let statuses = fleet.statuses();
@@ -371,7 +377,7 @@
                 && states.iter().all(|state| *state == states[0] && state.2 == count)
                 && statuses.values().all(role)
         };
-        self.wait("one state at all places", same)?;
+        self.wait("the same state at all replicas", same)?;
         Ok(self.statuses().into_values().map(|status| status.id).collect())
     }
 }
--- a/crates/lab/src/rig/links.rs
+++ b/crates/lab/src/rig/links.rs
@@ -1,5 +1,5 @@
-//! Links between two processes, each through a proxy of the rig: cut both ways or one way, held back and delivered
-//! late, slow, or reset.
+//! Links between two processes through a TCP proxy of the rig. A link can hold data in one or both directions and deliver
+//! it late, limit its rate, or reset its connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,57 +12,59 @@
 use oorandom::Rand64;
 use socket2::SockRef;
 
-/// Bytes that a proxy reads at a time: a slow link paces by pieces of this size at the most.
-const PIECE: usize = 16 * 1024;
-/// Longest that a proxy waits for the process behind it: on the loopback a connect is answered at once or refused.
-const CONNECT: Duration = Duration::from_secs(2);
-/// What a lost packet costs a stream of which little is under way: the least retransmission timeout of common systems.
+/// Largest read of a proxy, and so the granularity of a rate limit.
+const CHUNK: usize = 16 * 1024;
+/// Timeout for a connect to the target: on the loopback a connect is answered at once or refused.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay that a lost packet adds to a stream with little data in flight: the minimum retransmission timeout of common systems.
 const RETRANSMISSION: Duration = Duration::from_millis(200);
 
-/// How one direction of a link stands.
+/// State of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum Flow {
     #[default]
     Open,
-    /// Nothing passes and nobody is told; what was sent meanwhile is delivered late, once it opens again.
+    /// Data is held without an error, and delivered once the direction is open again.
     Held,
-    /// So many bytes a second.
+    /// Rate limit in bytes per second.
     Slow(u32),
 }
 
-/// How a link stands: towards the process that it leads to, and back.
+/// State of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
-    pub to: Way,
-    pub back: Way,
-    /// New connections are reset at once.
-    pub refuses: bool,
+pub struct LinkState {
+    /// Towards the target.
+    pub to: Flow,
+    /// From the target.
+    pub back: Flow,
+    /// Resets new connections at once.
+    pub resets_new: bool,
 }
 
-impl Standing {
-    /// Cut both ways, silently.
-    pub fn cut() -> Standing {
-        Standing { to: Way::Held, back: Way::Held, refuses: false }
+impl LinkState {
+    /// Holds data in both directions, without errors.
+    pub fn partitioned() -> LinkState {
+        LinkState { to: Flow::Held, back: Flow::Held, resets_new: false }
     }
 }
 
 #[derive(Default)]
 struct Inner {
-    standing: Standing,
-    /// Where the process listens now.
-    leads_to: Option<SocketAddr>,
-    /// Both ends of each connection that is open.
+    state: LinkState,
+    /// Current address of the target process.
+    target: Option<SocketAddr>,
+    /// Number and both ends of each open connection.
     open: Vec<(u64, TcpStream, TcpStream)>,
     next: u64,
-    over: bool,
-    /// How long all takes in one direction, and what share of the pieces a lost packet holds up.
-    late: (Duration, f64),
+    closed: bool,
+    /// Delay in one direction, and the share of chunks that are delayed further by a lost packet.
+    delay_and_loss: (Duration, f64),
 }
 
 struct Shared {
     inner: Mutex<Inner>,
     changed: Condvar,
-    /// Bytes passed on, to and back.
+    /// Bytes forwarded to the target and from it.
     bytes: [AtomicU64; 2],
 }
 
@@ -72,7 +74,7 @@
     }
 }
 
-/// A link, as long as this value lives. Its address stays the same, whatever stands behind it.
+/// A link that is closed on drop. Its address stays the same when the target changes.
 pub struct Link {
     shared: Arc<Shared>,
     at: SocketAddr,
@@ -80,11 +82,11 @@
 
 impl Link {
     /// # Errors
-    /// What the system says if there is no address to listen at.
-    pub fn new(leads_to: Option<SocketAddr>) -> std::io::Result<Link> {
+    /// The operating system's error if no address can be listened on.
+    pub fn new(target: Option<SocketAddr>) -> std::io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
-        let inner = Inner { leads_to, ..Inner::default() };
+        let inner = Inner { target, ..Inner::default() };
         let shared = Shared { inner: Mutex::new(inner), changed: Condvar::new(), bytes: Default::default() };
         let shared = Arc::new(shared);
         let own = shared.clone();
@@ -92,38 +94,38 @@
         Ok(Link { shared, at })
     }
 
-    /// Where the process before this link connects to.
+    /// Returns the address that clients of this link connect to.
     pub fn at(&self) -> SocketAddr {
         self.at
     }
 
-    /// The process behind listens here from now on.
-    pub fn lead_to(&self, at: SocketAddr) {
-        self.shared.lock().leads_to = Some(at);
+    /// Sets the address that new connections are forwarded to.
+    pub fn set_target(&self, at: SocketAddr) {
+        self.shared.lock().target = Some(at);
     }
 
-    /// Connections that come from now on are over a path of this delay in one direction, on which this share of the pieces
-    /// waits for a packet to be sent again, and all behind them.
-    pub fn delays(&self, delay: Duration, loss: f64) {
-        self.shared.lock().late = (delay, loss);
+    /// Sets the one-way delay of new connections, and the share of chunks that wait, with all data behind them, for a
+    /// retransmission.
+    pub fn set_delay(&self, delay: Duration, loss: f64) {
+        self.shared.lock().delay_and_loss = (delay, loss);
     }
 
-    pub fn stand(&self, standing: Standing) {
-        self.shared.lock().standing = standing;
+    pub fn set_state(&self, state: LinkState) {
+        self.shared.lock().state = state;
         self.shared.changed.notify_all();
     }
 
-    /// Resets every connection that is open; what was held back in them is lost.
+    /// Resets every open connection; data held in them is lost.
     pub fn reset(&self) {
         let open = std::mem::take(&mut self.shared.lock().open);
         for (_, one, other) in open {
-            break_off(&one);
-            break_off(&other);
+            reset_stream(&one);
+            reset_stream(&other);
         }
         self.shared.changed.notify_all();
     }
 
-    /// Bytes passed on so far: to the process behind, and back.
+    /// Returns the bytes forwarded so far: to the target, and from it.
     pub fn bytes(&self) -> [u64; 2] {
         [0, 1].map(|way| self.shared.bytes[way].load(Ordering::SeqCst))
     }
@@ -131,54 +133,54 @@
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.shared.lock().over = true;
+        self.shared.lock().closed = true;
         self.reset();
-        // Wakes the thread that accepts, which then ends.
-        let _ = TcpStream::connect_timeout(&self.at, CONNECT);
+        // Wakes the accepting thread, which then exits.
+        let _ = TcpStream::connect_timeout(&self.at, CONNECT_TIMEOUT);
     }
 }
 
-fn break_off(stream: &TcpStream) {
-    // Closed with nothing lingering a connection is reset, and its peer told so.
+fn reset_stream(stream: &TcpStream) {
+    // Closing with a linger time of zero sends a reset to the peer.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
 }
 
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
-    for before in listener.incoming() {
-        let (standing, leads_to, over, late) = {
+    for client in listener.incoming() {
+        let (state, target, closed, delay_and_loss) = {
             let inner = shared.lock();
-            (inner.standing, inner.leads_to, inner.over, inner.late)
+            (inner.state, inner.target, inner.closed, inner.delay_and_loss)
         };
-        if over {
+        if closed {
             return;
         }
-        let Ok(before) = before else { continue };
-        let behind = leads_to.filter(|_| !standing.refuses);
-        let behind = behind.and_then(|at| TcpStream::connect_timeout(&at, CONNECT).ok());
-        let Some(behind) = behind else {
-            break_off(&before);
+        let Ok(client) = client else { continue };
+        let upstream = target.filter(|_| !state.resets_new);
+        let upstream = upstream.and_then(|at| TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok());
+        let Some(upstream) = upstream else {
+            reset_stream(&client);
             continue;
         };
-        let (_, _) = (before.set_nodelay(true), behind.set_nodelay(true));
-        let Ok(ends) = copies(&before, &behind) else { continue };
+        let (_, _) = (client.set_nodelay(true), upstream.set_nodelay(true));
+        let Ok(ends) = copies(&client, &upstream) else { continue };
         let number = {
             let mut inner = shared.lock();
             inner.next += 1;
             let number = inner.next;
-            inner.open.push((number, before, behind));
+            inner.open.push((number, client, upstream));
             number
         };
         let [(one, two), (three, four)] = ends;
         for (from, to, way) in [(one, two, 0), (three, four, 1)] {
             let shared = shared.clone();
-            if late.0.is_zero() {
-                thread::spawn(move || carry(from, to, way, number, &shared));
+            if delay_and_loss.0.is_zero() {
+                thread::spawn(move || forward(from, to, way, number, &shared));
             } else {
-                let (pieces, come) = channel();
+                let (sender, receiver) = channel();
                 let Ok(own) = from.try_clone() else { continue };
-                thread::spawn(move || collect(own, late, 2 * number + way as u64, &pieces));
-                thread::spawn(move || deliver(&from, to, way, number, &shared, &come));
+                thread::spawn(move || read_delayed(own, delay_and_loss, 2 * number + way as u64, &sender));
+                thread::spawn(move || write_delayed(&from, to, way, number, &shared, &receiver));
             }
         }
     }
@@ -186,46 +188,47 @@
 
 type Ends = [(TcpStream, TcpStream); 2];
 
-fn copies(before: &TcpStream, behind: &TcpStream) -> std::io::Result<Ends> {
-    Ok([(before.try_clone()?, behind.try_clone()?), (behind.try_clone()?, before.try_clone()?)])
+fn copies(client: &TcpStream, upstream: &TcpStream) -> std::io::Result<Ends> {
+    Ok([(client.try_clone()?, upstream.try_clone()?), (upstream.try_clone()?, client.try_clone()?)])
 }
 
-/// Waits while its direction is held; the time that so many bytes take on a slow one, or nothing once it is over.
+/// Waits while the direction is held. Returns the time that `bytes` take at its rate, or `None` once the connection or the
+/// link is closed.
 fn pace(shared: &Shared, way: usize, number: u64, bytes: usize) -> Option<Duration> {
     let mut inner = shared.lock();
     loop {
-        if inner.over || !inner.open.iter().any(|(open, _, _)| *open == number) {
+        if inner.closed || !inner.open.iter().any(|(open, _, _)| *open == number) {
             return None;
         }
-        match [inner.standing.to, inner.standing.back][way] {
-            Way::Open => return Some(Duration::ZERO),
-            Way::Slow(rate) => {
+        match [inner.state.to, inner.state.back][way] {
+            Flow::Open => return Some(Duration::ZERO),
+            Flow::Slow(rate) => {
                 return Some(Duration::from_secs_f64(bytes as f64 / f64::from(rate.max(1))));
             }
-            Way::Held => inner = shared.changed.wait(inner).expect("no proxy panics with the lock"),
+            Flow::Held => inner = shared.changed.wait(inner).expect("no proxy panics with the lock"),
         }
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, way: usize, number: u64, shared: &Shared) {
-    let mut piece = vec![0; PIECE];
+fn forward(mut from: TcpStream, mut to: TcpStream, way: usize, number: u64, shared: &Shared) {
+    let mut chunk = vec![0; CHUNK];
     loop {
-        let length = match from.read(&mut piece) {
+        let length = match from.read(&mut chunk) {
             Ok(0) | Err(_) => break,
             Ok(length) => length,
         };
         let Some(time) = pace(shared, way, number, length) else { break };
         thread::sleep(time);
-        // Counted first: who hears what was passed on finds it counted.
+        // Counted before the write, so that a receiver of the data sees it counted.
         shared.bytes[way].fetch_add(length as u64, Ordering::SeqCst);
-        if to.write_all(&piece[..length]).is_err() {
+        if to.write_all(&chunk[..length]).is_err() {
             break;
         }
     }
     end(&from, &to, way, number, shared);
 }
 
-/// The end of a connection is held back like its bytes: one that cannot be heard cannot say that it ends.
+/// Closes both ends. The close is held like data, as a partitioned process cannot signal it either.
 fn end(from: &TcpStream, to: &TcpStream, way: usize, number: u64, shared: &Shared) {
     if pace(shared, way, number, 0).is_some() {
         let _ = to.shutdown(Shutdown::Both);
@@ -235,57 +238,57 @@
     }
 }
 
-/// Reads what is to go over a path with a delay, and says when each piece arrives.
-fn collect(
+/// Reads chunks from a stream and sends each with its time of delivery after delay and loss.
+fn read_delayed(
     mut from: TcpStream,
     (delay, loss): (Duration, f64),
     seed: u64,
-    pieces: &Sender<(Instant, Vec<u8>)>,
+    chunks: &Sender<(Instant, Vec<u8>)>,
 ) {
-    let (mut chance, mut last) = (Rand64::new(u128::from(seed)), Instant::now());
-    let mut piece = vec![0; PIECE];
+    let (mut random, mut last) = (Rand64::new(u128::from(seed)), Instant::now());
+    let mut chunk = vec![0; CHUNK];
     loop {
-        let length = match from.read(&mut piece) {
+        let length = match from.read(&mut chunk) {
             Ok(0) | Err(_) => break,
             Ok(length) => length,
         };
-        let lost = chance.rand_float() < loss;
-        let again = if lost { RETRANSMISSION + 2 * delay } else { Duration::ZERO };
-        last = last.max(Instant::now() + delay + again);
-        if pieces.send((last, piece[..length].to_vec())).is_err() {
+        let lost = random.rand_float() < loss;
+        let retransmission = if lost { RETRANSMISSION + 2 * delay } else { Duration::ZERO };
+        last = last.max(Instant::now() + delay + retransmission);
+        if chunks.send((last, chunk[..length].to_vec())).is_err() {
             break;
         }
     }
 }
 
-fn deliver(
+fn write_delayed(
     from: &TcpStream,
     mut to: TcpStream,
     way: usize,
     number: u64,
     shared: &Shared,
-    come: &Receiver<(Instant, Vec<u8>)>,
+    chunks: &Receiver<(Instant, Vec<u8>)>,
 ) {
-    while let Ok((at, piece)) = come.recv() {
+    while let Ok((at, chunk)) = chunks.recv() {
         thread::sleep(at.saturating_duration_since(Instant::now()));
-        let Some(time) = pace(shared, way, number, piece.len()) else { break };
+        let Some(time) = pace(shared, way, number, chunk.len()) else { break };
         thread::sleep(time);
-        shared.bytes[way].fetch_add(piece.len() as u64, Ordering::SeqCst);
-        if to.write_all(&piece).is_err() {
+        shared.bytes[way].fetch_add(chunk.len() as u64, Ordering::SeqCst);
+        if to.write_all(&chunk).is_err() {
             break;
         }
     }
     end(from, &to, way, number, shared);
 }
 
-/// Tries until a connection is there, or this long.
+/// Connects, and retries a refused connection until the timeout.
 ///
 /// # Errors
-/// What the last try said.
+/// The error of the last attempt.
 pub fn connect(at: SocketAddr, within: Duration) -> std::io::Result<TcpStream> {
     let until = Instant::now() + within;
     loop {
-        match TcpStream::connect_timeout(&at, CONNECT) {
+        match TcpStream::connect_timeout(&at, CONNECT_TIMEOUT) {
             Err(e) if e.kind() == ErrorKind::ConnectionRefused && Instant::now() < until => {
                 thread::sleep(Duration::from_millis(5));
             }
@@ -298,7 +301,7 @@
 mod tests {
     use super::*;
 
-    /// One that sends back what it hears, until told to end.
+    /// Starts an echo server.
     fn echo() -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
@@ -314,71 +317,72 @@
         at
     }
 
-    fn hear(stream: &mut TcpStream, bytes: usize) -> std::io::Result<Vec<u8>> {
-        let mut heard = vec![0; bytes];
-        stream.read_exact(&mut heard)?;
-        Ok(heard)
+    fn receive(stream: &mut TcpStream, bytes: usize) -> std::io::Result<Vec<u8>> {
+        let mut received = vec![0; bytes];
+        stream.read_exact(&mut received)?;
+        Ok(received)
     }
 
-    /// Danger: a reset that comes at once is seen by the connect itself on a busy machine, and by the first read on others.
+    /// Danger: an immediate reset may fail the connect itself on a busy machine, and the first read otherwise.
     fn is_refused(link: &Link) -> bool {
-        let Ok(mut stream) = connect(link.at(), CONNECT) else { return true };
-        stream.set_read_timeout(Some(CONNECT)).is_err() || matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_))
+        let Ok(mut stream) = connect(link.at(), CONNECT_TIMEOUT) else { return true };
+        stream.set_read_timeout(Some(CONNECT_TIMEOUT)).is_err()
+            || matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_))
     }
 
     #[test]
-    fn a_link_holds_back_and_delivers_late_each_way_and_resets() {
+    fn a_link_holds_and_later_delivers_each_direction_and_resets() {
         let link = Link::new(Some(echo())).unwrap();
-        let mut stream = connect(link.at(), CONNECT).unwrap();
+        let mut stream = connect(link.at(), CONNECT_TIMEOUT).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(80))).unwrap();
         stream.write_all(b"one").unwrap();
-        assert_eq!(hear(&mut stream, 3).unwrap(), b"one");
-        for standing in [Standing { to: Way::Held, ..Standing::default() }, Standing::cut()] {
-            link.stand(standing);
+        assert_eq!(receive(&mut stream, 3).unwrap(), b"one");
+        for state in [LinkState { to: Flow::Held, ..LinkState::default() }, LinkState::partitioned()] {
+            link.set_state(state);
             let before = link.bytes();
             stream.write_all(b"two").unwrap();
-            let said = hear(&mut stream, 3).unwrap_err().kind();
+            let said = receive(&mut stream, 3).unwrap_err().kind();
             assert!(matches!(said, ErrorKind::WouldBlock | ErrorKind::TimedOut), "{said}");
             assert_eq!(link.bytes(), before);
-            link.stand(Standing::default());
-            stream.set_read_timeout(Some(CONNECT)).unwrap();
-            assert_eq!(hear(&mut stream, 3).unwrap(), b"two");
+            link.set_state(LinkState::default());
+            stream.set_read_timeout(Some(CONNECT_TIMEOUT)).unwrap();
+            assert_eq!(receive(&mut stream, 3).unwrap(), b"two");
             stream.set_read_timeout(Some(Duration::from_millis(80))).unwrap();
         }
-        // One way only: what goes there arrives, what comes back does not.
-        link.stand(Standing { back: Way::Held, ..Standing::default() });
+        // Held in one direction: data to the target arrives, its replies do not.
+        link.set_state(LinkState { back: Flow::Held, ..LinkState::default() });
         let before = link.bytes();
         stream.write_all(b"three").unwrap();
-        let until = Instant::now() + CONNECT;
+        let until = Instant::now() + CONNECT_TIMEOUT;
         while link.bytes()[0] - before[0] < 5 {
-            assert!(Instant::now() < until, "nothing arrives");
+            assert!(Instant::now() < until, "no bytes were forwarded to the target");
             thread::sleep(Duration::from_millis(1));
         }
-        hear(&mut stream, 5).unwrap_err();
+        receive(&mut stream, 5).unwrap_err();
         assert_eq!(link.bytes()[1], before[1]);
         link.reset();
-        stream.set_read_timeout(Some(CONNECT)).unwrap();
+        stream.set_read_timeout(Some(CONNECT_TIMEOUT)).unwrap();
         assert!(matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)));
-        link.stand(Standing { refuses: true, ..Standing::default() });
+        link.set_state(LinkState { resets_new: true, ..LinkState::default() });
         assert!(is_refused(&link));
-        // Where nobody listens behind it, and once somebody does.
-        link.stand(Standing::default());
-        link.lead_to("127.0.0.1:1".parse().unwrap());
+        // The target does not listen, then listens.
+        link.set_state(LinkState::default());
+        link.set_target("127.0.0.1:1".parse().unwrap());
         assert!(is_refused(&link));
-        link.lead_to(echo());
-        let mut again = connect(link.at(), CONNECT).unwrap();
+        link.set_target(echo());
+        let mut again = connect(link.at(), CONNECT_TIMEOUT).unwrap();
         again.write_all(b"four").unwrap();
-        assert_eq!(hear(&mut again, 4).unwrap(), b"four");
+        assert_eq!(receive(&mut again, 4).unwrap(), b"four");
     }
 
     #[test]
-    fn a_slow_link_takes_its_time() {
+    fn a_rate_limit_delays_data() {
         let link = Link::new(Some(echo())).unwrap();
-        link.stand(Standing { to: Way::Slow(10_000), ..Standing::default() });
-        let mut stream = connect(link.at(), CONNECT).unwrap();
+        link.set_state(LinkState { to: Flow::Slow(10_000), ..LinkState::default() });
+        let mut stream = connect(link.at(), CONNECT_TIMEOUT).unwrap();
         let start = Instant::now();
         stream.write_all(&[7; 1000]).unwrap();
-        assert_eq!(hear(&mut stream, 1000).unwrap(), [7; 1000]);
+        assert_eq!(receive(&mut stream, 1000).unwrap(), [7; 1000]);
         assert!(start.elapsed() >= Duration::from_millis(99), "{:?}", start.elapsed());
     }
 }
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -64,7 +64,7 @@
 impl Bench<'_> {
     fn fleet(&self, name: &str, shape: Shape) -> Result<Daemons, String> {
         let mut daemons = Daemons::new(&self.folder.join(name), self.daemon, self.base, shape)?;
-        daemons.begin()?;
+        daemons.start_all()?;
         Ok(daemons)
     }
 
@@ -78,7 +78,7 @@
         let mut times = Vec::new();
         for number in 0..puts {
             let write =
-                daemons.a_write(SettingsChange::Put(settings(number as u64), Vec::new(), Vec::new()), None);
+                daemons.new_write(SettingsChange::Put(settings(number as u64), Vec::new(), Vec::new()), None);
             let start = Instant::now();
             match ask(daemons.at(leader), &OperatorRequest::Write(write), PATIENCE)? {
                 OperatorReply::Committed(_) => times.push(start.elapsed().as_secs_f64() * 1e3),
@@ -105,7 +105,7 @@
             daemons.put(&settings(round as u64))?;
             times.push(start.elapsed().as_secs_f64() * 1e3 / shape.election_ms as f64);
             daemons.start(leader)?;
-            daemons.wait_for_one_state()?;
+            daemons.wait_for_same_state()?;
         }
         Ok(
             json!({"what": "election", "rounds": rounds, "p50": quantile(&mut times, 0.5), "most": quantile(&mut times, 1.0)}),
@@ -122,9 +122,9 @@
         for number in 0..entries {
             daemons.put(&settings(number as u64))?;
         }
-        daemons.wait_for_one_state()?;
+        daemons.wait_for_same_state()?;
         let leader = daemons.wait_for_leader()?;
-        let place = daemons.places().find(|place| *place != leader).ok_or("alone")?;
+        let place = daemons.replicas().find(|place| *place != leader).ok_or("alone")?;
         let bytes = std::fs::metadata(daemons.folder(place).join("log.0")).map_or(0, |file| file.len());
         let mut times = Vec::new();
         for _ in 0..5 {
@@ -187,7 +187,7 @@
             }
         };
         let rows = of.iter().map(budget).collect();
-        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), rows, Vec::new()), None);
+        let write = daemons.new_write(SettingsChange::Put("{}".to_string(), rows, Vec::new()), None);
         daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         let leader = daemons.wait_for_leader()?;
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &of);
@@ -235,7 +235,7 @@
     pub fn returns(&self, with: bool, lasts: Duration) -> Result<Value, String> {
         let mut daemons = self.fleet("returns", Shape::default())?;
         let at: Vec<_> = if with {
-            daemons.places().map(|place| (place, daemons.at(place))).collect()
+            daemons.replicas().map(|place| (place, daemons.at(place))).collect()
         } else {
             Vec::new()
         };
@@ -273,7 +273,7 @@
         let before = bad(&sidecars);
         let asked = play(&sidecars, &[0, 1, 2, 3], lasts);
         let vain = bad(&sidecars) - before;
-        for place in daemons.places() {
+        for place in daemons.replicas() {
             daemons.kill(place);
         }
         Ok(json!({"what": "returns", "daemons": with, "reqs": asked, "to_bad_endpoints": vain}))
@@ -298,13 +298,13 @@
             max_members: MEMBERS,
         };
         let at: Vec<_> = if divided {
-            daemons.places().map(|place| (place, daemons.at(place))).collect()
+            daemons.replicas().map(|place| (place, daemons.at(place))).collect()
         } else {
             vec![(1, SocketAddr::from(([127, 0, 0, 1], 1)))]
         };
         if divided {
             let write =
-                daemons.a_write(SettingsChange::Put("{}".to_string(), vec![budget], Vec::new()), None);
+                daemons.new_write(SettingsChange::Put("{}".to_string(), vec![budget], Vec::new()), None);
             daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         }
         let mut sidecars = Sidecars::new(&self.folder.join("budgets-sidecars"), self.sidecar, self.base, 8)?;
--- a/crates/lab/src/rig/operators.rs
+++ b/crates/lab/src/rig/operators.rs
@@ -49,7 +49,7 @@
         if release.state == ReleaseState::Halted {
             return Ok(Some(release));
         }
-        let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
+        let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
         let empty = release.transitions().filter(|(_, going)| going.stage == Stage::Drained);
         for (who, going) in empty {
             let version = release.plan.version_on(going.to).to_string();
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -30,7 +30,7 @@
 use super::judge::{
     BudgetUsage, Observation, Outcome, Record, RecordedRead, RecordedWrite, ReleaseSummary, Violation, judge,
 };
-use super::links::{Standing, Way};
+use super::links::{Flow, LinkState};
 use super::operators::Operators;
 use super::sidecars::{Clients, Endpoint, Sidecars, health, most_within};
 
@@ -553,14 +553,14 @@
         ..Shape::default()
     };
     let mut daemons = Daemons::new(environment.folder, environment.daemon, environment.base, shape)?;
-    daemons.begin()?;
+    daemons.start_all()?;
     let mut sidecars = Sidecars::new(
         &environment.folder.join("sidecars"),
         environment.sidecar,
         environment.base,
         scenario.endpoints,
     )?;
-    let members: Vec<_> = daemons.places().map(|replica| (replica, daemons.at(replica))).collect();
+    let members: Vec<_> = daemons.replicas().map(|replica| (replica, daemons.at(replica))).collect();
     let most = scenario.release_most;
     let group = |most| Group {
         name: "all".to_string(),
@@ -575,7 +575,7 @@
     }
     if !scenario.budget.is_empty() || most.is_some() {
         let mut write = daemons
-            .a_write(SettingsChange::Put("{}".to_string(), scenario.budget.clone(), groups.clone()), None);
+            .new_write(SettingsChange::Put("{}".to_string(), scenario.budget.clone(), groups.clone()), None);
         write.reason = "budgets".to_string();
         daemons.ask(&OperatorRequest::Write(write), WRITE_TIMEOUT)?;
     }
@@ -653,7 +653,7 @@
             thread::sleep(HISTORY_INTERVAL);
         }
     }));
-    for replica in daemons.places() {
+    for replica in daemons.replicas() {
         let watchers = watchers.clone();
         threads.push(thread::spawn(move || {
             let mut incarnation = 0;
@@ -897,7 +897,7 @@
             let entries = self.daemons.statuses().values().map(|status| status.last).max().unwrap_or(0);
             self.recovering = Some((replica, entries));
         }
-        let one_way = Standing { to: Way::Held, ..Standing::default() };
+        let one_way = LinkState { to: Flow::Held, ..LinkState::default() };
         match fault.kind {
             Kind::Kill | Kind::CutShort | Kind::Empty | Kind::Damage => self.daemons.kill(replica),
             Kind::OldCopy => {
@@ -908,25 +908,26 @@
                 self.daemons.start(replica)?;
             }
             Kind::ListAway => self.sidecars.list.is_away(true),
-            Kind::KillAll => self.daemons.places().for_each(|replica| self.daemons.kill(replica)),
+            Kind::KillAll => self.daemons.replicas().for_each(|replica| self.daemons.kill(replica)),
             Kind::Stop => self.daemons.process(replica).stop(),
             Kind::Leave => self.daemons.process(replica).leave(),
-            Kind::Around => self.daemons.around(replica, Standing::cut()),
-            Kind::Between => self.daemons.between(replica, other, Standing::cut()),
+            Kind::Around => self.daemons.set_links_of(replica, LinkState::partitioned()),
+            Kind::Between => self.daemons.set_links_between(replica, other, LinkState::partitioned()),
             Kind::OneWay => {
-                let others = self.daemons.places().filter(|other| *other != replica);
-                others.for_each(|other| self.daemons.link(replica, other).stand(one_way));
+                let others = self.daemons.replicas().filter(|other| *other != replica);
+                others.for_each(|other| self.daemons.link(replica, other).set_state(one_way));
             }
             Kind::Reset => {
-                let others = self.daemons.places().filter(|other| *other != replica);
+                let others = self.daemons.replicas().filter(|other| *other != replica);
                 others.for_each(|other| self.daemons.link(replica, other).reset());
             }
-            Kind::Slow => {
-                self.daemons.around(replica, Standing { to: Way::Slow(20_000), ..Standing::default() })
-            }
-            Kind::Door => {
-                self.daemons.door(replica).stand(Standing { back: Way::Held, ..Standing::default() })
-            }
+            Kind::Slow => self
+                .daemons
+                .set_links_of(replica, LinkState { to: Flow::Slow(20_000), ..LinkState::default() }),
+            Kind::Door => self
+                .daemons
+                .client_link(replica)
+                .set_state(LinkState { back: Flow::Held, ..LinkState::default() }),
             Kind::KillSidecar | Kind::StopSidecar => {
                 let Some(number) = fault.sidecar else { return Ok(()) };
                 let name = format!("s{number}");
@@ -954,7 +955,7 @@
         match fault.kind {
             Kind::Kill => self.daemons.start(replica)?,
             Kind::KillAll => {
-                for replica in self.daemons.places() {
+                for replica in self.daemons.replicas() {
                     self.daemons.start(replica)?;
                 }
             }
@@ -986,11 +987,13 @@
                 folders::cut_short(&folder.join("log.1"), 300)?;
                 self.daemons.start(replica)?;
             }
-            Kind::Around | Kind::OneWay | Kind::Slow => self.daemons.around(replica, Standing::default()),
-            Kind::Between => self.daemons.between(replica, other, Standing::default()),
+            Kind::Around | Kind::OneWay | Kind::Slow => {
+                self.daemons.set_links_of(replica, LinkState::default())
+            }
+            Kind::Between => self.daemons.set_links_between(replica, other, LinkState::default()),
             Kind::ListAway => self.sidecars.list.is_away(false),
             Kind::Reset => {}
-            Kind::Door => self.daemons.door(replica).stand(Standing::default()),
+            Kind::Door => self.daemons.client_link(replica).set_state(LinkState::default()),
             Kind::KillSidecar | Kind::StopSidecar => {
                 let Some(number) = fault.sidecar else { return Ok(()) };
                 let name = format!("s{number}");
@@ -1062,7 +1065,7 @@
         paired: (u64, u64),
     ) -> Result<RunResult, String> {
         let names = self.sidecars.names();
-        let recovered = self.daemons.wait_for_one_state();
+        let recovered = self.daemons.wait_for_same_state();
         if !self.watchers.read_history() {
             let fault_log = self.played.fault_log.join("\n");
             return Err(format!(
@@ -1127,7 +1130,7 @@
         fs::create_dir_all(to).map_err(|e| format!("{}: {e}", to.display()))?;
         let mut logs = Vec::new();
         for replica in
-            self.daemons.places().filter(|replica| self.daemons.running(*replica)).collect::<Vec<_>>()
+            self.daemons.replicas().filter(|replica| self.daemons.running(*replica)).collect::<Vec<_>>()
         {
             logs.push((format!("d{replica}.log"), self.daemons.process(replica).log()));
         }
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -132,7 +132,7 @@
         };
         let mut rows = Vec::new();
         let more = |after: u64, before: u64| after.saturating_sub(before) as f64;
-        for place in world.daemons.places() {
+        for place in world.daemons.replicas() {
             let role = if place == leader { "leader" } else { "follower" };
             let sum = |of: fn(&Wire) -> u64| {
                 let sum = |sample: &Sample| {
--- a/crates/lab/src/scale/world.rs
+++ b/crates/lab/src/scale/world.rs
@@ -22,7 +22,7 @@
 use super::shape::Shape;
 use super::{lists, now};
 use crate::rig::fleet::{self, Daemons, PATIENCE, ask};
-use crate::rig::links::{Link, Standing};
+use crate::rig::links::{Link, LinkState};
 use crate::rig::sidecars::{Sidecars, entry};
 
 /// Longest that a child is waited for.
@@ -186,17 +186,17 @@
         for from in &shape.daemons {
             for to in shape.daemons.iter().filter(|to| to.replica != from.replica) {
                 let (delay, loss) = path(from.place.region, to.place.region);
-                daemons.link(from.replica, to.replica).delays(delay, loss);
+                daemons.link(from.replica, to.replica).set_delay(delay, loss);
             }
         }
-        daemons.begin()?;
+        daemons.start_all()?;
         let mut ways = BTreeMap::new();
         for daemon in &shape.daemons {
             let at = daemons.own_address(daemon.replica)?;
             for region in 0..shape.numbers.regions {
                 let way = Link::new(Some(at)).map_err(|e| format!("link: {e}"))?;
                 let (delay, loss) = path(region, daemon.place.region);
-                way.delays(delay, loss);
+                way.set_delay(delay, loss);
                 ways.insert((region, daemon.replica), way);
             }
         }
@@ -481,7 +481,7 @@
         let mut of = |name: String, id: u32| {
             taken.extend(machine::taken(id).map(|one| (name, one)));
         };
-        for place in self.daemons.places().collect::<Vec<_>>() {
+        for place in self.daemons.replicas().collect::<Vec<_>>() {
             if self.daemons.running(place) {
                 of(format!("d{place}"), self.daemons.process(place).id());
             }
@@ -497,7 +497,7 @@
         self.lists.tell(&lists::Order::Mark)?;
         let lists::Said::Mark(lists) = self.lists.hear(ANSWER_IN)? else { return Err("lists".into()) };
         let counts = self.marks()?;
-        let places: Vec<u16> = self.daemons.places().collect();
+        let places: Vec<u16> = self.daemons.replicas().collect();
         let none: BTreeMap<u16, [u64; 2]> = places.iter().map(|place| (*place, [0, 0])).collect();
         let (mut ways, mut links) = (none.clone(), none);
         for ((_, place), way) in &self.ways {
@@ -519,7 +519,7 @@
 
     /// Where daemons are asked by operators.
     pub fn doors(&self) -> Vec<(u16, SocketAddr)> {
-        self.daemons.places().map(|place| (place, self.daemons.at(place))).collect()
+        self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect()
     }
 
     /// The number of the next put.
@@ -698,7 +698,7 @@
             }
             self.daemons.start(*place)?;
             let at = self.daemons.own_address(*place)?;
-            self.ways.iter().filter(|((_, to), _)| to == place).for_each(|(_, way)| way.lead_to(at));
+            self.ways.iter().filter(|((_, to), _)| to == place).for_each(|(_, way)| way.set_target(at));
             self.tell(&Order::Daemon { place: *place, at })?;
         }
         Ok(())
@@ -719,19 +719,19 @@
             self.hear();
             members.iter().for_each(|at| self.referee.away(now(), *at));
         }
-        let standing = if cut { Standing::cut() } else { Standing::default() };
+        let standing = if cut { LinkState::partitioned() } else { LinkState::default() };
         let daemons = self.shape.daemons.clone();
         for one in &daemons {
             for other in daemons.iter().filter(|other| other.replica > one.replica) {
                 if (one.place.region == region) != (other.place.region == region) {
-                    self.daemons.between(one.replica, other.replica, standing);
+                    self.daemons.set_links_between(one.replica, other.replica, standing);
                 }
             }
         }
         for from in 0..self.shape.numbers.regions {
             for daemon in &daemons {
                 if (from == region) != (daemon.place.region == region) {
-                    self.ways[&(from, daemon.replica)].stand(standing);
+                    self.ways[&(from, daemon.replica)].set_state(standing);
                     self.tell(&Order::Cut { region: from as u32, place: daemon.replica, cut })?;
                 }
             }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -299,7 +299,7 @@
         let _ = back.shutdown(std::net::Shutdown::Write);
     });
     let delay = Duration::from_millis(60);
-    link.delays(delay, 0.0);
+    link.set_delay(delay, 0.0);
     let mut stream = TcpStream::connect(link.at()).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let start = Instant::now();
