--- a/crates/daemon/tests/backlog.rs
+++ b/crates/daemon/tests/backlog.rs
@@ -32,7 +32,7 @@
         let came = TcpStream::connect_timeout(&at, AT_ONCE);
         taken.push(came.unwrap_or_else(|e| panic!("{number} of {MEMBERS}: {e}")));
     }
-    daemons.process(place).go_on();
+    daemons.process(place).resume();
     drop(daemons);
     let _ = std::fs::remove_dir_all(&root);
 }
--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -11,8 +11,8 @@
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::holders::Holders;
 use appledyke_lab::rig::links::LinkState;
-use appledyke_lab::rig::processes::beside;
-use appledyke_lab::rig::sidecars::{Clients, Endpoint, How, Sidecars, entry, most_within};
+use appledyke_lab::rig::processes::workspace_program;
+use appledyke_lab::rig::sidecars::{Clients, Endpoint, How, Sidecars, entry, max_in_window};
 use serde_json::json;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -51,8 +51,9 @@
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
         daemons.start_all().unwrap();
         let mut sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
-        sidecars.alone(alone);
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 4)
+                .unwrap();
+        sidecars.set_alone(alone);
         let mut both = Both { daemons, sidecars };
         (0..members).for_each(|number| both.start(&format!("s{number}")));
         both
@@ -101,7 +102,7 @@
 
     /// The most that all sidecars together sent within a window.
     fn most(&self, from: Instant) -> usize {
-        most_within(self.times(from, Instant::now()), WINDOW - UNDER_WAY).0
+        max_in_window(self.times(from, Instant::now()), WINDOW - UNDER_WAY).0
     }
 }
 
@@ -128,7 +129,7 @@
     let leader = both.daemons.wait_for_leader().unwrap();
     both.daemons.kill(leader);
     std::thread::sleep(Duration::from_millis(3500));
-    both.sidecars.process("s1").go_on();
+    both.sidecars.process("s1").resume();
     both.daemons.start(leader).unwrap();
     // The leader is cut off from the others, and reaches all members still.
     let leader = both.daemons.wait_for_leader().unwrap();
@@ -176,7 +177,7 @@
     both.daemons.replicas().for_each(|place| both.daemons.kill(place));
     both.sidecars.names().iter().for_each(|name| both.sidecars.kill(name));
     for name in ["s0", "s1"] {
-        let _ = std::fs::remove_file(both.sidecars.keep(name));
+        let _ = std::fs::remove_file(both.sidecars.kept_settings(name));
         both.start(name);
     }
     let start = Instant::now();
@@ -196,7 +197,7 @@
     cool.stop();
     let hot = both.load(&["s0"]);
     let start = Instant::now();
-    let allowed = || both.sidecars.figure("s0", "sidecar_fleet_allowed{of=\"write-outs\"}").unwrap_or(0);
+    let allowed = || both.sidecars.metric("s0", "sidecar_fleet_allowed{of=\"write-outs\"}").unwrap_or(0);
     both.daemons.wait("it is granted nearly all", |_| allowed() >= 80).unwrap();
     let took = start.elapsed();
     assert!(took < Duration::from_secs(6), "{took:?}");
@@ -223,7 +224,7 @@
     std::thread::sleep(Duration::from_millis(4500));
     let row = both.row();
     assert_eq!(row.holders, 3, "{before:?} {row:?}");
-    let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
+    let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::peak_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     both.sidecars.kill("s2");
     let Ok(OperatorReply::Members(rows)) = both.daemons.ask(&OperatorRequest::Members, PATIENCE) else {
@@ -239,7 +240,7 @@
     both.daemons
         .wait("its earlier life holds nothing", |_| both.row().holders == 2 && both.row().excess == 0)
         .unwrap();
-    let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
+    let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::peak_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     clients.stop();
 }
@@ -282,8 +283,8 @@
     };
     let mut both = Both::begin("cap", 1, json!({}));
     both.put(&[budget]);
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Waits));
-    let most = |both: &Both| both.sidecars.endpoints.iter().map(Endpoint::most_open).max().unwrap();
+    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(How::Hangs));
+    let most = |both: &Both| both.sidecars.endpoints.iter().map(Endpoint::peak_open).max().unwrap();
     both.daemons.wait("it has its part", |_| both.row().holders == 1).unwrap();
     let clients = both.load(&["s0"; 3]);
     std::thread::sleep(WINDOW);
@@ -302,7 +303,7 @@
         both.put(budgets);
         let known = || {
             both.sidecars.names().iter().all(|name| {
-                let allowed = both.sidecars.figure(name, "sidecar_fleet_allowed{of=\"list-calls\"}");
+                let allowed = both.sidecars.metric(name, "sidecar_fleet_allowed{of=\"list-calls\"}");
                 budgets.is_empty() || allowed.is_some_and(|allowed| allowed > 0)
             })
         };
@@ -310,13 +311,13 @@
         // What they called before they knew is past.
         std::thread::sleep(window);
         let from = Instant::now();
-        both.sidecars.list.is_away(true);
+        both.sidecars.list.set_unavailable(true);
         std::thread::sleep(2 * window);
-        both.sidecars.list.is_away(false);
+        both.sidecars.list.set_unavailable(false);
         let calls = || both.sidecars.list.calls().into_iter().filter(|at| *at >= from).collect::<Vec<_>>();
         let before = calls().len();
         both.daemons.wait("some have called it again", |_| calls().len() >= before + 4).unwrap();
-        most_within(calls(), window - UNDER_WAY).0
+        max_in_window(calls(), window - UNDER_WAY).0
     };
     let of = Resource::DiscoveryCalls;
     let budget = Budget {
@@ -344,7 +345,7 @@
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
         let mut started = entry(1, both.sidecars.endpoints[1].at, "up");
         started["since_ms"] = (now.as_millis() as u64).into();
-        both.sidecars.list.tell(&[started]);
+        both.sidecars.list.send_update(&[started]);
         // What was on its way when the list said so is not counted.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
@@ -354,7 +355,7 @@
         let reqs = |at: usize| {
             both.sidecars.endpoints[at].times().into_iter().filter(|at| *at >= from).collect::<Vec<_>>()
         };
-        let (cold, other) = (most_within(reqs(1), WINDOW - UNDER_WAY).0, most_within(reqs(0), WINDOW).0);
+        let (cold, other) = (max_in_window(reqs(1), WINDOW - UNDER_WAY).0, max_in_window(reqs(0), WINDOW).0);
         clients.stop();
         assert!(other > 60, "the others serve on: {other}");
         cold
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -9,7 +9,7 @@
 use appledyke_fleet::state::SettingsChange;
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Flow, LinkState};
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -34,8 +34,9 @@
             Ok(OperatorReply::Committed(_))
         ));
         let mut sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
-        sidecars.groups(&["zone a"]);
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 2)
+                .unwrap();
+        sidecars.set_groups(&["zone a"]);
         let mut both = Both { daemons, sidecars };
         (0..members).for_each(|number| both.start(&format!("s{number}")));
         both.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
@@ -68,7 +69,7 @@
         std::thread::scope(|scope| {
             let asked: Vec<_> = names
                 .iter()
-                .map(|name| scope.spawn(|| self.sidecars.told(name, "drain\n").unwrap()))
+                .map(|name| scope.spawn(|| self.sidecars.command(name, "drain\n").unwrap()))
                 .collect();
             asked.into_iter().map(|one| one.join().unwrap()).collect()
         })
@@ -107,13 +108,13 @@
     assert_eq!(both.drain(std::slice::from_ref(yes[0])), ["200 drains\n"]);
     assert_eq!(both.out(), 2);
     // One is back, so another may go; and only one.
-    both.sidecars.told(yes[0], "resume\n").unwrap();
+    both.sidecars.command(yes[0], "resume\n").unwrap();
     both.wait("it is back", |rows| rows.iter().filter(|row| row.out).count() == 1);
     let said = both.drain(&names);
     assert_eq!((both.away(&names), both.out()), (2, 2), "{said:?}");
     // An operator insists.
     let third = names.iter().zip(&said).find(|(_, said)| said.starts_with("400")).unwrap().0;
-    assert_eq!(both.sidecars.told(third, "drain anyway the rack burns\n").unwrap(), "200 drains\n");
+    assert_eq!(both.sidecars.command(third, "drain anyway the rack burns\n").unwrap(), "200 drains\n");
     both.wait("three are out", |rows| rows.iter().filter(|row| row.out).count() == 3);
     assert_eq!(both.away(&names), 3);
 }
@@ -148,9 +149,9 @@
     assert_eq!(both.daemons.ask(&OperatorRequest::Forget("s2".into()), PATIENCE), Ok(OperatorReply::Done));
     assert_eq!(both.drain(&["s1".to_string()]), ["200 drains\n"]);
     // SIGTERM is not refused: who leaves is out, and holds the others back.
-    both.sidecars.told("s1", "resume\n").unwrap();
+    both.sidecars.command("s1", "resume\n").unwrap();
     both.wait("it is back", |rows| rows.iter().all(|row| !row.out));
-    both.sidecars.process("s0").leave();
+    both.sidecars.process("s0").terminate();
     both.wait("it leaves", |rows| rows.iter().any(|row| row.name == "s0" && row.out));
     assert!(both.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
 }
@@ -211,7 +212,7 @@
     both.daemons.kill(leader);
     std::thread::sleep(Duration::from_millis(4 * BEAT_MS));
     assert_eq!(both.drain(&names(2)), ["400 not now: no daemon heard\n"; 2]);
-    assert_eq!(both.sidecars.told("s0", "drain anyway\n").unwrap(), "200 drains\n");
+    assert_eq!(both.sidecars.command("s0", "drain anyway\n").unwrap(), "200 drains\n");
     assert_eq!(both.away(&names(2)), 1);
     for place in both.daemons.replicas() {
         both.daemons.start(place).unwrap();
@@ -224,7 +225,7 @@
         .wait("the other is refused", |_| both.drain(&["s1".to_string()])[0].contains("1 of 1 out in zone a"))
         .unwrap();
     // Danger: the reason that was given without daemons must not speak for a later drain that gives none.
-    both.sidecars.told("s0", "resume\n").unwrap();
+    both.sidecars.command("s0", "resume\n").unwrap();
     both.wait("it is back", |rows| rows.iter().all(|row| !row.out));
     assert_eq!(both.drain(&["s1".to_string()]), ["200 drains\n"]);
     let said = both.drain(&["s0".to_string()]);
@@ -292,7 +293,7 @@
     both.daemons.kill(leader);
     both.daemons.wait("two have said so to another", |_| holders(&both) == ["s2"]).unwrap();
     both.daemons.start(leader).unwrap();
-    both.sidecars.process("s2").go_on();
+    both.sidecars.process("s2").resume();
     both.daemons.wait("it is empty", |_| holders(&both).is_empty()).unwrap();
     let before = both.sidecars.endpoints[0].requests();
     both.daemons.wait("nothing is open there", |_| both.sidecars.endpoints[0].open() == 0).unwrap();
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -9,7 +9,7 @@
 use appledyke_fleet::state::SettingsChange;
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::LinkState;
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -27,7 +27,8 @@
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
         daemons.start_all().unwrap();
         let sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 4)
+                .unwrap();
         let mut both = Both { daemons, sidecars };
         for number in 0..members {
             both.start(&format!("s{number}"));
@@ -65,7 +66,7 @@
 
     fn acts_on(&self, names: &[&str], version: Version) {
         for name in names {
-            let number = |sidecars: &Sidecars| sidecars.figure(name, "sidecar_fleet_settings_number");
+            let number = |sidecars: &Sidecars| sidecars.metric(name, "sidecar_fleet_settings_number");
             self.sidecars.wait("the version", |sidecars| number(sidecars) == Some(version.number)).unwrap();
         }
     }
@@ -125,8 +126,8 @@
 #[test]
 fn who_leaves_is_gone_who_is_killed_or_stopped_is_silent_and_who_goes_on_catches_up() {
     let mut both = Both::begin("standing", 3);
-    both.sidecars.process("s0").leave();
-    assert!(both.sidecars.process("s0").ended(PATIENCE).unwrap().success());
+    both.sidecars.process("s0").terminate();
+    assert!(both.sidecars.process("s0").wait_for_exit(PATIENCE).unwrap().success());
     both.stands("s0", MemberStatus::Gone);
     both.sidecars.kill("s1");
     both.stands("s1", MemberStatus::Silent);
@@ -139,15 +140,15 @@
     else {
         panic!()
     };
-    both.sidecars.process("s2").go_on();
+    both.sidecars.process("s2").resume();
     both.stands("s2", MemberStatus::Serving);
     both.acts_on(&["s2"], second);
     both.start("s1");
     both.stands("s1", MemberStatus::Serving);
     both.acts_on(&["s1"], second);
-    both.sidecars.told("s1", "drain\n").unwrap();
+    both.sidecars.command("s1", "drain\n").unwrap();
     both.stands("s1", MemberStatus::Drained);
-    both.sidecars.told("s1", "resume\n").unwrap();
+    both.sidecars.command("s1", "resume\n").unwrap();
     both.stands("s1", MemberStatus::Serving);
 }
 
@@ -166,17 +167,20 @@
         (request(both.sidecars.at("s1"), "/soup/1"), request(both.sidecars.at("s2"), "/menu/1")),
         (Some(200), Some(200))
     );
-    assert_eq!(both.sidecars.figure("s1", "sidecar_fleet_settings_number"), Some(1));
-    assert_eq!(both.sidecars.figure("s2", "sidecar_fleet_daemon_heard"), Some(0));
+    assert_eq!(both.sidecars.metric("s1", "sidecar_fleet_settings_number"), Some(1));
+    assert_eq!(both.sidecars.metric("s2", "sidecar_fleet_daemon_heard"), Some(0));
     // A faulty copy of the last good ones is said, and passed over.
     both.sidecars.kill("s1");
-    std::fs::write(both.sidecars.keep("s1"), "{\"version\": \"0.9\", \"settings\": {\"methods\": []}}")
-        .unwrap();
+    std::fs::write(
+        both.sidecars.kept_settings("s1"),
+        "{\"version\": \"0.9\", \"settings\": {\"methods\": []}}",
+    )
+    .unwrap();
     both.start("s1");
     let (line, _) = both
         .sidecars
         .process("s1")
-        .line(0, PATIENCE, |line| line.contains("it starts with the file's own"))
+        .wait_for_line(0, PATIENCE, |line| line.contains("it starts with the file's own"))
         .unwrap();
     assert!(line.contains("settings.methods"), "{line}");
     assert_eq!(request(both.sidecars.at("s1"), "/menu/1"), Some(200));
@@ -185,7 +189,7 @@
     }
     both.acts_on(&["s0", "s1", "s2"], version);
     let answers = clients.stop()[0];
-    assert!(answers.served > 100 && answers.share() == 1.0, "{answers:?}");
+    assert!(answers.served > 100 && answers.served_share() == 1.0, "{answers:?}");
 }
 
 #[test]
@@ -196,7 +200,7 @@
     base["watch"] = serde_json::json!({"methods": base["settings"]["methods"].clone()});
     let mut odd = Sidecars::new(
         &both.daemons.root.join("odd"),
-        &beside("appledyke-sidecar").unwrap(),
+        &workspace_program("appledyke-sidecar").unwrap(),
         &base.to_string(),
         1,
     )
@@ -205,7 +209,7 @@
     odd.start("odd", &at, BEAT_MS).unwrap();
     let version = both.daemons.put(&with_method("soup")).unwrap();
     both.acts_on(&["s0"], version);
-    odd.wait("it is found faulty", |odd| odd.figure("odd", "sidecar_fleet_settings_faulty") == Some(1))
+    odd.wait("it is found faulty", |odd| odd.metric("odd", "sidecar_fleet_settings_faulty") == Some(1))
         .unwrap();
     assert_eq!(
         (request(odd.at("odd"), "/menu/1"), request(odd.at("odd"), "/soup/1")),
@@ -215,46 +219,50 @@
     both.wait_for("its version", |rows| {
         rows.iter().any(|(name, _, acts_on)| name == "odd" && *acts_on == Some(Version::default()))
     });
-    assert_eq!(odd.figure("odd", "sidecar_fleet_settings_faulty"), Some(1));
+    assert_eq!(odd.metric("odd", "sidecar_fleet_settings_faulty"), Some(1));
 }
 
 #[test]
 fn what_one_has_learnt_is_heard_by_those_that_return() {
     let mut both = Both::begin("evidence", 2);
-    both.sidecars.endpoints[0].answers(How::Fails);
+    both.sidecars.endpoints[0].set_behavior(How::Fails);
     for _ in 0..60 {
         let _ = request(both.sidecars.at("s0"), "/menu/1");
     }
     both.sidecars
         .wait("the other hears", |sidecars| {
-            sidecars.figure("s1", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 60)
+            sidecars.metric("s1", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 60)
         })
         .unwrap();
     both.start("s2");
     both.sidecars
         .wait("who starts hears the latest", |sidecars| {
-            sidecars.figure("s2", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 8)
+            sidecars.metric("s2", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 8)
         })
         .unwrap();
     // Not what is counted twice: nobody hears more than was told.
     let told: u64 = ["s0", "s1", "s2"]
         .iter()
-        .filter_map(|name| both.sidecars.figure(name, "sidecar_fleet_ends_told"))
+        .filter_map(|name| both.sidecars.metric(name, "sidecar_fleet_ends_told"))
         .sum();
-    let heard = both.sidecars.figure("s1", "sidecar_fleet_ends_heard").unwrap();
+    let heard = both.sidecars.metric("s1", "sidecar_fleet_ends_heard").unwrap();
     assert!(heard <= told, "{heard} of {told}");
 }
 
 #[test]
 fn of_two_processes_with_one_name_the_earlier_one_is_told() {
     let mut both = Both::begin("twins", 1);
-    let mut twin =
-        Sidecars::new(&both.daemons.root.join("twin"), &beside("appledyke-sidecar").unwrap(), BASE, 1)
-            .unwrap();
+    let mut twin = Sidecars::new(
+        &both.daemons.root.join("twin"),
+        &workspace_program("appledyke-sidecar").unwrap(),
+        BASE,
+        1,
+    )
+    .unwrap();
     let at: Vec<_> = both.daemons.replicas().map(|place| (place, both.daemons.at(place))).collect();
     twin.start("s0", &at, BEAT_MS).unwrap();
     let later = |line: &str| line.contains("a later process has taken this name");
-    both.sidecars.process("s0").line(0, PATIENCE, later).unwrap();
+    both.sidecars.process("s0").wait_for_line(0, PATIENCE, later).unwrap();
     assert!(!twin.process("s0").log().iter().any(|line| later(line)));
 }
 
@@ -277,18 +285,21 @@
 #[test]
 fn without_the_key_there_is_no_descriptor_thread_or_figure_of_it() {
     let root = std::env::temp_dir().join(format!("appledyke-members-{}-without", std::process::id()));
-    let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
+    let mut sidecars =
+        Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("alone", &[], BEAT_MS).unwrap();
     let nobody = "127.0.0.1:1".parse().unwrap();
     sidecars.start("member", &[(1, nobody)], BEAT_MS).unwrap();
     for name in ["alone", "member"] {
         sidecars
-            .wait("ready", |sidecars| sidecars.told(name, "ready\n").is_ok_and(|said| said == "200 ready\n"))
+            .wait("ready", |sidecars| {
+                sidecars.command(name, "ready\n").is_ok_and(|said| said == "200 ready\n")
+            })
             .unwrap();
     }
-    let text = sidecars.told("alone", "show-stat\n").unwrap();
+    let text = sidecars.command("alone", "show-stat\n").unwrap();
     assert!(!text.contains("fleet"), "{text}");
-    assert!(sidecars.told("member", "show-stat\n").unwrap().contains("sidecar_fleet_daemon_heard 0"));
+    assert!(sidecars.command("member", "show-stat\n").unwrap().contains("sidecar_fleet_daemon_heard 0"));
     for name in ["alone", "member"] {
         let id = sidecars.process(name).id();
         let count = |what: &str| std::fs::read_dir(format!("/proc/{id}/{what}")).unwrap().count();
@@ -361,7 +372,8 @@
         stream.write_all(&out).unwrap();
         let _kept = (stream, listener.accept());
     });
-    let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
+    let mut sidecars =
+        Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
     sidecars.wait("it acts on them", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     std::fs::remove_dir_all(&root).unwrap();
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -8,7 +8,7 @@
 use appledyke_consensus::Id;
 use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report, ReportAnswer};
 use appledyke_lab::rig::fleet::PATIENCE;
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::Sidecars;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -79,7 +79,8 @@
         let name = format!("appledyke-older-{}-{says_why}", std::process::id());
         let root = std::env::temp_dir().join(name);
         let (at, heard) = daemon_of_version_2(says_why);
-        let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
+        let mut sidecars =
+            Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
         sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
         let next = || heard.recv_timeout(PATIENCE).expect("the sidecar says something");
         let version = || match next() {
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -136,7 +136,7 @@
     let asked = [OperatorRequest::Get(None), OperatorRequest::Write(write)]
         .map(|question| std::thread::spawn(move || ask(at, &question, PATIENCE)));
     std::thread::sleep(Duration::from_millis(100));
-    fleet.process(old).go_on();
+    fleet.process(old).resume();
     let [read, put] = asked.map(|thread| thread.join().unwrap());
     match read.unwrap() {
         OperatorReply::NotLeader(_) => {}
@@ -220,8 +220,8 @@
     fleet.start_with(struck, more).unwrap();
     fleet.start_with(third, more).unwrap();
     let is_leader = |line: &str| line.contains("is Leader");
-    let elected = fleet.process(struck).line(0, Duration::from_millis(1500), is_leader).is_ok()
-        || fleet.process(third).line(0, Duration::ZERO, is_leader).is_ok();
+    let elected = fleet.process(struck).wait_for_line(0, Duration::from_millis(1500), is_leader).is_ok()
+        || fleet.process(third).wait_for_line(0, Duration::ZERO, is_leader).is_ok();
     fleet.start(leader).unwrap();
     fleet.wait_for_same_state().unwrap();
     (elected, version, fleet.history().unwrap().iter().map(|written| written.version).collect())
@@ -269,7 +269,7 @@
     fleet.kill(struck);
     fleet.kill(also_down);
     for copy in ["log.0", "log.1"] {
-        folders::damage(&fleet.folder(struck).join(copy), 2000).unwrap();
+        folders::corrupt(&fleet.folder(struck).join(copy), 2000).unwrap();
     }
     fleet.start(struck).unwrap();
     fleet
@@ -285,7 +285,7 @@
     fleet.kill(struck);
     let id =
         fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.replica_id == struck);
-    folders::cut_short(&fleet.folder(struck).join("log.1"), 700).unwrap();
+    folders::truncate(&fleet.folder(struck).join("log.1"), 700).unwrap();
     fleet.start(struck).unwrap();
     fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.status(struck).map(|status| status.id), id);
@@ -366,8 +366,10 @@
     for round in 5..30 {
         fleet.put(&settings(round)).unwrap();
     }
-    let (line, _) =
-        fleet.process(struck).line(0, PATIENCE, |line| line.contains("differs from a majority's")).unwrap();
+    let (line, _) = fleet
+        .process(struck)
+        .wait_for_line(0, PATIENCE, |line| line.contains("differs from a majority's"))
+        .unwrap();
     assert!(line.contains("stops serving"), "{line}");
     let after = fleet.wait_for_same_state().unwrap();
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -17,7 +17,7 @@
 use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
 use appledyke_lab::rig::links::{Link, LinkState};
 use appledyke_lab::rig::operators::Operators;
-use appledyke_lab::rig::processes::{Process, Recipe, beside};
+use appledyke_lab::rig::processes::{Process, ProcessSpec, workspace_program};
 use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, entry, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -92,9 +92,10 @@
             Ok(OperatorReply::Committed(_))
         ));
         let mut sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
-        sidecars.groups(&["zone a"]);
-        sidecars.version("1", false);
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 2)
+                .unwrap();
+        sidecars.set_groups(&["zone a"]);
+        sidecars.set_version("1", false);
         let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
         names(members).iter().for_each(|name| sidecars.start(name, &at, BEAT_MS).unwrap());
         let both = Both { daemons, sidecars, operators: Operators::default() };
@@ -135,7 +136,7 @@
     fn until(&mut self, name: &str, what: &str, check: impl Fn(&Release) -> bool) -> Release {
         let start = std::time::Instant::now();
         loop {
-            let seen = self.operators.turn(&self.daemons, &mut self.sidecars, name, BEAT_MS).unwrap();
+            let seen = self.operators.poll(&self.daemons, &mut self.sidecars, name, BEAT_MS).unwrap();
             match seen {
                 Some(release) if check(&release) => return release,
                 Some(release) if start.elapsed() > 2 * PATIENCE => {
@@ -179,7 +180,7 @@
 }
 
 fn front(both: &Both, count: usize) -> Clients {
-    Clients::front(&both.sidecars, &names(count), 2, "/menu/1", Duration::from_millis(4))
+    Clients::start_with_health_checks(&both.sidecars, &names(count), 2, "/menu/1", Duration::from_millis(4))
 }
 
 fn ended(how: &'static str) -> impl Fn(&Release) -> bool {
@@ -200,17 +201,17 @@
     both.daemons.start(leader).unwrap();
     let most = referee.most();
     let answers = clients.stop();
-    let lost: u64 = answers.iter().map(|a| a.none + a.failed + a.rejected).sum();
+    let lost: u64 = answers.iter().map(|a| a.no_reply + a.failed + a.rejected).sum();
     assert!(most <= 2, "{most} were out at once");
     assert_eq!(lost, 0, "{answers:?}");
     assert!(answers.iter().all(|a| a.served > 20), "{answers:?}");
-    assert!(names(5).iter().all(|who| both.operators.moves(who, "2") == 1));
+    assert!(names(5).iter().all(|who| both.operators.restarts(who, "2") == 1));
 }
 
 #[test]
 fn a_flawed_candidate_is_halted_at_its_first_step_and_undone_by_itself() {
     let mut both = Both::begin_heard("flawed", 5);
-    both.operators.flawed.push("2".into());
+    both.operators.failing_versions.push("2".into());
     let clients = front(&both, 5);
     std::thread::sleep(Duration::from_millis(1500));
     both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
@@ -218,8 +219,8 @@
     let (why, worse) = release.halted.clone().unwrap();
     assert!(worse && why.contains("not served, against"), "{why}");
     // No more than one step of it was ever moved, and each that was is back.
-    let moved: usize = names(5).iter().map(|who| both.operators.moves(who, "2")).sum();
-    let back: usize = names(5).iter().map(|who| both.operators.moves(who, "1")).sum();
+    let moved: usize = names(5).iter().map(|who| both.operators.restarts(who, "2")).sum();
+    let back: usize = names(5).iter().map(|who| both.operators.restarts(who, "1")).sum();
     assert!((1..=2).contains(&moved) && back == moved, "{moved} moved, {back} back");
     drop(clients.stop());
 }
@@ -231,13 +232,13 @@
     std::thread::sleep(Duration::from_millis(2500));
     both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
     both.until("r", "one is moved", |release| release.reached(Side::New).count() >= 1);
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Fails));
+    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(How::Fails));
     let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     let (why, worse) = release.halted.clone().unwrap();
     let told = why.starts_with("those not moved do worse than before") || why.contains("nobody is left");
     assert!(!worse && told, "{why}");
     // Those under way come back, and nobody else goes; then it goes on by an operator's word.
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Well));
+    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(How::Succeeds));
     let release = both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(release.state, ReleaseState::Halted);
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
@@ -291,7 +292,7 @@
         "{}",
         release.summary()
     );
-    left.iter().take(2).for_each(|who| both.sidecars.process(who).go_on());
+    left.iter().take(2).for_each(|who| both.sidecars.process(who).resume());
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
     assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
@@ -328,7 +329,7 @@
     let clients = front(&both, 3);
     assert_eq!(both.say(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
     both.until("r", "it ends", |release| release.is_ended() || release.state == ReleaseState::Halted);
-    assert_eq!(both.operators.moves("s0", "1"), 1);
+    assert_eq!(both.operators.restarts("s0", "1"), 1);
     drop(clients.stop());
 }
 
@@ -353,7 +354,7 @@
     // On its own side nobody goes out, and all that were not sent before serve on.
     let sent: Vec<String> = both.release("r").transitions().map(|(who, _)| who.clone()).collect();
     for name in ["s3", "s4"].iter().filter(|name| !sent.contains(&name.to_string())) {
-        assert_eq!(both.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
+        assert_eq!(both.sidecars.command(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
         assert_eq!(request(both.sidecars.at(name), "/healthz"), Some(200));
     }
     links.iter().for_each(|(_, link)| link.set_state(LinkState::default()));
@@ -361,7 +362,7 @@
     both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
-    let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
+    let lost: u64 = clients.stop().iter().map(|a| a.no_reply + a.failed).sum();
     assert_eq!(lost, 0);
 }
 
@@ -369,7 +370,7 @@
 fn agent(both: &Both, who: &str) -> Process {
     let config = both.daemons.configuration(1).display().to_string();
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
-    Recipe::new(&format!("agent {who}"), program, &["agent", "--config", &config, who]).start().unwrap()
+    ProcessSpec::new(&format!("agent {who}"), program, &["agent", "--config", &config, who]).start().unwrap()
 }
 
 fn act(both: &Both, script: &str) -> Option<Action> {
@@ -417,7 +418,7 @@
     both.until("r", "it ends", ended("all are moved"));
     assert_eq!(acts(&both), ["e1 2", "e0 2"]);
     let answers = clients.stop();
-    let lost: u64 = answers.iter().map(|a| a.none + a.failed).sum();
+    let lost: u64 = answers.iter().map(|a| a.no_reply + a.failed).sum();
     assert_eq!(lost, 0, "{answers:?}");
     drop(agents);
 }
@@ -444,19 +445,19 @@
     // All have said that they hold nothing there: one is stopped with that, and the list drops the endpoint.
     both.sidecars.process("s2").stop();
     let at = both.sidecars.endpoints[0].at;
-    both.sidecars.list.tell(&[entry(0, at, "removed")]);
+    both.sidecars.list.send_update(&[entry(0, at, "removed")]);
     let before = both.sidecars.endpoints[0].requests();
     both.until("r", "e0 is to be back", |r| {
         r.transitions().any(|(_, going)| going.stage >= Stage::ActionDone)
     });
     assert_eq!(both.sidecars.endpoints[0].requests(), before);
     // It is another process by now, and the list has it again; who was stopped goes on with what it knew, and learns.
-    both.sidecars.list.tell(&[entry(0, at, "up")]);
-    both.sidecars.process("s2").go_on();
+    both.sidecars.list.send_update(&[entry(0, at, "up")]);
+    both.sidecars.process("s2").resume();
     both.until("r", "it ends", ended("all are moved"));
     assert!(both.sidecars.endpoints[0].requests() > before);
     assert_eq!(acts(&both), ["e0 2"]);
-    let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
+    let lost: u64 = clients.stop().iter().map(|a| a.no_reply + a.failed).sum();
     assert_eq!(lost, 0);
 }
 
@@ -536,7 +537,7 @@
     let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("e0 is not empty after 1500 ms"), "{}", release.summary());
     assert_eq!(acts(&both), Vec::<String>::new());
-    both.sidecars.process("s2").go_on();
+    both.sidecars.process("s2").resume();
     both.until("r", "e0 is back in service", |release| release.transitions().next().is_none());
     assert_eq!(both.say(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     both.until("r", "it ends", ended("all are moved"));
--- a/crates/daemon/tests/scenarios.rs
+++ b/crates/daemon/tests/scenarios.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use appledyke_lab::rig::play::{Environment, Scenario, play};
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 
@@ -14,7 +14,7 @@
     let scenario = Scenario::parse(text).unwrap();
     let folder = std::env::temp_dir().join(format!("appledyke-scenario-{}", std::process::id()));
     let (daemon, sidecar) =
-        (Path::new(env!("CARGO_BIN_EXE_appledyke-daemon")), beside("appledyke-sidecar").unwrap());
+        (Path::new(env!("CARGO_BIN_EXE_appledyke-daemon")), workspace_program("appledyke-sidecar").unwrap());
     let environment = Environment { daemon, sidecar: &sidecar, folder: &folder, base: BASE };
     let seed = 1;
     let played = play(&scenario, seed, &environment, None).unwrap();
@@ -35,7 +35,7 @@
     let scenario = Scenario::parse(text).unwrap();
     let folder = std::env::temp_dir().join(format!("appledyke-scenario-drains-{}", std::process::id()));
     let (daemon, sidecar) =
-        (Path::new(env!("CARGO_BIN_EXE_appledyke-daemon")), beside("appledyke-sidecar").unwrap());
+        (Path::new(env!("CARGO_BIN_EXE_appledyke-daemon")), workspace_program("appledyke-sidecar").unwrap());
     let environment = Environment { daemon, sidecar: &sidecar, folder: &folder, base: BASE };
     let seed = 1;
     let played = play(&scenario, seed, &environment, None).unwrap();
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -18,7 +18,7 @@
 use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
 use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
 use appledyke_lab::rig::links::LinkState;
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
 use serde_json::{Value, json};
 
@@ -37,11 +37,11 @@
 
 fn sidecars(daemons: &Daemons) -> Sidecars {
     let root = daemons.root.join("sidecars");
-    Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap()
+    Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 2).unwrap()
 }
 
 fn start(sidecars: &mut Sidecars, daemons: &Daemons, name: &str, belongs: Value) {
-    sidecars.belongs(belongs);
+    sidecars.set_belongs(belongs);
     let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
     sidecars.start(name, &at, BEAT_MS).unwrap();
 }
@@ -486,7 +486,7 @@
     start(&mut sidecars, daemons, "s0", json!({"service": "menu"}));
     let _ = committed(daemons, "service=menu", &with_method("soup"));
     sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
-    assert!(sidecars.keep("s0").exists());
+    assert!(sidecars.kept_settings("s0").exists());
     // No daemon is there to say what holds: kept settings of another service would be taken for its own.
     daemons.replicas().for_each(|place| daemons.kill(place));
     sidecars.kill("s0");
--- a/crates/lab/src/added.rs
+++ b/crates/lab/src/added.rs
@@ -646,7 +646,7 @@
             Sidecars::new(&place.folder.join(count.to_string()), place.sidecar, &base.to_string(), 0)?;
         sidecars.list = ListService::start(entries).map_err(told)?;
         sidecars.start(NAME, &[], 0)?;
-        sidecars.wait("the list", |s| s.figure(NAME, "sidecar_members") == Some(count as u64))?;
+        sidecars.wait("the list", |s| s.metric(NAME, "sidecar_members") == Some(count as u64))?;
         let direct = Client::new(endpoints.at.clone(), seed).map_err(told)?;
         let through = Client::new(vec![sidecars.at(NAME)], seed + 1).map_err(told)?;
         let id = sidecars.process(NAME).id();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -9,7 +9,7 @@
 use appledyke_lab::policy::Which;
 use appledyke_lab::releases::{self, Candidate};
 use appledyke_lab::report::{Outcomes, paired};
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::scenario::Scenario;
 use appledyke_lab::{added, chain, cold, emulate, load, rig, scale, scenario, simulate, soak, sweep};
 use argh::FromArgs;
@@ -392,8 +392,8 @@
 
 fn fleet_once(asked: Fleet) -> Result<bool, String> {
     let scenario = rig::play::Scenario::read(&asked.scenario)?;
-    let daemon = asked.daemon.map_or_else(|| beside("appledyke-daemon"), Ok)?;
-    let sidecar = asked.sidecar.map_or_else(|| beside("appledyke-sidecar"), Ok)?;
+    let daemon = asked.daemon.map_or_else(|| workspace_program("appledyke-daemon"), Ok)?;
+    let sidecar = asked.sidecar.map_or_else(|| workspace_program("appledyke-sidecar"), Ok)?;
     let folder = std::env::temp_dir().join(format!("appledyke-fleet-{}", std::process::id()));
     let base = include_str!("../../../examples/sidecar.json");
     let environment = rig::play::Environment { daemon: &daemon, sidecar: &sidecar, folder: &folder, base };
@@ -436,7 +436,7 @@
     let scenario = scale::scenario::Scenario::read(&asked.scenario)?;
     let scenario = scenario.with(asked.sizes.as_deref(), asked.rounds)?;
     let lab = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
-    let (daemon, sidecar) = (beside("appledyke-daemon")?, beside("appledyke-sidecar")?);
+    let (daemon, sidecar) = (workspace_program("appledyke-daemon")?, workspace_program("appledyke-sidecar")?);
     let (folder, base) = (scale::run::folder(), include_str!("../../../examples/sidecar.json"));
     let place = scale::run::Place { lab: &lab, daemon: &daemon, sidecar: &sidecar, folder: &folder, base };
     let played = scale::run::play(&scenario, asked.seed, &place)?;
@@ -451,7 +451,7 @@
 }
 
 fn measure_once(asked: Measure) -> Result<bool, String> {
-    let (daemon, sidecar) = (beside("appledyke-daemon")?, beside("appledyke-sidecar")?);
+    let (daemon, sidecar) = (workspace_program("appledyke-daemon")?, workspace_program("appledyke-sidecar")?);
     let folder = std::env::temp_dir().join(format!("appledyke-measure-{}", std::process::id()));
     let base = include_str!("../../../examples/sidecar.json");
     let bench = rig::measure::Bench { daemon: &daemon, sidecar: &sidecar, folder: &folder, base };
@@ -496,7 +496,7 @@
     plan.check()?;
     let most_ms = asked.most_ms.unwrap_or(added::TARGET_MS);
     added::check_most(most_ms)?;
-    let sidecar = asked.sidecar.map_or_else(|| beside("appledyke-sidecar"), Ok)?;
+    let sidecar = asked.sidecar.map_or_else(|| workspace_program("appledyke-sidecar"), Ok)?;
     let folder = std::env::temp_dir().join(format!("appledyke-added-{}", std::process::id()));
     let base = include_str!("../../../examples/sidecar.json");
     let place = added::Place { sidecar: &sidecar, folder: &folder, base };
@@ -517,7 +517,7 @@
 
 /// Soaks, and tells whether nothing was broken.
 fn soak_all(asked: &Soak) -> Result<bool, String> {
-    let sidecar = asked.sidecar.clone().map_or_else(|| beside("appledyke-sidecar"), Ok)?;
+    let sidecar = asked.sidecar.clone().map_or_else(|| workspace_program("appledyke-sidecar"), Ok)?;
     let folder = std::env::temp_dir().join(format!("appledyke-soak-{}", std::process::id()));
     let seeds = asked.seed..=asked.seed + asked.seeds.max(1) - 1;
     let played = soak::seeds::play_all(seeds, asked.workers, &sidecar, &folder);
--- a/crates/lab/src/rig.rs
+++ b/crates/lab/src/rig.rs
@@ -1,5 +1,5 @@
-//! The rig for fleets of real processes on the loopback: it starts them, strikes them, and stands between any two of
-//! them. Nothing here asks a process whether it was right.
+//! Test rig for fleets of real processes on the loopback: it starts them, injects faults, and proxies the connections between
+//! any two of them. No process is asked whether it was correct.
 
 pub mod fleet;
 pub mod folders;
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -16,7 +16,7 @@
 
 use super::folders;
 use super::links::{Link, LinkState};
-use super::processes::{Process, Recipe};
+use super::processes::{Process, ProcessSpec};
 
 /// Timeout of every wait: longer than any expected step, so a wait that reaches it has failed.
 pub const PATIENCE: Duration = Duration::from_secs(20);
@@ -184,8 +184,8 @@
     pub fn start_with(&mut self, replica: u16, more: &[&str]) -> Result<(), String> {
         let file = self.configuration(replica).display().to_string();
         let arguments = [&["serve", "--config", &file], more].concat();
-        let process = Recipe::new(&format!("d{replica}"), &self.program, &arguments).start()?;
-        let (line, _) = process.line(0, PATIENCE, |line| line.contains("listens on "))?;
+        let process = ProcessSpec::new(&format!("d{replica}"), &self.program, &arguments).start()?;
+        let (line, _) = process.wait_for_line(0, PATIENCE, |line| line.contains("listens on "))?;
         let at = line.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
         let at = at.ok_or("the log names no listen address")?;
         let incoming = self.links.iter().filter(|((_, to), _)| *to == replica).map(|(_, link)| link);
@@ -224,7 +224,7 @@
     /// # Errors
     /// The daemon has not logged its address.
     pub fn own_address(&mut self, replica: u16) -> Result<SocketAddr, String> {
-        let line = self.process(replica).line(0, PATIENCE, |line| line.contains("listens on "))?.0;
+        let line = self.process(replica).wait_for_line(0, PATIENCE, |line| line.contains("listens on "))?.0;
         let at = line.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
         at.ok_or("the log names no listen address".to_string())
     }
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -12,7 +12,7 @@
 
 use super::fleet::{Daemons, PATIENCE, Shape, ask};
 use super::holders::Holders;
-use super::sidecars::{Clients, Endpoint, How, Sidecars, most_within, request};
+use super::sidecars::{Clients, Endpoint, How, Sidecars, max_in_window, request};
 
 /// Clock ticks a second in the system's account of a process's time.
 const TICKS: f64 = 100.0;
@@ -244,7 +244,7 @@
         for number in 0..12 {
             sidecars.start(&name(number), &at, 200)?;
         }
-        sidecars.endpoints[..2].iter().for_each(|endpoint| endpoint.answers(How::Fails));
+        sidecars.endpoints[..2].iter().for_each(|endpoint| endpoint.set_behavior(How::Fails));
         let bad = |sidecars: &Sidecars| sidecars.endpoints[..2].iter().map(Endpoint::requests).sum::<u64>();
         let play = |sidecars: &Sidecars, who: &[usize], lasts: Duration| {
             let to: Vec<SocketAddr> = who.iter().map(|number| sidecars.at(&name(*number))).collect();
@@ -308,7 +308,7 @@
             daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         }
         let mut sidecars = Sidecars::new(&self.folder.join("budgets-sidecars"), self.sidecar, self.base, 8)?;
-        sidecars.alone(json!({"write-outs": {"part": alone, "windowMs": 1000}}));
+        sidecars.set_alone(json!({"write-outs": {"part": alone, "windowMs": 1000}}));
         let mut clients = Vec::new();
         for number in 0..MEMBERS {
             let name = format!("s{number}");
@@ -324,7 +324,7 @@
         std::thread::sleep(lasts);
         let used = (count(&sidecars) - before) as f64 / start.elapsed().as_secs_f64();
         let times = sidecars.endpoints.iter().flat_map(Endpoint::times).collect();
-        let most = most_within(times, Duration::from_millis(940)).0;
+        let most = max_in_window(times, Duration::from_millis(940)).0;
         let entries = if divided {
             daemons.status(daemons.wait_for_leader()?).map_or(0, |status| status.applied)
         } else {
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -32,7 +32,7 @@
 };
 use super::links::{Flow, LinkState};
 use super::operators::Operators;
-use super::sidecars::{Clients, Endpoint, Sidecars, health, most_within};
+use super::sidecars::{Clients, Endpoint, Sidecars, health, max_in_window};
 
 /// How often faults that are due and health checks are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -570,8 +570,8 @@
     };
     let groups: Vec<Group> = most.map(group).into_iter().collect();
     if most.is_some() {
-        sidecars.groups(&["all"]);
-        sidecars.version("v0", false);
+        sidecars.set_groups(&["all"]);
+        sidecars.set_version("v0", false);
     }
     if !scenario.budget.is_empty() || most.is_some() {
         let mut write = daemons
@@ -587,11 +587,11 @@
             }
             (budget.resource.name().to_string(), row)
         });
-        sidecars.alone(serde_json::Value::Object(alone.collect()));
+        sidecars.set_alone(serde_json::Value::Object(alone.collect()));
     }
     for number in 0..scenario.sidecars {
         if scenario.scopes {
-            sidecars.belongs(locality(number));
+            sidecars.set_belongs(locality(number));
         }
         sidecars.start(&format!("s{number}"), &members, HEARTBEAT_MS)?;
     }
@@ -623,10 +623,10 @@
         true if most.is_some() => {
             // A release is judged by requests, so all sidecars get some; those to sidecars with faults are not counted.
             let names: Vec<String> = (0..scenario.sidecars).map(|number| format!("s{number}")).collect();
-            Clients::front(&sidecars, &names, 1, "/menu/1", pause)
+            Clients::start_with_health_checks(&sidecars, &names, 1, "/menu/1", pause)
         }
         true => Clients::start(&at, "/menu/1", pause),
-        false => Clients::follow(&sidecars, &sidecars.names(), 2, "/menu/1", pause),
+        false => Clients::start_by_name(&sidecars, &sidecars.names(), 2, "/menu/1", pause),
     };
     let every = Duration::from_millis(scenario.put_every_ms);
     let mut threads = Vec::new();
@@ -699,9 +699,9 @@
     played?;
     let served = answers
         .iter()
-        .map(|a| (a.served, a.served + a.rejected + a.failed + a.none))
+        .map(|a| (a.served, a.served + a.rejected + a.failed + a.no_reply))
         .fold((0, 0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
-    run.released.lost_requests = answers.iter().map(|a| a.failed + a.none).sum();
+    run.released.lost_requests = answers.iter().map(|a| a.failed + a.no_reply).sum();
     let result = run.judge(keep, served, paired.unwrap_or_default());
     let _ = fs::remove_dir_all(folder);
     result
@@ -754,7 +754,7 @@
         let (name, to) = (format!("r{number}"), format!("v{number}"));
         let polled = match number {
             0 => None,
-            _ => self.operators.turn(&self.daemons, &mut self.sidecars, &name, HEARTBEAT_MS)?,
+            _ => self.operators.poll(&self.daemons, &mut self.sidecars, &name, HEARTBEAT_MS)?,
         };
         let Some(release) = polled else {
             // Danger: a start that was refused or whose reply was lost is repeated; a repeated start has no further effect.
@@ -907,10 +907,10 @@
                 folders::copy(&self.daemons.folder(replica), &copy)?;
                 self.daemons.start(replica)?;
             }
-            Kind::ListAway => self.sidecars.list.is_away(true),
+            Kind::ListAway => self.sidecars.list.set_unavailable(true),
             Kind::KillAll => self.daemons.replicas().for_each(|replica| self.daemons.kill(replica)),
             Kind::Stop => self.daemons.process(replica).stop(),
-            Kind::Leave => self.daemons.process(replica).leave(),
+            Kind::Leave => self.daemons.process(replica).terminate(),
             Kind::Around => self.daemons.set_links_of(replica, LinkState::partitioned()),
             Kind::Between => self.daemons.set_links_between(replica, other, LinkState::partitioned()),
             Kind::OneWay => {
@@ -960,13 +960,13 @@
                 }
             }
             Kind::Leave => {
-                if self.daemons.process(replica).ended(Duration::from_secs(10)).is_none() {
+                if self.daemons.process(replica).wait_for_exit(Duration::from_secs(10)).is_none() {
                     return Err(format!("d{replica} did not exit after it was asked to leave"));
                 }
                 self.daemons.kill(replica);
                 self.daemons.start(replica)?;
             }
-            Kind::Stop => self.daemons.process(replica).go_on(),
+            Kind::Stop => self.daemons.process(replica).resume(),
             Kind::Empty => {
                 folders::empty(&folder)?;
                 self.daemons.start(replica)?;
@@ -979,19 +979,19 @@
             Kind::Damage => {
                 let length = fs::metadata(folder.join("log.0")).map_or(0, |file| file.len());
                 for copy in ["log.0", "log.1"] {
-                    folders::damage(&folder.join(copy), length / 2)?;
+                    folders::corrupt(&folder.join(copy), length / 2)?;
                 }
                 self.daemons.start(replica)?;
             }
             Kind::CutShort => {
-                folders::cut_short(&folder.join("log.1"), 300)?;
+                folders::truncate(&folder.join("log.1"), 300)?;
                 self.daemons.start(replica)?;
             }
             Kind::Around | Kind::OneWay | Kind::Slow => {
                 self.daemons.set_links_of(replica, LinkState::default())
             }
             Kind::Between => self.daemons.set_links_between(replica, other, LinkState::default()),
-            Kind::ListAway => self.sidecars.list.is_away(false),
+            Kind::ListAway => self.sidecars.list.set_unavailable(false),
             Kind::Reset => {}
             Kind::Door => self.daemons.client_link(replica).set_state(LinkState::default()),
             Kind::KillSidecar | Kind::StopSidecar => {
@@ -1000,14 +1000,14 @@
                 if fault.kind == Kind::KillSidecar {
                     if self.released.max_out > 0 {
                         let version = self.operators.versions.get(&name).map_or("v0", String::as_str);
-                        self.sidecars.version(version, false);
+                        self.sidecars.set_version(version, false);
                     }
                     if self.watchers.scopes.len() > 1 {
-                        self.sidecars.belongs(locality(number));
+                        self.sidecars.set_belongs(locality(number));
                     }
                     self.sidecars.start(&name, &self.members, HEARTBEAT_MS)?;
                 } else {
-                    self.sidecars.process(&name).go_on();
+                    self.sidecars.process(&name).resume();
                 }
                 self.watchers.faulted.lock().expect("no thread panics").insert(name, false);
             }
@@ -1042,12 +1042,12 @@
                 Resource::Attempts => {
                     let times = endpoints.iter().flat_map(Endpoint::times).collect();
                     let window = Duration::from_millis(budget.window_ms).saturating_sub(DELIVERY_JITTER);
-                    most_within(times, window).0 as u64
+                    max_in_window(times, window).0 as u64
                 }
-                Resource::Connections => endpoints.iter().map(Endpoint::most_open).max().unwrap_or(0),
+                Resource::Connections => endpoints.iter().map(Endpoint::peak_open).max().unwrap_or(0),
                 Resource::DiscoveryCalls => {
                     let window = Duration::from_millis(budget.window_ms).saturating_sub(DELIVERY_JITTER);
-                    most_within(self.sidecars.list.calls(), window).0 as u64
+                    max_in_window(self.sidecars.list.calls(), window).0 as u64
                 }
                 // The stand-in endpoints cannot tell a retry, or which requests are in flight, and no endpoint starts cold here.
                 Resource::Retries | Resource::InFlight | Resource::ColdAttempts => return None,
@@ -1089,7 +1089,7 @@
             if out > self.released.max_out {
                 self.played.fault_log.push(format!("out at once: {who}"));
             }
-            (self.released.peak_out, self.released.moved_twice) = (out, self.operators.twice.clone());
+            (self.released.peak_out, self.released.moved_twice) = (out, self.operators.moved_twice.clone());
             record.releases = Some(self.released.clone());
         }
         let count = |wanted: fn(&Outcome) -> bool| {
--- a/crates/lab/src/rig/processes.rs
+++ b/crates/lab/src/rig/processes.rs
@@ -1,5 +1,5 @@
-//! Processes of the program, and what can strike one: killed outright, stopped and continued, told to leave, started
-//! anew. What it logs is kept, and can be waited for.
+//! Starts processes, and sends them signals to kill, stop, continue or terminate them. Their log lines are stored and can be
+//! waited for.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -10,19 +10,22 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Between two looks at whether a process has ended.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks of whether a process has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A program of this workspace, which is built beside the one that runs, or beside its tests.
+/// Finds a program of this workspace in the build folder of the running program or of its tests.
 ///
 /// # Errors
-/// Where it was looked for.
-pub fn beside(name: &str) -> Result<PathBuf, String> {
+/// The program was not found there.
+pub fn workspace_program(name: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| format!("this program: {e}"))?;
     let found =
         own.ancestors().skip(1).take(2).map(|folder| folder.join(name)).find(|program| program.exists());
     found.ok_or_else(|| {
-        format!("{name}: missing beside {}; build the whole workspace, or name it", own.display())
+        format!(
+            "{name}: not found next to {}; build the whole workspace, or pass the program's path",
+            own.display()
+        )
     })
 }
 
@@ -38,16 +41,16 @@
     }
 }
 
-/// A program with what it is started with; it may be started any number of times.
+/// A program with its arguments and environment. It can be started any number of times.
 #[derive(Clone, Debug)]
-pub struct Recipe {
+pub struct ProcessSpec {
     pub name: String,
     pub program: PathBuf,
     pub arguments: Vec<String>,
     pub variables: Vec<(String, String)>,
 }
 
-/// One life of a process. It is killed with this value.
+/// A running process. It is killed on drop.
 pub struct Process {
     pub name: String,
     child: Child,
@@ -55,9 +58,9 @@
     stopped: bool,
 }
 
-impl Recipe {
-    pub fn new(name: &str, program: &Path, arguments: &[&str]) -> Recipe {
-        Recipe {
+impl ProcessSpec {
+    pub fn new(name: &str, program: &Path, arguments: &[&str]) -> ProcessSpec {
+        ProcessSpec {
             name: name.to_string(),
             program: program.to_path_buf(),
             arguments: arguments.iter().map(ToString::to_string).collect(),
@@ -91,13 +94,13 @@
 impl Process {
     fn signal(&self, signal: Signal) {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        // One that has ended already, and was not waited for, still has its number: nobody else is struck.
+        // A process that has exited but was not waited for keeps its id, so the signal cannot reach another process.
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Its number, as the system knows it.
+    /// Returns the operating system's process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -112,7 +115,7 @@
         self.stopped = true;
     }
 
-    pub fn go_on(&mut self) {
+    pub fn resume(&mut self) {
         self.signal(Signal::CONT);
         self.stopped = false;
     }
@@ -121,7 +124,7 @@
         self.stopped
     }
 
-    pub fn leave(&self) {
+    pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
@@ -129,23 +132,23 @@
         self.signal(Signal::HUP);
     }
 
-    /// How it ended, if it has within this time.
-    pub fn ended(&mut self, within: Duration) -> Option<ExitStatus> {
+    /// Waits for the process to exit; `None` on a timeout.
+    pub fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + within;
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return Some(status),
                 _ if Instant::now() >= until => return None,
-                _ => thread::sleep(LOOK),
+                _ => thread::sleep(POLL_INTERVAL),
             }
         }
     }
 
-    /// The first line from this one on of which the check holds, with the place after it.
+    /// Waits for the first log line at or after index `from` that matches. Returns it with the index of the next line.
     ///
     /// # Errors
-    /// The process's name and its last lines, where none came in time or it ended before.
-    pub fn line(
+    /// The process's name and last lines, on a timeout or if the process ends first.
+    pub fn wait_for_line(
         &self,
         from: usize,
         within: Duration,
@@ -163,7 +166,11 @@
             let left = until.saturating_duration_since(Instant::now());
             if log.1 || left.is_zero() {
                 let last = &log.0[log.0.len().saturating_sub(8)..];
-                return Err(format!("{}: no such line; the last ones:\n{}", self.name, last.join("\n")));
+                return Err(format!(
+                    "{}: no matching log line; the last lines:\n{}",
+                    self.name,
+                    last.join("\n")
+                ));
             }
             log = self.log.more.wait_timeout(log, left).expect("no reader panics with the lock").0;
         }
@@ -187,39 +194,40 @@
     const SOON: Duration = Duration::from_secs(10);
 
     fn shell(script: &str) -> Process {
-        Recipe::new("shell", Path::new("/bin/sh"), &["-c", script]).start().unwrap()
+        ProcessSpec::new("shell", Path::new("/bin/sh"), &["-c", script]).start().unwrap()
     }
 
     #[test]
-    fn a_process_is_heard_stopped_continued_and_ended() {
+    fn a_process_is_logged_stopped_continued_and_terminated() {
         let mut process = shell(
             "trap 'echo leaves >&2; exit 3' TERM; echo up >&2; while :; do echo on >&2; sleep 0.01; done",
         );
-        process.line(0, SOON, |line| line == "up").unwrap();
+        process.wait_for_line(0, SOON, |line| line == "up").unwrap();
         process.stop();
-        // Danger: lines written before it stopped may still be under way; from some look on none come.
+        // Danger: lines written before the stop may arrive after it, so the test waits for 100 ms without a line.
         let until = Instant::now() + SOON;
-        let quiet = || process.line(process.log().len(), Duration::from_millis(100), |_| true).is_err();
+        let quiet =
+            || process.wait_for_line(process.log().len(), Duration::from_millis(100), |_| true).is_err();
         while !quiet() {
-            assert!(Instant::now() < until, "it goes on though stopped");
+            assert!(Instant::now() < until, "a stopped process still writes lines");
         }
         assert!(process.is_stopped());
-        process.go_on();
-        process.line(process.log().len(), SOON, |line| line == "on").unwrap();
-        process.leave();
-        process.line(0, SOON, |line| line == "leaves").unwrap();
-        assert_eq!(process.ended(SOON).unwrap().code(), Some(3));
-        // A process that has ended says no more, which is told at once.
-        assert!(process.line(0, SOON, |line| line == "never").unwrap_err().contains("leaves"));
+        process.resume();
+        process.wait_for_line(process.log().len(), SOON, |line| line == "on").unwrap();
+        process.terminate();
+        process.wait_for_line(0, SOON, |line| line == "leaves").unwrap();
+        assert_eq!(process.wait_for_exit(SOON).unwrap().code(), Some(3));
+        // The wait fails at once when the process has ended.
+        assert!(process.wait_for_line(0, SOON, |line| line == "never").unwrap_err().contains("leaves"));
     }
 
     #[test]
     fn a_killed_process_ends_even_while_stopped() {
         let mut process = shell("echo up >&2; while :; do sleep 1; done");
-        process.line(0, SOON, |line| line == "up").unwrap();
+        process.wait_for_line(0, SOON, |line| line == "up").unwrap();
         process.stop();
         process.kill();
-        assert!(process.ended(Duration::ZERO).is_some());
-        assert!(Recipe::new("none", Path::new("/nowhere/at-all"), &[]).start().is_err());
+        assert!(process.wait_for_exit(Duration::ZERO).is_some());
+        assert!(ProcessSpec::new("none", Path::new("/nowhere/at-all"), &[]).start().is_err());
     }
 }
--- a/crates/lab/src/rig/sidecars.rs
+++ b/crates/lab/src/rig/sidecars.rs
@@ -1,4 +1,4 @@
-//! Real sidecars for the rig, with stand-ins that count: endpoints, the list's service, and clients.
+//! Runs sidecars as processes, with test endpoints, a discovery service and clients that count requests.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,29 +13,29 @@
 use serde_json::{Value, json};
 
 use super::fleet::{FLEET, PATIENCE};
-use super::processes::{Process, Recipe};
+use super::processes::{Process, ProcessSpec};
 
-/// The list service's sign of life, which its watches wait for.
-const BEAT: Duration = Duration::from_millis(1000);
-/// Longest that a client of the rig waits for an answer: longer than any deadline of the settings.
-const ANSWER_IN: Duration = Duration::from_secs(8);
+/// Interval of the keep-alive lines that the watches of the discovery service expect.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1000);
+/// How long a client of the rig waits for a reply: longer than any deadline in the settings.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How an endpoint answers.
+/// How an endpoint responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum How {
-    Well,
+    Succeeds,
     Fails,
-    BreaksOff,
-    /// Takes a request and never answers.
-    Waits,
+    Disconnects,
+    /// Accepts a request and never replies.
+    Hangs,
 }
 
-/// An endpoint that counts what reaches it.
+/// A test endpoint that counts its requests and connections.
 pub struct Endpoint {
     pub at: SocketAddr,
     how: Arc<AtomicU8>,
     requests: Arc<Mutex<Vec<Instant>>>,
-    /// Connections open now, and most at once.
+    /// Open connections, now and at the peak.
     open: Arc<Mutex<(u64, u64)>>,
 }
 
@@ -43,8 +43,8 @@
     what.lock().expect("no stand-in panics with a lock")
 }
 
-/// The most that came within any window of this length, and when the first of these did.
-pub fn most_within(mut times: Vec<Instant>, window: Duration) -> (usize, Option<Instant>) {
+/// Returns the largest number of times in any window of this length, and the first of these times.
+pub fn max_in_window(mut times: Vec<Instant>, window: Duration) -> (usize, Option<Instant>) {
     times.sort_unstable();
     let (mut from, mut most) = (0, (0, None));
     for at in 0..times.len() {
@@ -58,7 +58,7 @@
     most
 }
 
-/// The head of a message, without its end; nothing where the connection ended first.
+/// Reads the head of an HTTP message; `None` if the connection ends first.
 fn head(reader: &mut impl BufRead) -> Option<Vec<String>> {
     let mut lines = Vec::new();
     loop {
@@ -83,7 +83,7 @@
 
 impl Endpoint {
     /// # Errors
-    /// What the system says if there is no address to listen at.
+    /// The operating system's error if no address can be listened on.
     pub fn start() -> std::io::Result<Endpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
@@ -125,44 +125,44 @@
         Ok(endpoint)
     }
 
-    pub fn answers(&self, how: How) {
+    pub fn set_behavior(&self, how: How) {
         let code = match how {
-            How::Well => 0,
+            How::Succeeds => 0,
             How::Fails => 1,
-            How::BreaksOff => 2,
-            How::Waits => 3,
+            How::Disconnects => 2,
+            How::Hangs => 3,
         };
         self.how.store(code, Ordering::Relaxed);
     }
 
-    /// Requests that have reached it.
+    /// Returns the number of requests received.
     pub fn requests(&self) -> u64 {
         locked(&self.requests).len() as u64
     }
 
-    /// When each came, by this machine's clock.
+    /// Returns the time of receipt of each request.
     pub fn times(&self) -> Vec<Instant> {
         locked(&self.requests).clone()
     }
 
-    /// Connections that are open to it now.
+    /// Returns the number of open connections.
     pub fn open(&self) -> u64 {
         locked(&self.open).0
     }
 
-    /// Most connections that were open at once since this was asked last.
-    pub fn most_open(&self) -> u64 {
+    /// Returns the peak of open connections since the last call.
+    pub fn peak_open(&self) -> u64 {
         let mut open = locked(&self.open);
         let now = open.0;
         std::mem::replace(&mut open.1, now).max(now)
     }
 }
 
-/// The list's service: each watch is told the list as it is, and each change.
+/// A discovery service for tests: sends each watch a snapshot of the endpoint list and then each change.
 pub struct ListService {
     pub at: SocketAddr,
     inner: Arc<Mutex<(u64, Value, Vec<TcpStream>)>>,
-    away: Arc<AtomicBool>,
+    unavailable: Arc<AtomicBool>,
     calls: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -172,18 +172,18 @@
 
 impl ListService {
     /// # Errors
-    /// What the system says if there is no address to listen at.
+    /// The operating system's error if no address can be listened on.
     pub fn start(entries: Value) -> std::io::Result<ListService> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let inner = Arc::new(Mutex::new((1, entries, Vec::new())));
-        let away = Arc::new(AtomicBool::new(false));
+        let unavailable = Arc::new(AtomicBool::new(false));
         let calls = Arc::new(Mutex::new(Vec::new()));
-        let (own, gone, counted) = (inner.clone(), away.clone(), calls.clone());
+        let (own, closed, counted) = (inner.clone(), unavailable.clone(), calls.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 locked(&counted).push(Instant::now());
-                if gone.load(Ordering::Relaxed) || head(&mut BufReader::new(&stream)).is_none() {
+                if closed.load(Ordering::Relaxed) || head(&mut BufReader::new(&stream)).is_none() {
                     continue;
                 }
                 let mut inner = own.lock().expect("no thread panics with the lock");
@@ -194,36 +194,36 @@
                 }
             }
         });
-        let beats = Arc::downgrade(&inner);
+        let weak = Arc::downgrade(&inner);
         thread::spawn(move || {
-            while let Some(inner) = beats.upgrade() {
+            while let Some(inner) = weak.upgrade() {
                 let mut inner = inner.lock().expect("no thread panics with the lock");
                 inner.2.retain_mut(|stream| stream.write_all(b"1\r\n\n\r\n").is_ok());
                 drop(inner);
-                thread::sleep(BEAT);
+                thread::sleep(KEEPALIVE_INTERVAL);
             }
         });
-        Ok(ListService { at, inner, away, calls })
+        Ok(ListService { at, inner, unavailable, calls })
     }
 
-    /// When it was called, by this machine's clock.
+    /// Returns the time of each call.
     pub fn calls(&self) -> Vec<Instant> {
         locked(&self.calls).clone()
     }
 
-    /// Ends all watches, and answers nobody, until it is back.
-    pub fn is_away(&self, away: bool) {
-        self.away.store(away, Ordering::Relaxed);
-        if away {
+    /// While unavailable, the service has closed all watches and answers no request.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.unavailable.store(unavailable, Ordering::Relaxed);
+        if unavailable {
             locked(&self.inner).2.clear();
         }
     }
 
-    /// Tells all of changed entries.
+    /// Sends changed entries to all watches.
     ///
     /// # Panics
     /// If another thread panicked with the list.
-    pub fn tell(&self, entries: &[Value]) {
+    pub fn send_update(&self, entries: &[Value]) {
         let mut inner = self.inner.lock().expect("no thread panics with the lock");
         inner.0 += 1;
         let line = json!({"index": inner.0, "snapshot": false, "endpoints": entries}).to_string();
@@ -231,13 +231,13 @@
     }
 }
 
-/// A list's entry, each endpoint in a cell of its own.
+/// Builds an entry of the endpoint list, with each endpoint in its own cell.
 pub fn entry(number: usize, at: SocketAddr, status: &str) -> Value {
     json!({"name": format!("e{number}"), "address": at.to_string(), "zone": "z0", "type": "t", "group": number,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// Sidecars before endpoints, each a process of its own that may be started any number of times.
+/// Sidecars in front of the test endpoints. Each is a process that can be restarted.
 pub struct Sidecars {
     root: PathBuf,
     program: PathBuf,
@@ -250,25 +250,25 @@
     groups: Value,
     belongs: Value,
     version: Value,
-    /// A list of nobody, for those that are to fail.
-    nobody: ListService,
-    flawed: bool,
+    /// A discovery service without endpoints, for versions that are meant to fail.
+    empty_list: ListService,
+    without_endpoints: bool,
 }
 
 impl Sidecars {
-    /// With this configuration as the base of each, which gets a name, addresses, a list and its part of a fleet.
+    /// Starts the endpoints and the discovery service. `base` is the configuration that each sidecar's own is derived from.
     ///
     /// # Errors
-    /// What could not be made.
+    /// What could not be created.
     pub fn new(root: &Path, program: &Path, base: &str, endpoints: usize) -> Result<Sidecars, String> {
-        let told = |e: std::io::Error| format!("stand-in: {e}");
-        fs::create_dir_all(root).map_err(told)?;
+        let error = |e: std::io::Error| format!("stand-in: {e}");
+        fs::create_dir_all(root).map_err(error)?;
         let mut started = Vec::new();
         for _ in 0..endpoints {
-            started.push(Endpoint::start().map_err(told)?);
+            started.push(Endpoint::start().map_err(error)?);
         }
         let entries = started.iter().enumerate().map(|(at, endpoint)| entry(at, endpoint.at, "up")).collect();
-        let list = ListService::start(entries).map_err(told)?;
+        let list = ListService::start(entries).map_err(error)?;
         let base = serde_json::from_str(base).map_err(|e| format!("base: {e}"))?;
         let (root, program) = (root.to_path_buf(), program.to_path_buf());
         Ok(Sidecars {
@@ -283,40 +283,40 @@
             groups: json!([]),
             belongs: Value::Null,
             version: Value::Null,
-            nobody: ListService::start(json!([])).map_err(told)?,
-            flawed: false,
+            empty_list: ListService::start(json!([])).map_err(error)?,
+            without_endpoints: false,
         })
     }
 
-    /// Where a sidecar keeps its last good settings.
-    pub fn keep(&self, name: &str) -> PathBuf {
+    /// Returns the file in which a sidecar stores its last valid settings.
+    pub fn kept_settings(&self, name: &str) -> PathBuf {
         self.root.join(format!("{name}.kept"))
     }
 
-    /// What a sidecar may use without daemons, by the key of its file.
-    pub fn alone(&mut self, alone: Value) {
+    /// Sets the budgets of a sidecar without daemons, as in the `alone` setting.
+    pub fn set_alone(&mut self, alone: Value) {
         self.alone = alone;
     }
 
-    /// The groups that those which are started from now on belong to.
-    pub fn groups(&mut self, groups: &[&str]) {
+    /// Sets the groups of sidecars that are started later.
+    pub fn set_groups(&mut self, groups: &[&str]) {
         self.groups = json!(groups);
     }
 
-    /// What those which are started from now on belong to, as their files have it; null for nothing.
-    pub fn belongs(&mut self, belongs: Value) {
+    /// Sets the `belongs` setting of sidecars that are started later; null leaves it out.
+    pub fn set_belongs(&mut self, belongs: Value) {
         self.belongs = belongs;
     }
 
-    /// The version that those which are started from now on say that they run, and whether they know of no endpoint.
-    pub fn version(&mut self, version: &str, flawed: bool) {
-        (self.version, self.flawed) = (version.into(), flawed);
+    /// Sets the version that sidecars started later report, and whether they have no endpoints.
+    pub fn set_version(&mut self, version: &str, without_endpoints: bool) {
+        (self.version, self.without_endpoints) = (version.into(), without_endpoints);
     }
 
-    /// Starts one, as a member of the fleet of these daemons or by itself, and waits until it listens.
+    /// Starts a sidecar, as a member of the daemons' fleet or standalone without daemons, and waits until it listens.
     ///
     /// # Errors
-    /// Why it does not.
+    /// Why it does not listen.
     pub fn start(&mut self, name: &str, daemons: &[(u16, SocketAddr)], beat_ms: u64) -> Result<(), String> {
         let mut file = self.base.clone();
         let entries: Vec<Value> =
@@ -329,51 +329,51 @@
         if !daemons.is_empty() {
             let rows: Vec<Value> = daemons
                 .iter()
-                .map(|(place, at)| json!({"place": place, "address": at.to_string()}))
+                .map(|(replica, at)| json!({"place": replica, "address": at.to_string()}))
                 .collect();
-            file["fleet"] = json!({"name": FLEET, "daemons": rows, "beatMs": beat_ms, "keep": self.keep(name), "alone": self.alone, "groups": self.groups});
+            file["fleet"] = json!({"name": FLEET, "daemons": rows, "beatMs": beat_ms, "keep": self.kept_settings(name), "alone": self.alone, "groups": self.groups});
             for (key, value) in [("version", &self.version), ("belongs", &self.belongs)] {
                 if !value.is_null() {
                     file["fleet"][key] = value.clone();
                 }
             }
         }
-        if self.flawed {
-            file["discovery"] = self.nobody.at.to_string().into();
+        if self.without_endpoints {
+            file["discovery"] = self.empty_list.at.to_string().into();
             file["known"]["endpoints"] = json!([]);
         }
         let path = self.root.join(format!("{name}.json"));
         fs::write(&path, file.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
         let mut recipe =
-            Recipe::new(name, &self.program, &["serve", "--config", &path.display().to_string()]);
+            ProcessSpec::new(name, &self.program, &["serve", "--config", &path.display().to_string()]);
         recipe.variables.push(("TMPDIR".to_string(), self.root.display().to_string()));
         let process = recipe.start()?;
         let address = |line: &str, words: &str| {
             line.split(words)
                 .nth(1)
                 .and_then(|at| at.trim().parse().ok())
-                .ok_or(format!("{name}: no address"))
+                .ok_or(format!("{name}: the log line has no address"))
         };
-        let (asked, from) = process.line(0, PATIENCE, |line| line.contains("is asked at "))?;
-        let (listens, _) = process.line(from, PATIENCE, |line| line.contains("listens on "))?;
-        let (asked, listens) = (address(&asked, "is asked at ")?, address(&listens, "listens on ")?);
+        let (operator, from) = process.wait_for_line(0, PATIENCE, |line| line.contains("is asked at "))?;
+        let (listens, _) = process.wait_for_line(from, PATIENCE, |line| line.contains("listens on "))?;
+        let (operator, listens) = (address(&operator, "is asked at ")?, address(&listens, "listens on ")?);
         locked(&self.addresses).insert(name.to_string(), listens);
-        self.processes.insert(name.to_string(), (process, listens, asked));
+        self.processes.insert(name.to_string(), (process, listens, operator));
         Ok(())
     }
 
-    /// Ends one outright.
+    /// Kills a sidecar.
     pub fn kill(&mut self, name: &str) {
         self.processes.remove(name);
     }
 
     /// # Panics
-    /// Where none of this name was started.
+    /// If no sidecar of this name was started.
     pub fn process(&mut self, name: &str) -> &mut Process {
         &mut self.processes.get_mut(name).expect("a sidecar that was started").0
     }
 
-    /// Where each of them listens now, for one who looks from another thread.
+    /// Returns a function for other threads that gives a sidecar's current address.
     pub fn lookup(&self) -> impl Fn(&str) -> Option<SocketAddr> + Send + 'static {
         let addresses = self.addresses.clone();
         move |name| locked(&addresses).get(name).copied()
@@ -387,28 +387,28 @@
         self.processes[name].1
     }
 
-    /// What it answers an operator, up to the connection's end.
+    /// Sends an operator command to a sidecar and returns the whole reply.
     ///
     /// # Errors
-    /// Why there was no answer.
-    pub fn told(&self, name: &str, line: &str) -> Result<String, String> {
-        let told = |e: std::io::Error| format!("{name}: {e}");
-        let mut stream = TcpStream::connect(self.processes[name].2).map_err(told)?;
-        stream.set_read_timeout(Some(Duration::from_secs(3))).map_err(told)?;
-        stream.write_all(line.as_bytes()).map_err(told)?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).map_err(told)?;
-        Ok(answer)
+    /// Why there was no reply.
+    pub fn command(&self, name: &str, line: &str) -> Result<String, String> {
+        let error = |e: std::io::Error| format!("{name}: {e}");
+        let mut stream = TcpStream::connect(self.processes[name].2).map_err(error)?;
+        stream.set_read_timeout(Some(Duration::from_secs(3))).map_err(error)?;
+        stream.write_all(line.as_bytes()).map_err(error)?;
+        let mut reply = String::new();
+        stream.read_to_string(&mut reply).map_err(error)?;
+        Ok(reply)
     }
 
-    /// One of its figures.
-    pub fn figure(&self, name: &str, figure: &str) -> Option<u64> {
-        let text = self.told(name, "show-stat\n").ok()?;
-        text.lines().find_map(|line| line.strip_prefix(figure)?.strip_prefix(' ')?.parse().ok())
+    /// Returns the value of a metric of a sidecar.
+    pub fn metric(&self, name: &str, metric: &str) -> Option<u64> {
+        let text = self.command(name, "show-stat\n").ok()?;
+        text.lines().find_map(|line| line.strip_prefix(metric)?.strip_prefix(' ')?.parse().ok())
     }
 
     /// # Errors
-    /// What did not come.
+    /// What timed out, and the last log lines of each sidecar.
     pub fn wait(&self, what: &str, check: impl Fn(&Sidecars) -> bool) -> Result<(), String> {
         let until = Instant::now() + PATIENCE;
         while !check(self) {
@@ -417,7 +417,7 @@
                     let log = process.log();
                     format!("{name}: {}", log[log.len().saturating_sub(4)..].join(" / "))
                 });
-                return Err(format!("{what}: it did not come; {}", logs.collect::<Vec<_>>().join("\n")));
+                return Err(format!("timed out waiting for {what}; {}", logs.collect::<Vec<_>>().join("\n")));
             }
             thread::sleep(Duration::from_millis(15));
         }
@@ -425,28 +425,28 @@
     }
 }
 
-/// A request's id. Danger: a second open request with the id of another is answered 409, and never sent on.
+/// Returns a unique request id. Danger: a request with the id of another open request is answered 409 and not forwarded.
 fn id() -> u64 {
     static IDS: AtomicU64 = AtomicU64::new(1);
     IDS.fetch_add(1, Ordering::Relaxed)
 }
 
-/// The status that a request gets, over a connection of its own; none where no answer came.
+/// Sends a request over a new connection and returns the status; `None` without a reply.
 pub fn request(at: SocketAddr, path: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(ANSWER_IN)).ok()?;
+    stream.set_read_timeout(Some(REPLY_TIMEOUT)).ok()?;
     write!(stream, "GET {path} HTTP/1.1\r\nX-Txn: {:x}\r\nConnection: close\r\n\r\n", id()).ok()?;
     let head = head(&mut BufReader::new(&stream))?;
     head.first()?.split(' ').nth(1)?.parse().ok()
 }
 
-/// Longest that a health check is waited for: one that is stopped answers nothing.
-const HEALTH_IN: Duration = Duration::from_millis(400);
+/// Timeout of a health check: a paused sidecar does not reply.
+const HEALTH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Whether a health check says yes; none where nothing was said in time, which may be a busy machine.
+/// Returns the result of a health check; `None` on a timeout, which a busy machine may cause.
 pub fn health(at: SocketAddr) -> Option<bool> {
     let Ok(mut stream) = TcpStream::connect(at) else { return Some(false) };
-    stream.set_read_timeout(Some(HEALTH_IN)).ok()?;
+    stream.set_read_timeout(Some(HEALTH_TIMEOUT)).ok()?;
     if write!(stream, "GET /healthz HTTP/1.1\r\nX-Txn: {:x}\r\nConnection: close\r\n\r\n", id()).is_err() {
         return Some(false);
     }
@@ -459,71 +459,71 @@
     }
 }
 
-/// Where sidecars listen now, by their names.
+/// Current addresses of the sidecars by name.
 type Addresses = Arc<Mutex<BTreeMap<String, SocketAddr>>>;
 
-/// Where a client goes.
-enum Where {
+/// Where a client sends its requests.
+enum Target {
     At(SocketAddr),
-    /// To whatever process has this name now.
+    /// The process that currently has this name.
     Named(Addresses, String),
 }
 
-impl Where {
-    /// So many times each of these names.
-    fn named(sidecars: &Sidecars, names: &[String], each: usize) -> impl Iterator<Item = Where> {
+impl Target {
+    /// Repeats each name `each` times.
+    fn named(sidecars: &Sidecars, names: &[String], each: usize) -> impl Iterator<Item = Target> {
         let all = names.iter().flat_map(move |name| std::iter::repeat_n(name, each));
-        all.map(|name| Where::Named(sidecars.addresses.clone(), name.clone()))
+        all.map(|name| Target::Named(sidecars.addresses.clone(), name.clone()))
     }
 
     fn address(&self) -> Option<SocketAddr> {
         match self {
-            Where::At(at) => Some(*at),
-            Where::Named(all, name) => locked(all).get(name).copied(),
+            Target::At(at) => Some(*at),
+            Target::Named(all, name) => locked(all).get(name).copied(),
         }
     }
 }
 
-/// A client that keeps its connection. Danger: one connection for each request leaves thousands that wait in the system, until no
-/// port is free for anyone on the machine.
+/// A client with a persistent connection. Danger: one connection per request leaves thousands in TIME_WAIT, until the machine
+/// has no free port.
 struct Client {
-    at: Where,
+    at: Target,
     open: Option<BufReader<TcpStream>>,
-    /// As a front has it: when its health check was asked last, and whether that said yes.
+    /// For clients with health checks: time and result of the last check.
     checked: Option<(Instant, bool)>,
 }
 
-/// How often a front asks for health: a drain goes on as ever for several of these.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+/// Interval of a client's health checks: a draining sidecar serves as before for several of these.
+const HEALTH_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Client {
-    /// The status that a request gets; none where no answer came.
-    fn ask(&mut self, path: &str) -> Option<u16> {
+    /// Sends a request and returns the status; `None` without a reply.
+    fn send(&mut self, path: &str) -> Option<u16> {
         let kept = self.open.is_some();
-        // A kept connection may have ended by itself since.
-        self.once(path).or_else(|| if kept { self.once(path) } else { None })
+        // The server may have closed a reused connection, so the request is sent again over a new one.
+        self.send_once(path).or_else(|| if kept { self.send_once(path) } else { None })
     }
 
-    /// Whether its sidecar is to be asked now, by the health check.
-    fn may_ask(&mut self) -> bool {
-        let Some((at, well)) = self.checked else { return true };
-        if at.elapsed() < CHECK_EVERY {
-            return well;
+    /// Returns whether the health check allows requests to the sidecar.
+    fn may_send(&mut self) -> bool {
+        let Some((at, healthy)) = self.checked else { return true };
+        if at.elapsed() < HEALTH_INTERVAL {
+            return healthy;
         }
-        let well = self.at.address().and_then(|at| request(at, "/healthz")) == Some(200);
-        if !well {
+        let healthy = self.at.address().and_then(|at| request(at, "/healthz")) == Some(200);
+        if !healthy {
             self.open = None;
         }
-        self.checked = Some((Instant::now(), well));
-        well
+        self.checked = Some((Instant::now(), healthy));
+        healthy
     }
 
-    fn once(&mut self, path: &str) -> Option<u16> {
+    fn send_once(&mut self, path: &str) -> Option<u16> {
         let mut open = match self.open.take() {
             Some(open) => open,
             None => {
                 let stream = TcpStream::connect(self.at.address()?).ok()?;
-                stream.set_read_timeout(Some(ANSWER_IN)).ok()?;
+                stream.set_read_timeout(Some(REPLY_TIMEOUT)).ok()?;
                 let _ = stream.set_nodelay(true);
                 BufReader::new(stream)
             }
@@ -540,89 +540,94 @@
     }
 }
 
-/// What clients were answered.
+/// Counts of the replies that clients got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
     pub served: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// No answer came: a request was lost.
-    pub none: u64,
+    /// No reply: the request was lost.
+    pub no_reply: u64,
 }
 
 impl Answers {
-    pub fn share(&self) -> f64 {
-        let all = self.served + self.rejected + self.failed + self.none;
+    pub fn served_share(&self) -> f64 {
+        let all = self.served + self.rejected + self.failed + self.no_reply;
         self.served as f64 / (all as f64).max(1.0)
     }
 }
 
-/// Clients of some sidecars, one after another, until they are told to stop.
+/// Client threads that send requests to sidecars one after another until stopped.
 pub struct Clients {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<Answers>>,
 }
 
 impl Clients {
-    /// One for each sidecar, which asks again so long after each answer.
+    /// Starts one client per address, which sends its next request `pause` after each reply.
     pub fn start(to: &[SocketAddr], path: &'static str, pause: Duration) -> Clients {
-        Clients::of(to.iter().map(|at| Where::At(*at)), path, pause, false)
+        Clients::spawn(to.iter().map(|at| Target::At(*at)), path, pause, false)
     }
 
-    /// So many for each sidecar of these names, which go to whatever process has the name.
-    pub fn follow(
+    /// Starts `each` clients per sidecar, which follow the name when the sidecar restarts at another address.
+    pub fn start_by_name(
         sidecars: &Sidecars,
         names: &[String],
         each: usize,
         path: &'static str,
         pause: Duration,
     ) -> Clients {
-        Clients::of(Where::named(sidecars, names, each), path, pause, false)
+        Clients::spawn(Target::named(sidecars, names, each), path, pause, false)
     }
 
-    /// The same, but as a front does: a sidecar whose health check says no is asked nothing.
-    pub fn front(
+    /// As `start_by_name`, but sends nothing to a sidecar whose health check fails, as a front proxy does.
+    pub fn start_with_health_checks(
         sidecars: &Sidecars,
         names: &[String],
         each: usize,
         path: &'static str,
         pause: Duration,
     ) -> Clients {
-        Clients::of(Where::named(sidecars, names, each), path, pause, true)
+        Clients::spawn(Target::named(sidecars, names, each), path, pause, true)
     }
 
-    fn of(to: impl Iterator<Item = Where>, path: &'static str, pause: Duration, front: bool) -> Clients {
-        let over = Arc::new(AtomicBool::new(false));
-        let client = |at: Where| {
-            let over = over.clone();
+    fn spawn(
+        to: impl Iterator<Item = Target>,
+        path: &'static str,
+        pause: Duration,
+        health_checks: bool,
+    ) -> Clients {
+        let stop = Arc::new(AtomicBool::new(false));
+        let client = |at: Target| {
+            let stop = stop.clone();
             thread::spawn(move || {
-                let checked = front.then(|| (Instant::now(), true));
+                let checked = health_checks.then(|| (Instant::now(), true));
                 let (mut answers, mut client) = (Answers::default(), Client { at, open: None, checked });
-                while !over.load(Ordering::Relaxed) {
-                    if !client.may_ask() {
+                while !stop.load(Ordering::Relaxed) {
+                    if !client.may_send() {
                         thread::sleep(pause);
                         continue;
                     }
-                    match client.ask(path) {
+                    match client.send(path) {
                         Some(200) => answers.served += 1,
                         Some(503) => answers.rejected += 1,
                         Some(_) => answers.failed += 1,
-                        None => answers.none += 1,
+                        None => answers.no_reply += 1,
                     }
                     thread::sleep(pause);
                 }
                 answers
             })
         };
-        Clients { threads: to.map(client).collect(), over }
+        Clients { threads: to.map(client).collect(), stop }
     }
 
-    /// What they were answered, by sidecar.
+    /// Stops the clients and returns their counts in the order of start.
     ///
     /// # Panics
-    /// If one of them did.
+    /// If a client thread panicked.
     pub fn stop(self) -> Vec<Answers> {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         self.threads.into_iter().map(|thread| thread.join().expect("a client does not panic")).collect()
     }
 }
--- a/crates/lab/src/scale/world.rs
+++ b/crates/lab/src/scale/world.rs
@@ -328,7 +328,7 @@
         if self.scenario.is_scoped() {
             let (service, place) = (&self.shape.services[member.service].name, member.place);
             let (zone, region) = (format!("z{}", place.zone), format!("r{}", place.region));
-            self.sidecars.belongs(json!({"service": service, "zone": zone, "region": region}));
+            self.sidecars.set_belongs(json!({"service": service, "zone": zone, "region": region}));
         }
         self.sidecars.start(&member.name, &daemons, self.scenario.beat_ms)?;
         self.real.insert(at, incarnation.nanos());
@@ -620,7 +620,7 @@
                 continue;
             }
             let name = &self.shape.members[at].name;
-            let figure = |of: &str| self.sidecars.figure(name, &format!("sidecar_fleet_settings_{of}"));
+            let figure = |of: &str| self.sidecars.metric(name, &format!("sidecar_fleet_settings_{of}"));
             let (Some(generation), Some(number)) = (figure("generation"), figure("number")) else { continue };
             let version = Version { generation, number };
             let Some(text) = self.texts.get(&version).copied() else { continue };
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -12,7 +12,7 @@
 use super::endpoints::Endpoint;
 use super::plan::{Event, Plan};
 use super::record::{Effect, Life, Record, Recorder};
-use crate::rig::processes::{Process, Recipe};
+use crate::rig::processes::{Process, ProcessSpec};
 
 /// New connections still come for so long after SIGTERM.
 const FRONT_NOTICES: Duration = Duration::from_millis(300);
@@ -126,7 +126,7 @@
     fn step(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::Happens(event) => return self.happens(event),
-            Step::GoOn(number) => self.process(number).into_iter().for_each(Process::go_on),
+            Step::GoOn(number) => self.process(number).into_iter().for_each(Process::resume),
             Step::FrontNotices(number) => self.front.set(number, None),
             Step::KillLeft(number) => self.kill(number),
         }
@@ -147,7 +147,7 @@
             Event::Leave(number) => {
                 let now = self.recorder.now();
                 self.sidecars[number].life.iter_mut().for_each(|life| life.term = Some(now));
-                self.process(number).into_iter().for_each(|process| process.leave());
+                self.process(number).into_iter().for_each(|process| process.terminate());
             }
             Event::Kill(number) => {
                 self.front.set(number, None);
@@ -172,7 +172,7 @@
     /// Where this sidecar's present process listens, as its log tells.
     fn address(&self, number: usize) -> Option<SocketAddr> {
         let process = self.sidecars[number].process.as_ref()?;
-        let line = process.line(0, LISTENS_IN, |line| line.contains("listens on")).ok()?.0;
+        let line = process.wait_for_line(0, LISTENS_IN, |line| line.contains("listens on")).ok()?.0;
         line.rsplit(' ').next()?.parse().ok()
     }
 
@@ -204,7 +204,7 @@
         let known = known.to_string();
         self.write_file(number, &known)?;
         let file = self.sidecars[number].file.display().to_string();
-        let recipe = Recipe::new(&format!("n{number}"), self.program, &["serve", "--config", &file]);
+        let recipe = ProcessSpec::new(&format!("n{number}"), self.program, &["serve", "--config", &file]);
         let began = self.recorder.now();
         self.sidecars[number].process = Some(recipe.start()?);
         let at = self.address(number).ok_or_else(|| format!("n{number}: does not listen"))?;
@@ -240,7 +240,7 @@
     /// SIGKILL, if it has not ended by itself.
     fn kill(&mut self, number: usize) {
         let Some(mut process) = self.sidecars[number].process.take() else { return };
-        let ended = process.ended(Duration::ZERO);
+        let ended = process.wait_for_exit(Duration::ZERO);
         let now = self.recorder.now();
         process.kill();
         self.front.set(number, None);
@@ -256,7 +256,7 @@
     fn finish(&mut self) {
         self.discovery.finish();
         for number in 0..self.sidecars.len() {
-            let ended = self.process(number).and_then(|process| process.ended(Duration::ZERO));
+            let ended = self.process(number).and_then(|process| process.wait_for_exit(Duration::ZERO));
             let now = self.recorder.now();
             let Some(process) = self.sidecars[number].process.take() else { continue };
             let Some(mut life) = self.sidecars[number].life.take() else { continue };
--- a/crates/lab/tests/added.rs
+++ b/crates/lab/tests/added.rs
@@ -11,7 +11,7 @@
     Call, Client, Endpoints, Ends, Pair, Place, Plan, Row, arrivals, is_void, measure, over, quantile, times,
     used,
 };
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 
 fn call(took_ms: f64) -> Call {
     Call { took_ms: Some(took_ms), status: 200, late_ms: 0.0, foreign: false }
@@ -192,7 +192,7 @@
 
 #[test]
 fn the_short_form_has_all_pairs_of_a_real_sidecar() {
-    let sidecar = beside("appledyke-sidecar").unwrap();
+    let sidecar = workspace_program("appledyke-sidecar").unwrap();
     let folder = std::env::temp_dir().join(format!("appledyke-added-test-{}", std::process::id()));
     let base = include_str!("../../../examples/sidecar.json");
     let place = Place { sidecar: &sidecar, folder: &folder, base };
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -10,7 +10,7 @@
 use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_lab::rig::fleet::PATIENCE;
 use appledyke_lab::rig::links::Link;
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::scale::children::Told;
 use appledyke_lab::scale::hollow::Order;
 use appledyke_lab::scale::lists;
@@ -36,7 +36,8 @@
 }
 
 fn with_place<T>(name: &str, run: impl FnOnce(&Place) -> T) -> T {
-    let (daemon, sidecar) = (beside("appledyke-daemon").unwrap(), beside("appledyke-sidecar").unwrap());
+    let (daemon, sidecar) =
+        (workspace_program("appledyke-daemon").unwrap(), workspace_program("appledyke-sidecar").unwrap());
     let lab = PathBuf::from(env!("CARGO_BIN_EXE_appledyke-lab"));
     let folder = folder(name);
     let place = Place { lab: &lab, daemon: &daemon, sidecar: &sidecar, folder: &folder, base: BASE };
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::soak::checker::{Rule, check};
 use appledyke_lab::soak::plan::Plan;
 use appledyke_lab::soak::record::{
@@ -18,7 +18,7 @@
 #[test]
 fn some_seeds_break_no_rule() {
     let folder: PathBuf = std::env::temp_dir().join(format!("appledyke-soak-test-{}", std::process::id()));
-    let played = play_all(SEEDS, 2, &beside("appledyke-sidecar").unwrap(), &folder);
+    let played = play_all(SEEDS, 2, &workspace_program("appledyke-sidecar").unwrap(), &folder);
     let _ = std::fs::remove_dir_all(&folder);
     let played = played.unwrap();
     println!("{}", table(&played));
