--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -391,22 +391,22 @@
     }]);
     both.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), HOLDERS_BEAT, &[of]);
-    holders.come(300, 20);
+    holders.add(300, 20);
     let most = std::cell::Cell::new(0);
     let believed = || {
-        most.set(most.get().max(holders.believed(of, false)));
+        most.set(most.get().max(holders.total_share(of, false)));
         most.get()
     };
     // What they believe to hold, each by its own clock, at every look.
     both.daemons.wait("nearly all is held", |_| believed() * 10 >= whole * 8).unwrap();
-    holders.come(30, 20);
+    holders.add(30, 20);
     let most = std::cell::Cell::new(most.get());
     // Within 6 s as each counts time, by its reports: on a busy machine these come late, and so do the answers.
     let reported = std::cell::Cell::new(0);
     both.daemons
         .wait("each that came has its least part", |_| {
-            most.set(most.get().max(holders.believed(of, false)));
-            let lack: Vec<_> = (300..330).filter(|who| holders.holds(*who, of) < 3).collect();
+            most.set(most.get().max(holders.total_share(of, false)));
+            let lack: Vec<_> = (300..330).filter(|who| holders.share(*who, of) < 3).collect();
             let reports = lack.iter().map(|who| holders.reports(*who)).max();
             reported.set(reported.get().max(reports.unwrap_or(0)));
             lack.is_empty()
@@ -419,8 +419,8 @@
     holders.freeze(0..110);
     both.daemons
         .wait("others have their parts", |_| {
-            most.set(most.get().max(holders.believed(of, false)));
-            holders.believed(of, true) > whole
+            most.set(most.get().max(holders.total_share(of, false)));
+            holders.total_share(of, true) > whole
         })
         .unwrap();
     assert!(most.get() <= whole, "{} of {whole}", most.get());
@@ -441,13 +441,13 @@
     }]);
     let leader = both.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
-    holders.come(20, 10);
+    holders.add(20, 10);
     both.daemons
-        .wait("all have what they want", |_| (0..20).all(|who| holders.holds(who, of) >= 10))
+        .wait("all have what they want", |_| (0..20).all(|who| holders.share(who, of) >= 10))
         .unwrap();
     both.daemons.kill(leader);
-    holders.wants(7, 300);
-    both.daemons.wait("the next leader grants one more", |_| holders.holds(7, of) >= 250).unwrap();
+    holders.set_wanted(7, 300);
+    both.daemons.wait("the next leader grants one more", |_| holders.share(7, of) >= 250).unwrap();
 }
 
 #[test]
@@ -465,8 +465,8 @@
     both.put(&[budget(1000)]);
     both.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(both.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
-    holders.come(50, 40);
-    let all = |holders: &Holders| holders.believed(of, false);
+    holders.add(50, 40);
+    let all = |holders: &Holders| holders.total_share(of, false);
     both.daemons.wait("nearly all is held", |_| all(&holders) >= 850).unwrap();
     // A tenth: first it is taken back, and then it holds. 40 are left for 50 holders of two at least: some have what is theirs alone.
     both.put(&[budget(100)]);
@@ -483,6 +483,6 @@
         let (held, counted) = (all(&holders), both.row().reserved);
         assert!(held <= 100 && counted <= 40, "{held} held, {counted} counted");
     }
-    let with = (0..50).filter(|who| holders.holds(*who, of) > 1).count();
+    let with = (0..50).filter(|who| holders.share(*who, of) > 1).count();
     assert!((10..=20).contains(&with), "{with} have a part");
 }
--- a/crates/lab/src/rig/holders.rs
+++ b/crates/lab/src/rig/holders.rs
@@ -1,6 +1,7 @@
-//! Members of a fleet that only hold parts of budgets, by the fleet's own limits: many on a thread, each over a connection of
-//! its own to the daemon that leads. What they believe to hold can be added up at a moment. A thread asks one after another: with some
-//! hundreds these would measure themselves. Figures at a size are `scale`'s, whose members are whole.
+//! Minimal fleet members that only hold shares of budgets, with the fleet's own limits. Several share a thread, and each has its
+//! own connection to the leader. The shares that they assume can be summed at one moment. A thread serves its members one after
+//! another, so measurements with some hundreds of them would measure the test members themselves. `scale` measures sizes, with
+//! complete members.
 
 use std::collections::VecDeque;
 use std::io::{Read as _, Write as _};
@@ -19,27 +20,27 @@
 use super::fleet::FLEET;
 
 const THREADS: usize = 8;
-const ANSWER_IN: Duration = Duration::from_secs(5);
-/// Reports whose answers may still come.
-const ASKED_MOST: usize = 16;
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest number of reports that may still be answered.
+const MAX_PENDING_REPORTS: usize = 16;
 
 #[derive(Default)]
-struct One {
+struct Holder {
     limits: Limits,
-    asked: VecDeque<(u64, Moment)>,
+    pending: VecDeque<(u64, Moment)>,
     reports: u64,
-    /// It reports no more, and its clock stands still: the flaw that the sum must show.
-    frozen: Option<Moment>,
-    wants: u64,
+    /// Time at which the holder stopped reporting and its clock stopped. The sum of the shares must show this fault.
+    frozen_at: Option<Moment>,
+    wanted: u64,
 }
 
 struct Shared {
     start: Instant,
-    over: AtomicBool,
-    all: Mutex<Vec<One>>,
+    stop: AtomicBool,
+    holders: Mutex<Vec<Holder>>,
     answers: AtomicU64,
     bytes: AtomicU64,
-    of: Vec<Resource>,
+    resources: Vec<Resource>,
     daemons: Vec<(u16, SocketAddr)>,
 }
 
@@ -48,56 +49,62 @@
         Moment::from_nanos(self.start.elapsed().as_nanos() as u64)
     }
 
-    fn all(&self) -> MutexGuard<'_, Vec<One>> {
-        self.all.lock().expect("no holder panics with the lock")
+    fn lock(&self) -> MutexGuard<'_, Vec<Holder>> {
+        self.holders.lock().expect("no holder panics with the lock")
     }
 
-    /// What a holder reports now; nothing where it is frozen.
+    /// Builds a holder's next report; `None` if it is frozen.
     fn report(&self, who: usize) -> Option<Report> {
-        let (mut all, now) = (self.all(), self.now());
-        let one = &mut all[who];
-        if one.frozen.is_some() {
+        let (mut holders, now) = (self.lock(), self.now());
+        let holder = &mut holders[who];
+        if holder.frozen_at.is_some() {
             return None;
         }
-        one.reports += 1;
-        one.asked.push_back((one.reports, now));
-        if one.asked.len() > ASKED_MOST {
-            one.asked.pop_front();
+        holder.reports += 1;
+        holder.pending.push_back((holder.reports, now));
+        if holder.pending.len() > MAX_PENDING_REPORTS {
+            holder.pending.pop_front();
         }
-        let wants = one.wants;
-        let told = one.limits.usage(now).into_iter().map(|(of, mut told)| {
-            told.wanted = wants;
-            (of, told)
+        let wanted = holder.wanted;
+        let known = holder.limits.usage(now).into_iter().map(|(resource, mut usage)| {
+            usage.wanted = wanted;
+            (resource, usage)
         });
-        let mut uses: Vec<_> = told.collect();
-        for of in self.of.iter().filter(|of| !uses.iter().any(|(told, _)| told == *of)).collect::<Vec<_>>() {
-            uses.push((*of, appledyke_fleet::limits::Usage { wanted: wants, ..Default::default() }));
+        let mut usage: Vec<_> = known.collect();
+        for resource in self
+            .resources
+            .iter()
+            .filter(|resource| !usage.iter().any(|(known, _)| known == *resource))
+            .collect::<Vec<_>>()
+        {
+            usage.push((*resource, appledyke_fleet::limits::Usage { wanted, ..Default::default() }));
         }
         Some(Report {
             name: format!("h{who}"),
             incarnation: 1,
             process_nonce: 1,
             status: MemberStatus::Serving,
-            number: one.reports,
-            usage: uses,
+            number: holder.reports,
+            usage,
             ..Report::default()
         })
     }
 
-    fn told(&self, who: usize, told: &ReportAnswer) {
+    fn apply_answer(&self, who: usize, answer: &ReportAnswer) {
         self.answers.fetch_add(1, Ordering::Relaxed);
-        let mut all = self.all();
-        let one = &mut all[who];
-        let asked = one.asked.iter().find(|(number, _)| *number == told.number).map(|(_, at)| *at);
-        if let (Some(asked), Some(grants)) = (asked, &told.grants) {
-            one.limits.apply_grants(asked, grants);
+        let mut holders = self.lock();
+        let holder = &mut holders[who];
+        let reported_at =
+            holder.pending.iter().find(|(number, _)| *number == answer.number).map(|(_, at)| *at);
+        if let (Some(reported_at), Some(grants)) = (reported_at, &answer.grants) {
+            holder.limits.apply_grants(reported_at, grants);
         }
     }
 }
 
 pub struct Holders {
     shared: Arc<Shared>,
-    beat: Duration,
+    heartbeat: Duration,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
@@ -110,28 +117,28 @@
     fn new(at: SocketAddr, who: usize) -> std::io::Result<Link> {
         let mut stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(ANSWER_IN))?;
+        stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
         let mut out = Vec::new();
         Frame::hello(FLEET, Initiator::Member { name: format!("h{who}") }).write(&mut out);
         stream.write_all(&out)?;
         Ok(Link { stream, frames: FrameReader::default() })
     }
 
-    /// The answer to a report, and the bytes that moved for both.
-    fn told(&mut self, report: Report, piece: &mut [u8]) -> std::io::Result<(ReportAnswer, usize)> {
+    /// Sends a report and returns the answer and the bytes of both.
+    fn send_report(&mut self, report: Report, buffer: &mut [u8]) -> std::io::Result<(ReportAnswer, usize)> {
         let mut out = Vec::new();
         Frame::Report(report).write(&mut out);
         self.stream.write_all(&out)?;
-        let mut moved = out.len();
+        let mut bytes = out.len();
         loop {
             match self.frames.pop().map_err(std::io::Error::other)? {
-                Some(Frame::ReportAnswer(told)) => return Ok((told, moved)),
+                Some(Frame::ReportAnswer(answer)) => return Ok((answer, bytes)),
                 Some(_) => {}
-                None => match self.stream.read(piece)? {
+                None => match self.stream.read(buffer)? {
                     0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
                     read => {
-                        moved += read;
-                        self.frames.push(&piece[..read]);
+                        bytes += read;
+                        self.frames.push(&buffer[..read]);
                     }
                 },
             }
@@ -139,79 +146,80 @@
     }
 }
 
-struct Open {
+struct Reporter {
     who: usize,
-    /// Which of the daemons it asks.
-    to: usize,
+    /// Index of the daemon that it reports to.
+    daemon: usize,
     link: Option<Link>,
 }
 
-impl Open {
-    fn new(shared: &Shared, who: usize) -> Open {
-        Open { who, to: 0, link: Link::new(shared.daemons[0].1, who).ok() }
+impl Reporter {
+    fn new(shared: &Shared, who: usize) -> Reporter {
+        Reporter { who, daemon: 0, link: Link::new(shared.daemons[0].1, who).ok() }
     }
 
-    /// One report and its answer. Danger: on a busy machine another daemon comes to lead, and who goes on asking the one
-    /// before, or asks nobody once a connection has ended, is granted nothing any more: no flaw of the fleet's.
-    fn beat(&mut self, shared: &Shared, piece: &mut [u8]) {
+    /// Sends one report and applies its answer. Danger: on a busy machine the leader may change. A member that keeps reporting
+    /// to the former leader, or does not reconnect, gets no more grants, which would be an error of the test and not of the fleet.
+    fn report(&mut self, shared: &Shared, buffer: &mut [u8]) {
         let Some(report) = shared.report(self.who) else { return };
-        let link = self.link.take().map_or_else(|| Link::new(shared.daemons[self.to].1, self.who), Ok);
-        let told = link.and_then(|mut link| {
-            let (told, moved) = link.told(report, piece)?;
-            Ok((told, moved, link))
+        let link = self.link.take().map_or_else(|| Link::new(shared.daemons[self.daemon].1, self.who), Ok);
+        let result = link.and_then(|mut link| {
+            let (answer, bytes) = link.send_report(report, buffer)?;
+            Ok((answer, bytes, link))
         });
-        match told {
-            Ok((told, moved, link)) => {
-                shared.told(self.who, &told);
-                shared.bytes.fetch_add(moved as u64, Ordering::Relaxed);
-                let leader = told.leader.filter(|_| !told.is_leader);
-                let other = leader.and_then(|leader| shared.daemons.iter().position(|(at, _)| *at == leader));
-                match other.filter(|other| *other != self.to) {
-                    Some(other) => self.to = other,
+        match result {
+            Ok((answer, bytes, link)) => {
+                shared.apply_answer(self.who, &answer);
+                shared.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+                let leader = answer.leader.filter(|_| !answer.is_leader);
+                let other = leader
+                    .and_then(|leader| shared.daemons.iter().position(|(replica, _)| *replica == leader));
+                match other.filter(|other| *other != self.daemon) {
+                    Some(other) => self.daemon = other,
                     None => self.link = Some(link),
                 }
             }
-            Err(_) => self.to = (self.to + 1) % shared.daemons.len(),
+            Err(_) => self.daemon = (self.daemon + 1) % shared.daemons.len(),
         }
     }
 }
 
 impl Holders {
-    /// None yet, for the daemons of these places, one at the least, which listen there.
-    pub fn new(daemons: Vec<(u16, SocketAddr)>, beat: Duration, of: &[Resource]) -> Holders {
+    /// Creates an empty set of holders for at least one daemon, given by replica id and address.
+    pub fn new(daemons: Vec<(u16, SocketAddr)>, heartbeat: Duration, resources: &[Resource]) -> Holders {
         let shared = Shared {
             start: Instant::now(),
-            over: AtomicBool::new(false),
-            all: Mutex::new(Vec::new()),
+            stop: AtomicBool::new(false),
+            holders: Mutex::new(Vec::new()),
             answers: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
-            of: of.to_vec(),
+            resources: resources.to_vec(),
             daemons,
         };
-        Holders { shared: Arc::new(shared), beat, threads: Vec::new() }
+        Holders { shared: Arc::new(shared), heartbeat, threads: Vec::new() }
     }
 
-    /// So many more come at once, each wanting so much.
-    pub fn come(&mut self, count: usize, wants: u64) {
+    /// Adds `count` holders at once, each of which asks for `wanted` of every budget.
+    pub fn add(&mut self, count: usize, wanted: u64) {
         let first = {
-            let mut all = self.shared.all();
-            let first = all.len();
-            all.extend((0..count).map(|_| One { wants, ..One::default() }));
+            let mut holders = self.shared.lock();
+            let first = holders.len();
+            holders.extend((0..count).map(|_| Holder { wanted, ..Holder::default() }));
             first
         };
         for thread in 0..THREADS.min(count) {
-            let (shared, beat) = (self.shared.clone(), self.beat);
+            let (shared, heartbeat) = (self.shared.clone(), self.heartbeat);
             self.threads.push(thread::spawn(move || {
                 let who = (first + thread..first + count).step_by(THREADS);
-                let mut open: Vec<Open> = who.map(|who| Open::new(&shared, who)).collect();
-                let (pause, mut piece) = (beat / open.len().max(1) as u32, vec![0; 64 * 1024]);
-                while !shared.over.load(Ordering::Relaxed) {
-                    for one in &mut open {
+                let mut open: Vec<Reporter> = who.map(|who| Reporter::new(&shared, who)).collect();
+                let (pause, mut buffer) = (heartbeat / open.len().max(1) as u32, vec![0; 64 * 1024]);
+                while !shared.stop.load(Ordering::Relaxed) {
+                    for holder in &mut open {
                         let start = Instant::now();
-                        if shared.over.load(Ordering::Relaxed) {
+                        if shared.stop.load(Ordering::Relaxed) {
                             break;
                         }
-                        one.beat(&shared, &mut piece);
+                        holder.report(&shared, &mut buffer);
                         thread::sleep(pause.saturating_sub(start.elapsed()));
                     }
                 }
@@ -219,39 +227,40 @@
         }
     }
 
-    pub fn wants(&self, who: usize, wants: u64) {
-        self.shared.all()[who].wants = wants;
+    pub fn set_wanted(&self, who: usize, wanted: u64) {
+        self.shared.lock()[who].wanted = wanted;
     }
 
-    /// These report no more, and their clocks stand still.
+    /// Makes holders stop reporting, and stops their clocks.
     pub fn freeze(&self, who: std::ops::Range<usize>) {
         let now = self.shared.now();
-        self.shared.all()[who].iter_mut().for_each(|one| one.frozen = Some(now));
+        self.shared.lock()[who].iter_mut().for_each(|holder| holder.frozen_at = Some(now));
     }
 
-    /// How often this one has reported: its own clock, where the machine is busy.
+    /// Returns how often a holder has reported, as a measure of its progress on a busy machine.
     pub fn reports(&self, who: usize) -> u64 {
-        self.shared.all()[who].reports
+        self.shared.lock()[who].reports
     }
 
-    /// What one believes that it may use now.
-    pub fn holds(&self, who: usize, of: Resource) -> u64 {
-        let (all, now) = (self.shared.all(), self.shared.now());
-        all[who].limits.allowed(now, of).unwrap_or(0)
+    /// Returns the share that a holder assumes to have now.
+    pub fn share(&self, who: usize, resource: Resource) -> u64 {
+        let (holders, now) = (self.shared.lock(), self.shared.now());
+        holders[who].limits.allowed(now, resource).unwrap_or(0)
     }
 
-    /// What all believe together that they may use now; frozen ones by their own clocks if `flawed`.
-    pub fn believed(&self, of: Resource, flawed: bool) -> u64 {
-        let (all, now) = (self.shared.all(), self.shared.now());
-        let at = |one: &One| one.frozen.filter(|_| flawed).unwrap_or(now);
-        all.iter().map(|one| one.limits.allowed(at(one), of).unwrap_or(0)).sum()
+    /// Returns the sum of the shares that all holders assume to have now. Frozen holders use their stopped clocks if
+    /// `stopped_clocks` is set.
+    pub fn total_share(&self, resource: Resource, stopped_clocks: bool) -> u64 {
+        let (holders, now) = (self.shared.lock(), self.shared.now());
+        let at = |holder: &Holder| holder.frozen_at.filter(|_| stopped_clocks).unwrap_or(now);
+        holders.iter().map(|holder| holder.limits.allowed(at(holder), resource).unwrap_or(0)).sum()
     }
 
     pub fn count(&self) -> usize {
-        self.shared.all().len()
+        self.shared.lock().len()
     }
 
-    /// Answers that have come, and bytes both ways.
+    /// Returns the answers received, and the bytes in both directions.
     pub fn traffic(&self) -> (u64, u64) {
         (self.shared.answers.load(Ordering::Relaxed), self.shared.bytes.load(Ordering::Relaxed))
     }
@@ -259,7 +268,7 @@
 
 impl Drop for Holders {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
+        self.shared.stop.store(true, Ordering::Relaxed);
         self.threads.drain(..).for_each(|thread| drop(thread.join()));
     }
 }
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -1,4 +1,5 @@
-//! What a fleet's daemons cost and how long they take, on real processes: each figure beside the time that the settings state.
+//! Measures latency and resource use of a fleet's daemons, run as processes. Each result is given with the time in the settings
+//! that it relates to.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,10 +15,10 @@
 use super::holders::Holders;
 use super::sidecars::{Clients, Endpoint, How, Sidecars, max_in_window, request};
 
-/// Clock ticks a second in the system's account of a process's time.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second in the processor times of `/proc/ID/stat`.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The programs, where files may be, and a sidecar's configuration as a base.
+/// The programs, the folder of the run's files, and the base configuration of sidecars.
 pub struct Bench<'a> {
     pub daemon: &'a Path,
     pub sidecar: &'a Path,
@@ -32,28 +33,29 @@
     )
 }
 
-fn quantile(times: &mut [f64], part: f64) -> f64 {
+fn quantile(times: &mut [f64], fraction: f64) -> f64 {
     times.sort_by(f64::total_cmp);
-    times.get(((times.len() as f64 - 1.0) * part).round() as usize).copied().unwrap_or(0.0)
+    times.get(((times.len() as f64 - 1.0) * fraction).round() as usize).copied().unwrap_or(0.0)
 }
 
-/// Seconds of processor time that a process has used.
-fn used(id: u32) -> f64 {
+/// Returns the processor time that a process has used, in seconds.
+fn processor_seconds(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let after = text.rsplit(") ").next().unwrap_or_default();
     let fields: Vec<f64> = after.split(' ').map(|field| field.parse().unwrap_or(0.0)).collect();
-    fields.get(11..13).map_or(0.0, |times| times.iter().sum::<f64>() / TICKS)
+    fields.get(11..13).map_or(0.0, |times| times.iter().sum::<f64>() / TICKS_PER_SECOND)
 }
 
-/// A leader's processor time, entries, reports and bytes a second while something is done.
+/// Returns a leader's processor time, and entries, reports and bytes per second, while `during` runs.
 fn load(daemons: &mut Daemons, leader: u16, holders: &Holders, during: impl FnOnce()) -> Map<String, Value> {
     let id = daemons.process(leader).id();
     let applied = |daemons: &Daemons| daemons.status(leader).map_or(0, |status| status.applied);
-    let (cpu, traffic, entries, start) = (used(id), holders.traffic(), applied(daemons), Instant::now());
+    let (cpu, traffic, entries, start) =
+        (processor_seconds(id), holders.traffic(), applied(daemons), Instant::now());
     during();
     let (secs, now) = (start.elapsed().as_secs_f64(), holders.traffic());
     let rows = [
-        ("processor_share", (used(id) - cpu) / secs),
+        ("processor_share", (processor_seconds(id) - cpu) / secs),
         ("entries_a_second", (applied(daemons) - entries) as f64 / secs),
         ("reports_a_second", (now.0 - traffic.0) as f64 / secs),
         ("bytes_a_second", (now.1 - traffic.1) as f64 / secs),
@@ -68,10 +70,10 @@
         Ok(daemons)
     }
 
-    /// Milliseconds from a put to its answer, one after another.
+    /// Measures the latency of sequential writes in milliseconds.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn commits(&self, puts: usize) -> Result<Value, String> {
         let mut daemons = self.fleet("commits", Shape { compact_every: 100_000, ..Shape::default() })?;
         let leader = daemons.wait_for_leader()?;
@@ -90,10 +92,10 @@
         )
     }
 
-    /// From the killing of a leader to the first put that is committed after it, in elections.
+    /// Measures the time from the kill of a leader to the next committed write, in multiples of the election timeout.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn elections(&self, rounds: usize) -> Result<Value, String> {
         let shape = Shape::default();
         let mut daemons = self.fleet("elections", shape)?;
@@ -112,10 +114,10 @@
         )
     }
 
-    /// From the start of a daemon to its place in the same state, after so many entries.
+    /// Measures the time from the start of a follower until it has applied all entries again.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn recovery(&self, entries: usize, compact_every: u64) -> Result<Value, String> {
         let mut daemons =
             self.fleet("recovery", Shape { compact_every, compare_every: 1_000_000, ..Shape::default() })?;
@@ -124,15 +126,16 @@
         }
         daemons.wait_for_same_state()?;
         let leader = daemons.wait_for_leader()?;
-        let place = daemons.replicas().find(|place| *place != leader).ok_or("alone")?;
-        let bytes = std::fs::metadata(daemons.folder(place).join("log.0")).map_or(0, |file| file.len());
+        let replica =
+            daemons.replicas().find(|replica| *replica != leader).ok_or("the fleet has no follower")?;
+        let bytes = std::fs::metadata(daemons.folder(replica).join("log.0")).map_or(0, |file| file.len());
         let mut times = Vec::new();
         for _ in 0..5 {
-            daemons.kill(place);
+            daemons.kill(replica);
             let start = Instant::now();
-            daemons.start(place)?;
-            daemons.wait("it is back", |fleet| {
-                fleet.status(place).is_some_and(|s| s.role == "Follower" && s.applied >= entries as u64)
+            daemons.start(replica)?;
+            daemons.wait("the follower to catch up", |fleet| {
+                fleet.status(replica).is_some_and(|s| s.role == "Follower" && s.applied >= entries as u64)
             })?;
             times.push(start.elapsed().as_secs_f64() * 1e3);
         }
@@ -141,18 +144,18 @@
         )
     }
 
-    /// A leader's processor time and bytes a second with so many members that report at this beat.
+    /// Measures a leader's processor time and bytes per second with a number of members at a heartbeat interval.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn members(&self, members: usize, beat: Duration, lasts: Duration) -> Result<Value, String> {
         let shape =
             Shape { election_ms: 1000, beat_ms: 100, lease_ms: 5000, compact_every: 512, ..Shape::default() };
         let mut daemons = self.fleet("members", shape)?;
         let leader = daemons.wait_for_leader()?;
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &[]);
-        holders.come(members, 0);
-        daemons.wait("all are members", |fleet| {
+        holders.add(members, 0);
+        daemons.wait("all members to serve", |fleet| {
             matches!(fleet.ask(&OperatorRequest::Members, PATIENCE), Ok(OperatorReply::Members(rows))
                 if rows.iter().filter(|row| row.status == Member::Serving).count() == members)
         })?;
@@ -162,13 +165,14 @@
         Ok(figures)
     }
 
-    /// A leader's processor time, entries and bytes a second with so many holders of so many budgets: while what they want
-    /// stands still, and while a tenth of them wants otherwise each second; and how long one that gets hot waits.
+    /// Measures a leader's processor time, and entries and bytes per second, with a number of holders and budgets: with constant
+    /// demand, and while a tenth of the holders changes its demand each second. Also measures how long a holder with a sudden
+    /// high demand waits for its share.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn holders(&self, members: usize, budgets: usize, lasts: Duration) -> Result<Vec<Value>, String> {
-        const WANTS: u64 = 10;
+        const WANTED: u64 = 10;
         let beat = Duration::from_millis(500);
         let shape =
             Shape { election_ms: 1000, beat_ms: 100, lease_ms: 5000, compact_every: 512, ..Shape::default() };
@@ -191,9 +195,9 @@
         daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         let leader = daemons.wait_for_leader()?;
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &of);
-        holders.come(members, WANTS);
-        daemons.wait("all have their parts", |_| {
-            (0..members).all(|who| of.iter().all(|of| holders.holds(who, *of) >= WANTS))
+        holders.add(members, WANTED);
+        daemons.wait("all holders to get their shares", |_| {
+            (0..members).all(|who| of.iter().all(|of| holders.share(who, *of) >= WANTED))
         })?;
         std::thread::sleep(Duration::from_secs(2));
         let mut figures = Vec::new();
@@ -203,7 +207,7 @@
                 let mut round = 0;
                 while start.elapsed() < lasts {
                     for who in (0..members).filter(|who| moves && (who + round) % 10 == 0) {
-                        holders.wants(who, if round % 2 == 0 { 3 * WANTS } else { WANTS });
+                        holders.set_wanted(who, if round % 2 == 0 { 3 * WANTED } else { WANTED });
                     }
                     round += 1;
                     std::thread::sleep(Duration::from_secs(1).min(lasts));
@@ -214,12 +218,12 @@
             row.as_object_mut().expect("an object").extend(load);
             figures.push(row);
         }
-        (0..members).for_each(|who| holders.wants(who, WANTS));
+        (0..members).for_each(|who| holders.set_wanted(who, WANTED));
         std::thread::sleep(Duration::from_secs(5));
-        let hot = (3 * WANTS).max(count / 5);
-        holders.wants(0, hot);
+        let hot = (3 * WANTED).max(count / 5);
+        holders.set_wanted(0, hot);
         let start = Instant::now();
-        daemons.wait("the hot one has what it wants", |_| holders.holds(0, of[0]) * 10 >= hot * 9)?;
+        daemons.wait("the hot holder to get its share", |_| holders.share(0, of[0]) * 10 >= hot * 9)?;
         figures.push(json!({
             "what": "hot", "members": members, "budgets": budgets, "wants": hot,
             "secs": start.elapsed().as_secs_f64(),
@@ -227,15 +231,15 @@
         Ok(figures)
     }
 
-    /// What those that return send in vain within the first seconds, with daemons and without: twelve sidecars before
-    /// sixteen endpoints, of which two fail.
+    /// Measures how many requests restarted sidecars send to failing endpoints in the first seconds, with or without daemons:
+    /// twelve sidecars in front of sixteen endpoints, of which two fail.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn returns(&self, with: bool, lasts: Duration) -> Result<Value, String> {
         let mut daemons = self.fleet("returns", Shape::default())?;
         let at: Vec<_> = if with {
-            daemons.replicas().map(|place| (place, daemons.at(place))).collect()
+            daemons.replicas().map(|replica| (replica, daemons.at(replica))).collect()
         } else {
             Vec::new()
         };
@@ -246,59 +250,59 @@
         }
         sidecars.endpoints[..2].iter().for_each(|endpoint| endpoint.set_behavior(How::Fails));
         let bad = |sidecars: &Sidecars| sidecars.endpoints[..2].iter().map(Endpoint::requests).sum::<u64>();
-        let play = |sidecars: &Sidecars, who: &[usize], lasts: Duration| {
+        let send = |sidecars: &Sidecars, who: &[usize], lasts: Duration| {
             let to: Vec<SocketAddr> = who.iter().map(|number| sidecars.at(&name(*number))).collect();
             let until = Instant::now() + lasts;
             std::thread::scope(|scope| {
                 let one = |at: SocketAddr| {
                     scope.spawn(move || {
-                        let mut asked = 0;
+                        let mut sent = 0;
                         while Instant::now() < until {
                             let _ = request(at, "/menu/1");
-                            asked += 1;
+                            sent += 1;
                             std::thread::sleep(Duration::from_millis(5));
                         }
-                        asked
+                        sent
                     })
                 };
                 let asked: Vec<_> = to.into_iter().map(one).collect();
                 asked.into_iter().map(|one| one.join().unwrap_or(0)).sum::<u64>()
             })
         };
-        play(&sidecars, &(0..12).collect::<Vec<_>>(), lasts);
+        send(&sidecars, &(0..12).collect::<Vec<_>>(), lasts);
         for number in 0..4 {
             sidecars.kill(&name(number));
             sidecars.start(&name(number), &at, 200)?;
         }
         let before = bad(&sidecars);
-        let asked = play(&sidecars, &[0, 1, 2, 3], lasts);
-        let vain = bad(&sidecars) - before;
-        for place in daemons.replicas() {
-            daemons.kill(place);
+        let asked = send(&sidecars, &[0, 1, 2, 3], lasts);
+        let failed = bad(&sidecars) - before;
+        for replica in daemons.replicas() {
+            daemons.kill(replica);
         }
-        Ok(json!({"what": "returns", "daemons": with, "reqs": asked, "to_bad_endpoints": vain}))
+        Ok(json!({"what": "returns", "daemons": with, "reqs": asked, "to_bad_endpoints": failed}))
     }
 
-    /// The share of a whole that twelve sidecars use while their clients want more than it, with a spread of one to ten:
-    /// divided by daemons, or cut alike for each.
+    /// Measures the share of a quota that twelve sidecars use while their clients demand more than the quota, with demands in
+    /// the ratio of one to ten. The quota is divided by daemons, or into equal shares.
     ///
     /// # Errors
-    /// What did not run.
+    /// What failed to run.
     pub fn budgets(&self, divided: bool, lasts: Duration) -> Result<Value, String> {
         const MEMBERS: u64 = 12;
-        const WHOLE: u64 = 600;
+        const QUOTA: u64 = 600;
         let mut daemons = self.fleet("budgets", Shape::default())?;
-        let alone = if divided { 1 } else { WHOLE / MEMBERS };
+        let standalone_share = if divided { 1 } else { QUOTA / MEMBERS };
         let budget = Budget {
             resource: Resource::Attempts,
-            quota: WHOLE,
+            quota: QUOTA,
             window_ms: 1000,
             min_share: 2,
-            standalone_share: alone,
+            standalone_share,
             max_members: MEMBERS,
         };
         let at: Vec<_> = if divided {
-            daemons.replicas().map(|place| (place, daemons.at(place))).collect()
+            daemons.replicas().map(|replica| (replica, daemons.at(replica))).collect()
         } else {
             vec![(1, SocketAddr::from(([127, 0, 0, 1], 1)))]
         };
@@ -308,12 +312,12 @@
             daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
         }
         let mut sidecars = Sidecars::new(&self.folder.join("budgets-sidecars"), self.sidecar, self.base, 8)?;
-        sidecars.set_alone(json!({"write-outs": {"part": alone, "windowMs": 1000}}));
+        sidecars.set_alone(json!({"write-outs": {"part": standalone_share, "windowMs": 1000}}));
         let mut clients = Vec::new();
         for number in 0..MEMBERS {
             let name = format!("s{number}");
             sidecars.start(&name, &at, 200)?;
-            // From ten to a hundred and some a second.
+            // 10 to 110 requests per second.
             let wants = 10 + 100 * number / (MEMBERS - 1);
             let pause = Duration::from_secs_f64(1.0 / wants as f64);
             clients.push(Clients::start(&[sidecars.at(&name)], "/menu/1", pause));
@@ -332,7 +336,7 @@
         };
         clients.into_iter().for_each(|clients| drop(clients.stop()));
         Ok(
-            json!({"what": "budgets", "divided": divided, "used": used / WHOLE as f64, "most_in_a_window": most, "whole": WHOLE, "entries": entries}),
+            json!({"what": "budgets", "divided": divided, "used": used / QUOTA as f64, "most_in_a_window": most, "whole": QUOTA, "entries": entries}),
         )
     }
 }
