--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -8,11 +8,11 @@
 use appledyke_fleet::budgets::{Budget, Resource};
 use appledyke_fleet::messages::{BudgetRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
 use appledyke_lab::rig::holders::Holders;
 use appledyke_lab::rig::links::LinkState;
 use appledyke_lab::rig::processes::workspace_program;
-use appledyke_lab::rig::sidecars::{Clients, Endpoint, How, Sidecars, entry, max_in_window};
+use appledyke_lab::rig::sidecars::{Behavior, Clients, Endpoint, Sidecars, entry, max_in_window};
 use serde_json::json;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -68,13 +68,13 @@
         let write =
             self.daemons.new_write(SettingsChange::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
         assert!(matches!(
-            self.daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            self.daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT),
             Ok(OperatorReply::Committed(_))
         ));
     }
 
     fn row(&self) -> BudgetRow {
-        match self.daemons.ask(&OperatorRequest::Budgets, PATIENCE) {
+        match self.daemons.ask(&OperatorRequest::Budgets, WAIT_TIMEOUT) {
             Ok(OperatorReply::Budgets(rows)) if rows.len() == 1 => rows[0].clone(),
             other => panic!("{other:?}"),
         }
@@ -227,12 +227,12 @@
     let most: Vec<u64> = both.sidecars.endpoints.iter().map(Endpoint::peak_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     both.sidecars.kill("s2");
-    let Ok(OperatorReply::Members(rows)) = both.daemons.ask(&OperatorRequest::Members, PATIENCE) else {
+    let Ok(OperatorReply::Members(rows)) = both.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) else {
         panic!()
     };
     let gone = rows.into_iter().find(|row| row.name == "s2").unwrap();
     let ended = OperatorRequest::MarkEnded { name: gone.name, incarnation: gone.incarnation };
-    assert_eq!(both.daemons.ask(&ended, PATIENCE), Ok(OperatorReply::Done));
+    assert_eq!(both.daemons.ask(&ended, WAIT_TIMEOUT), Ok(OperatorReply::Done));
     both.daemons.wait("what it held is free", |_| both.row().holders == 2).unwrap();
     // One that comes back says by its lock that no other process of its name is there.
     both.sidecars.kill("s1");
@@ -283,7 +283,7 @@
     };
     let mut both = Both::begin("cap", 1, json!({}));
     both.put(&[budget]);
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(How::Hangs));
+    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Hangs));
     let most = |both: &Both| both.sidecars.endpoints.iter().map(Endpoint::peak_open).max().unwrap();
     both.daemons.wait("it has its part", |_| both.row().holders == 1).unwrap();
     let clients = both.load(&["s0"; 3]);
@@ -349,7 +349,7 @@
         // What was on its way when the list said so is not counted.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
-        let granted = |both: &Both| matches!(both.daemons.ask(&OperatorRequest::Budgets, PATIENCE), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
+        let granted = |both: &Both| matches!(both.daemons.ask(&OperatorRequest::Budgets, WAIT_TIMEOUT), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
         both.daemons.wait("its parts are granted", |_| granted(&both)).unwrap();
         std::thread::sleep(2 * WINDOW);
         let reqs = |at: usize| {
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -7,7 +7,7 @@
 use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::messages::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
 use appledyke_lab::rig::links::{Flow, LinkState};
 use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
@@ -30,7 +30,7 @@
         let write =
             daemons.new_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
         assert!(matches!(
-            daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT),
             Ok(OperatorReply::Committed(_))
         ));
         let mut sidecars =
@@ -49,7 +49,7 @@
     }
 
     fn rows(&self) -> Vec<MemberRow> {
-        match self.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+        match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
             Ok(OperatorReply::Members(rows)) => rows,
             other => panic!("{other:?}"),
         }
@@ -142,11 +142,14 @@
     assert!(both.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
     // It cannot be forgotten by mistake while it serves; one that never comes back makes the group smaller.
     assert!(matches!(
-        both.daemons.ask(&OperatorRequest::Forget("s1".into()), PATIENCE),
+        both.daemons.ask(&OperatorRequest::Forget("s1".into()), WAIT_TIMEOUT),
         Ok(OperatorReply::Refused(_))
     ));
     both.sidecars.kill("s2");
-    assert_eq!(both.daemons.ask(&OperatorRequest::Forget("s2".into()), PATIENCE), Ok(OperatorReply::Done));
+    assert_eq!(
+        both.daemons.ask(&OperatorRequest::Forget("s2".into()), WAIT_TIMEOUT),
+        Ok(OperatorReply::Done)
+    );
     assert_eq!(both.drain(&["s1".to_string()]), ["200 drains\n"]);
     // SIGTERM is not refused: who leaves is out, and holds the others back.
     both.sidecars.command("s1", "resume\n").unwrap();
@@ -264,7 +267,7 @@
 #[test]
 fn an_endpoint_out_of_service_is_empty_only_once_every_member_says_so() {
     let mut both = Both::begin("endpoint", 3, &most(1));
-    let ask = |both: &Both, asked: OperatorRequest| both.daemons.ask(&asked, PATIENCE).unwrap();
+    let ask = |both: &Both, asked: OperatorRequest| both.daemons.ask(&asked, WAIT_TIMEOUT).unwrap();
     let view = |both: &Both| {
         for name in names(3).iter().cycle().take(60) {
             let _ = request(both.sidecars.at(name), "/menu/1");
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -7,10 +7,10 @@
 use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
 use appledyke_lab::rig::links::LinkState;
 use appledyke_lab::rig::processes::workspace_program;
-use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, request};
+use appledyke_lab::rig::sidecars::{Behavior, Clients, Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 60;
@@ -45,7 +45,7 @@
     }
 
     fn members(&self) -> Vec<(String, MemberStatus, Option<Version>)> {
-        match self.daemons.ask(&OperatorRequest::Members, PATIENCE).unwrap() {
+        match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT).unwrap() {
             OperatorReply::Members(rows) => {
                 rows.into_iter().map(|row| (row.name, row.status, row.version)).collect()
             }
@@ -100,7 +100,7 @@
         both.daemons.new_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
     let at = both.daemons.at(old);
     let asked = std::thread::spawn(move || {
-        appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), PATIENCE)
+        appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), WAIT_TIMEOUT)
     });
     both.daemons.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let second = both.daemons.put(&with_method("bread")).unwrap();
@@ -115,7 +115,8 @@
     assert!(!matches!(asked.join().unwrap(), Ok(OperatorReply::Committed(version)) if version <= second));
     // A way back is a way forwards.
     let back = both.daemons.new_write(SettingsChange::Rollback(first), None);
-    let OperatorReply::Committed(third) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+    let OperatorReply::Committed(third) =
+        both.daemons.ask(&OperatorRequest::Write(back), WAIT_TIMEOUT).unwrap()
     else {
         panic!()
     };
@@ -127,7 +128,7 @@
 fn who_leaves_is_gone_who_is_killed_or_stopped_is_silent_and_who_goes_on_catches_up() {
     let mut both = Both::begin("standing", 3);
     both.sidecars.process("s0").terminate();
-    assert!(both.sidecars.process("s0").wait_for_exit(PATIENCE).unwrap().success());
+    assert!(both.sidecars.process("s0").wait_for_exit(WAIT_TIMEOUT).unwrap().success());
     both.stands("s0", MemberStatus::Gone);
     both.sidecars.kill("s1");
     both.stands("s1", MemberStatus::Silent);
@@ -136,7 +137,8 @@
     both.stands("s2", MemberStatus::Silent);
     let first = both.daemons.put(&with_method("soup")).unwrap();
     let back = both.daemons.new_write(SettingsChange::Rollback(first), None);
-    let OperatorReply::Committed(second) = both.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+    let OperatorReply::Committed(second) =
+        both.daemons.ask(&OperatorRequest::Write(back), WAIT_TIMEOUT).unwrap()
     else {
         panic!()
     };
@@ -180,7 +182,7 @@
     let (line, _) = both
         .sidecars
         .process("s1")
-        .wait_for_line(0, PATIENCE, |line| line.contains("it starts with the file's own"))
+        .wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("it starts with the file's own"))
         .unwrap();
     assert!(line.contains("settings.methods"), "{line}");
     assert_eq!(request(both.sidecars.at("s1"), "/menu/1"), Some(200));
@@ -225,7 +227,7 @@
 #[test]
 fn what_one_has_learnt_is_heard_by_those_that_return() {
     let mut both = Both::begin("evidence", 2);
-    both.sidecars.endpoints[0].set_behavior(How::Fails);
+    both.sidecars.endpoints[0].set_behavior(Behavior::Fails);
     for _ in 0..60 {
         let _ = request(both.sidecars.at("s0"), "/menu/1");
     }
@@ -262,7 +264,7 @@
     let at: Vec<_> = both.daemons.replicas().map(|place| (place, both.daemons.at(place))).collect();
     twin.start("s0", &at, BEAT_MS).unwrap();
     let later = |line: &str| line.contains("a later process has taken this name");
-    both.sidecars.process("s0").wait_for_line(0, PATIENCE, later).unwrap();
+    both.sidecars.process("s0").wait_for_line(0, WAIT_TIMEOUT, later).unwrap();
     assert!(!twin.process("s0").log().iter().any(|line| later(line)));
 }
 
@@ -321,7 +323,7 @@
     use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report};
     let name = "copy".to_string();
     let mut stream = std::net::TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut out = Vec::new();
     Frame::hello("rig", Initiator::Member { name: name.clone() }).write(&mut out);
     Frame::Report(Report { name, incarnation, process_nonce: process, ..Report::default() }).write(&mut out);
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -7,7 +7,7 @@
 
 use appledyke_consensus::Id;
 use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report, ReportAnswer};
-use appledyke_lab::rig::fleet::PATIENCE;
+use appledyke_lab::rig::fleet::WAIT_TIMEOUT;
 use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::Sidecars;
 
@@ -82,7 +82,7 @@
         let mut sidecars =
             Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
         sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
-        let next = || heard.recv_timeout(PATIENCE).expect("the sidecar says something");
+        let next = || heard.recv_timeout(WAIT_TIMEOUT).expect("the sidecar says something");
         let version = || match next() {
             Frame::Hello { version, who: Initiator::Member { name }, .. } if name == "s0" => version,
             other => panic!("{other:?}"),
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -10,7 +10,7 @@
 use appledyke_fleet::messages::{Frame, Initiator, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
 use appledyke_fleet::{Command, Version};
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape, ask};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT, ask};
 use appledyke_lab::rig::folders;
 use appledyke_lab::rig::links::{Flow, LinkState};
 use appledyke_store::Store;
@@ -134,7 +134,7 @@
     let write = fleet.new_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
     let at = fleet.at(old);
     let asked = [OperatorRequest::Get(None), OperatorRequest::Write(write)]
-        .map(|question| std::thread::spawn(move || ask(at, &question, PATIENCE)));
+        .map(|question| std::thread::spawn(move || ask(at, &question, WAIT_TIMEOUT)));
     std::thread::sleep(Duration::from_millis(100));
     fleet.process(old).resume();
     let [read, put] = asked.map(|thread| thread.join().unwrap());
@@ -160,7 +160,7 @@
     fleet.set_links_of(old, LinkState::partitioned());
     let write = fleet.new_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
     let at = fleet.at(old);
-    let put = std::thread::spawn(move || ask(at, &OperatorRequest::Write(write), PATIENCE));
+    let put = std::thread::spawn(move || ask(at, &OperatorRequest::Write(write), WAIT_TIMEOUT));
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let version = fleet.put(&settings(3)).unwrap();
     fleet.set_links_of(old, LinkState::default());
@@ -323,10 +323,10 @@
     // It took effect, and its teller never heard. The leader goes; another says what came of it.
     fleet.kill(leader);
     fleet.client_link(leader).set_state(LinkState::default());
-    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
+    assert_eq!(fleet.ask(&write, WAIT_TIMEOUT).unwrap(), OperatorReply::Committed(number(1)));
     fleet.start(leader).unwrap();
     fleet.wait_for_same_state().unwrap();
-    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
+    assert_eq!(fleet.ask(&write, WAIT_TIMEOUT).unwrap(), OperatorReply::Committed(number(1)));
     assert_eq!(fleet.history().unwrap().len(), 1);
 }
 
@@ -368,7 +368,7 @@
     }
     let (line, _) = fleet
         .process(struck)
-        .wait_for_line(0, PATIENCE, |line| line.contains("differs from a majority's"))
+        .wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("differs from a majority's"))
         .unwrap();
     assert!(line.contains("stops serving"), "{line}");
     let after = fleet.wait_for_same_state().unwrap();
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -14,11 +14,11 @@
     Action, FORMAT, Plan, Release, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
 };
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
 use appledyke_lab::rig::links::{Link, LinkState};
 use appledyke_lab::rig::operators::Operators;
 use appledyke_lab::rig::processes::{Process, ProcessSpec, workspace_program};
-use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, entry, request};
+use appledyke_lab::rig::sidecars::{Behavior, Clients, Sidecars, entry, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 80;
@@ -88,7 +88,7 @@
         let groups = vec![group("zone a", 2, &[]), group("pool", 1, &["e0", "e1"])];
         let write = daemons.new_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups), None);
         assert!(matches!(
-            daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT),
             Ok(OperatorReply::Committed(_))
         ));
         let mut sidecars =
@@ -104,7 +104,7 @@
     }
 
     fn rows(&self) -> Vec<MemberRow> {
-        match self.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+        match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
             Ok(OperatorReply::Members(rows)) => rows,
             other => panic!("{other:?}"),
         }
@@ -117,7 +117,7 @@
     }
 
     fn say(&self, order: ReleaseUpdate) -> OperatorReply {
-        self.daemons.ask(&OperatorRequest::Release(order), PATIENCE).unwrap()
+        self.daemons.ask(&OperatorRequest::Release(order), WAIT_TIMEOUT).unwrap()
     }
 
     fn start(&self, plan: &Plan) {
@@ -139,7 +139,7 @@
             let seen = self.operators.poll(&self.daemons, &mut self.sidecars, name, BEAT_MS).unwrap();
             match seen {
                 Some(release) if check(&release) => return release,
-                Some(release) if start.elapsed() > 2 * PATIENCE => {
+                Some(release) if start.elapsed() > 2 * WAIT_TIMEOUT => {
                     panic!("{what}: {}\n{:?}", release.summary(), self.rows())
                 }
                 _ => std::thread::sleep(Duration::from_millis(10)),
@@ -232,13 +232,13 @@
     std::thread::sleep(Duration::from_millis(2500));
     both.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
     both.until("r", "one is moved", |release| release.reached(Side::New).count() >= 1);
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(How::Fails));
+    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Fails));
     let release = both.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     let (why, worse) = release.halted.clone().unwrap();
     let told = why.starts_with("those not moved do worse than before") || why.contains("nobody is left");
     assert!(!worse && told, "{why}");
     // Those under way come back, and nobody else goes; then it goes on by an operator's word.
-    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(How::Succeeds));
+    both.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Succeeds));
     let release = both.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(release.state, ReleaseState::Halted);
     both.wait("all are back", |rows| rows.iter().all(|row| !row.out));
@@ -408,7 +408,7 @@
     assert_eq!(both.sidecars.endpoints[1].open(), 0);
     // An operator may not take the other one beside it.
     let beside = OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None };
-    let said = both.daemons.ask(&beside, PATIENCE).unwrap();
+    let said = both.daemons.ask(&beside, WAIT_TIMEOUT).unwrap();
     assert_eq!(said, OperatorReply::Refused("1 of 1 out in pool, which has 2: e1".into()));
     let before = both.sidecars.endpoints[1].requests();
     both.until("r", "it is back", |release| {
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -16,7 +16,7 @@
 };
 use appledyke_fleet::scopes::{Locality, Scope};
 use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
-use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
+use appledyke_lab::rig::fleet::{Daemons, FLEET, Shape, WAIT_TIMEOUT, ask};
 use appledyke_lab::rig::links::LinkState;
 use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
@@ -86,7 +86,7 @@
 
 fn written(daemons: &mut Daemons, of: &str, what: SettingsChange, expects: Option<Version>) -> OperatorReply {
     let write = daemons.new_write(what, expects);
-    daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, PATIENCE).unwrap()
+    daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, WAIT_TIMEOUT).unwrap()
 }
 
 fn committed(daemons: &mut Daemons, of: &str, text: &str) -> Version {
@@ -106,7 +106,7 @@
 }
 
 fn rows(daemons: &Daemons) -> Vec<ScopeRow> {
-    match daemons.ask(&OperatorRequest::Scopes, PATIENCE).unwrap() {
+    match daemons.ask(&OperatorRequest::Scopes, WAIT_TIMEOUT).unwrap() {
         OperatorReply::Scopes(rows) => rows,
         other => panic!("{other:?}"),
     }
@@ -138,7 +138,7 @@
 impl Raw {
     fn greet(at: SocketAddr, name: &str, version: u16, locality: Option<Locality>) -> Raw {
         let stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let report = Report { name: name.into(), incarnation: 1, process_nonce: 1, ..Report::default() };
         let (frames, decoder) = (FrameReader::default(), Decoder::default());
         let mut raw =
@@ -355,7 +355,7 @@
         let at = daemons.at(daemons.wait_for_leader().unwrap());
         let asked = writes.into_iter().map(|write| {
             let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
-            thread::spawn(move || ask(at, &asked, PATIENCE).unwrap())
+            thread::spawn(move || ask(at, &asked, WAIT_TIMEOUT).unwrap())
         });
         let replies: Vec<OperatorReply> =
             asked.collect::<Vec<_>>().into_iter().map(|asked| asked.join().unwrap()).collect();
@@ -390,7 +390,7 @@
         let at = daemons.at(daemons.wait_for_leader().unwrap());
         // In one piece: the second is heard before the first is committed.
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut out = Vec::new();
         Frame::hello(FLEET, Initiator::Operator).write(&mut out);
         for (number, ask) in asked.into_iter().enumerate() {
@@ -559,7 +559,7 @@
         daemons.at(old),
         OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() },
     );
-    let waits = thread::spawn(move || ask(at, &asked, PATIENCE));
+    let waits = thread::spawn(move || ask(at, &asked, WAIT_TIMEOUT));
     daemons
         .wait("it is in the log", |daemons| {
             daemons.status(old).is_some_and(|status| status.last > status.committed)
@@ -577,10 +577,10 @@
     let mut reply = OperatorReply::Done;
     daemons
         .wait("its fate is known", |daemons| {
-            matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_)))
+            matches!(daemons.ask(&asked, WAIT_TIMEOUT), Ok(OperatorReply::Committed(_)))
         })
         .unwrap();
-    if let Ok(known) = daemons.ask(&asked, PATIENCE) {
+    if let Ok(known) = daemons.ask(&asked, WAIT_TIMEOUT) {
         reply = known;
     }
     let OperatorReply::Committed(second) = reply else { panic!("{reply:?}") };
@@ -628,7 +628,7 @@
         let write = daemons.new_write(put(&with_method(&format!("bread{round}"))), None);
         let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() };
         let (at, said) = (daemons.at(leader), asked.clone());
-        let first = thread::spawn(move || ask(at, &said, PATIENCE));
+        let first = thread::spawn(move || ask(at, &said, WAIT_TIMEOUT));
         daemons
             .wait("it is in the log", |daemons| {
                 daemons.status(leader).is_some_and(|status| status.last > before)
@@ -639,7 +639,7 @@
         daemons.start(leader).unwrap();
         let mut fate = None;
         for _ in 0..400 {
-            match daemons.ask(&asked, PATIENCE) {
+            match daemons.ask(&asked, WAIT_TIMEOUT) {
                 Ok(OperatorReply::Committed(version)) => {
                     fate = Some(version);
                     break;
@@ -656,7 +656,7 @@
         );
         daemons.wait_for_same_state().unwrap();
         let OperatorReply::ScopeHistory(rows) =
-            daemons.ask(&OperatorRequest::ScopeHistory(scope("service=menu")), PATIENCE).unwrap()
+            daemons.ask(&OperatorRequest::ScopeHistory(scope("service=menu")), WAIT_TIMEOUT).unwrap()
         else {
             panic!()
         };
@@ -747,7 +747,7 @@
         daemons
             .wait(
                 &wanted,
-                |daemons| matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Invalid(why)) if why == wanted),
+                |daemons| matches!(daemons.ask(&asked, WAIT_TIMEOUT), Ok(OperatorReply::Invalid(why)) if why == wanted),
             )
             .unwrap();
     };
@@ -767,7 +767,7 @@
     daemons.kill(other);
     let write = daemons.new_write(put(&with_method("cake")), None);
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
-    assert!(matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_))));
+    assert!(matches!(daemons.ask(&asked, WAIT_TIMEOUT), Ok(OperatorReply::Committed(_))));
 }
 
 #[test]
@@ -845,7 +845,7 @@
     daemons.link(leader, other).set_state(LinkState::partitioned());
     daemons.kill(other);
     let mut stream = TcpStream::connect(daemons.at(leader)).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let (mut out, mut frames, mut piece) = (Vec::new(), FrameReader::default(), vec![0; 4096]);
     Frame::hello_as(MIN_VERSION, FLEET, Initiator::Replica(id)).write(&mut out);
     stream.write_all(&out).unwrap();
@@ -863,7 +863,7 @@
 fn operators_are_answered_by_a_daemon_of_version_two_and_told_what_it_does_not_know() {
     let at = stand_in(Id { replica_id: 1, incarnation: 1 });
     let one = |asked: &OperatorRequest, sent: &mut bool| {
-        appledyke_daemon::ask::one(at, FLEET, asked, PATIENCE, sent)
+        appledyke_daemon::ask::one(at, FLEET, asked, WAIT_TIMEOUT, sent)
     };
     let mut sent = false;
     assert_eq!(one(&OperatorRequest::Status, &mut sent), Ok(OperatorReply::Done));
--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -19,7 +19,7 @@
 use super::processes::{Process, ProcessSpec};
 
 /// Timeout of every wait: longer than any expected step, so a wait that reaches it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval between checks of a wait's condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
 pub const FLEET: &str = "rig";
@@ -185,7 +185,7 @@
         let file = self.configuration(replica).display().to_string();
         let arguments = [&["serve", "--config", &file], more].concat();
         let process = ProcessSpec::new(&format!("d{replica}"), &self.program, &arguments).start()?;
-        let (line, _) = process.wait_for_line(0, PATIENCE, |line| line.contains("listens on "))?;
+        let (line, _) = process.wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("listens on "))?;
         let at = line.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
         let at = at.ok_or("the log names no listen address")?;
         let incoming = self.links.iter().filter(|((_, to), _)| *to == replica).map(|(_, link)| link);
@@ -224,7 +224,8 @@
     /// # Errors
     /// The daemon has not logged its address.
     pub fn own_address(&mut self, replica: u16) -> Result<SocketAddr, String> {
-        let line = self.process(replica).wait_for_line(0, PATIENCE, |line| line.contains("listens on "))?.0;
+        let line =
+            self.process(replica).wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("listens on "))?.0;
         let at = line.split("listens on ").nth(1).and_then(|at| at.split(' ').next()?.parse().ok());
         at.ok_or("the log names no listen address".to_string())
     }
@@ -293,12 +294,12 @@
     /// # Errors
     /// What timed out, and the status of each daemon.
     pub fn wait(&self, what: &str, check: impl Fn(&Daemons) -> bool) -> Result<(), String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !check(self) {
             if Instant::now() >= until {
                 let statuses: Vec<String> =
                     self.statuses().iter().map(|(at, s)| format!("{at}: {s:?}")).collect();
-                return Err(format!("timed out waiting for {what}; {}", statuses.join("\n")));
+                return Err(format!("timed out waiting for: {what}; {}", statuses.join("\n")));
             }
             std::thread::sleep(POLL_INTERVAL);
         }
@@ -348,7 +349,7 @@
     /// The unexpected reply.
     pub fn put(&mut self, settings: &str) -> Result<Version, String> {
         let write = self.new_write(SettingsChange::Put(settings.to_string(), Vec::new(), Vec::new()), None);
-        match self.ask(&OperatorRequest::Write(write), PATIENCE)? {
+        match self.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT)? {
             OperatorReply::Committed(version) => Ok(version),
             other => Err(format!("{other:?}")),
         }
@@ -357,7 +358,7 @@
     /// # Errors
     /// The unexpected reply.
     pub fn history(&self) -> Result<Vec<SettingsVersion>, String> {
-        match self.ask(&OperatorRequest::History, PATIENCE)? {
+        match self.ask(&OperatorRequest::History, WAIT_TIMEOUT)? {
             OperatorReply::History(rows) => Ok(rows),
             other => Err(format!("{other:?}")),
         }
--- a/crates/lab/src/rig/measure.rs
+++ b/crates/lab/src/rig/measure.rs
@@ -11,9 +11,9 @@
 use appledyke_fleet::state::SettingsChange;
 use serde_json::{Map, Value, json};
 
-use super::fleet::{Daemons, PATIENCE, Shape, ask};
+use super::fleet::{Daemons, Shape, WAIT_TIMEOUT, ask};
 use super::holders::Holders;
-use super::sidecars::{Clients, Endpoint, How, Sidecars, max_in_window, request};
+use super::sidecars::{Behavior, Clients, Endpoint, Sidecars, max_in_window, request};
 
 /// Clock ticks per second in the processor times of `/proc/ID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
@@ -82,7 +82,7 @@
             let write =
                 daemons.new_write(SettingsChange::Put(settings(number as u64), Vec::new(), Vec::new()), None);
             let start = Instant::now();
-            match ask(daemons.at(leader), &OperatorRequest::Write(write), PATIENCE)? {
+            match ask(daemons.at(leader), &OperatorRequest::Write(write), WAIT_TIMEOUT)? {
                 OperatorReply::Committed(_) => times.push(start.elapsed().as_secs_f64() * 1e3),
                 other => return Err(format!("{other:?}")),
             }
@@ -156,7 +156,7 @@
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &[]);
         holders.add(members, 0);
         daemons.wait("all members to serve", |fleet| {
-            matches!(fleet.ask(&OperatorRequest::Members, PATIENCE), Ok(OperatorReply::Members(rows))
+            matches!(fleet.ask(&OperatorRequest::Members, WAIT_TIMEOUT), Ok(OperatorReply::Members(rows))
                 if rows.iter().filter(|row| row.status == Member::Serving).count() == members)
         })?;
         let load = load(&mut daemons, leader, &holders, || std::thread::sleep(lasts));
@@ -192,7 +192,7 @@
         };
         let rows = of.iter().map(budget).collect();
         let write = daemons.new_write(SettingsChange::Put("{}".to_string(), rows, Vec::new()), None);
-        daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
+        daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT)?;
         let leader = daemons.wait_for_leader()?;
         let mut holders = Holders::new(daemons.own_addresses()?, beat, &of);
         holders.add(members, WANTED);
@@ -248,7 +248,7 @@
         for number in 0..12 {
             sidecars.start(&name(number), &at, 200)?;
         }
-        sidecars.endpoints[..2].iter().for_each(|endpoint| endpoint.set_behavior(How::Fails));
+        sidecars.endpoints[..2].iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Fails));
         let bad = |sidecars: &Sidecars| sidecars.endpoints[..2].iter().map(Endpoint::requests).sum::<u64>();
         let send = |sidecars: &Sidecars, who: &[usize], lasts: Duration| {
             let to: Vec<SocketAddr> = who.iter().map(|number| sidecars.at(&name(*number))).collect();
@@ -309,7 +309,7 @@
         if divided {
             let write =
                 daemons.new_write(SettingsChange::Put("{}".to_string(), vec![budget], Vec::new()), None);
-            daemons.ask(&OperatorRequest::Write(write), PATIENCE)?;
+            daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT)?;
         }
         let mut sidecars = Sidecars::new(&self.folder.join("budgets-sidecars"), self.sidecar, self.base, 8)?;
         sidecars.set_alone(json!({"write-outs": {"part": standalone_share, "windowMs": 1000}}));
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -25,7 +25,7 @@
 use oorandom::Rand64;
 use serde::Deserialize;
 
-use super::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
+use super::fleet::{Daemons, FLEET, Shape, WAIT_TIMEOUT, ask};
 use super::folders;
 use super::judge::{
     BudgetUsage, Observation, Outcome, Record, RecordedRead, RecordedWrite, ReleaseSummary, Violation, judge,
@@ -828,7 +828,7 @@
         if self.released.max_out == 0 {
             return Ok(());
         }
-        let until = Instant::now() + 4 * PATIENCE;
+        let until = Instant::now() + 4 * WAIT_TIMEOUT;
         loop {
             let release = self.poll_release(false)?;
             if let Some(release) = &release
@@ -847,7 +847,9 @@
             }
             thread::sleep(POLL_INTERVAL);
         }
-        if let Ok(OperatorReply::Releases(_, runs)) = self.daemons.ask(&OperatorRequest::Releases, PATIENCE) {
+        if let Ok(OperatorReply::Releases(_, runs)) =
+            self.daemons.ask(&OperatorRequest::Releases, WAIT_TIMEOUT)
+        {
             let wanted = &self.releases.1;
             let others = runs
                 .iter()
--- a/crates/lab/src/rig/sidecars.rs
+++ b/crates/lab/src/rig/sidecars.rs
@@ -12,7 +12,7 @@
 
 use serde_json::{Value, json};
 
-use super::fleet::{FLEET, PATIENCE};
+use super::fleet::{FLEET, WAIT_TIMEOUT};
 use super::processes::{Process, ProcessSpec};
 
 /// Interval of the keep-alive lines that the watches of the discovery service expect.
@@ -22,7 +22,7 @@
 
 /// How an endpoint responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum Behavior {
     Succeeds,
     Fails,
     Disconnects,
@@ -125,12 +125,12 @@
         Ok(endpoint)
     }
 
-    pub fn set_behavior(&self, how: How) {
+    pub fn set_behavior(&self, how: Behavior) {
         let code = match how {
-            How::Succeeds => 0,
-            How::Fails => 1,
-            How::Disconnects => 2,
-            How::Hangs => 3,
+            Behavior::Succeeds => 0,
+            Behavior::Fails => 1,
+            Behavior::Disconnects => 2,
+            Behavior::Hangs => 3,
         };
         self.how.store(code, Ordering::Relaxed);
     }
@@ -354,8 +354,9 @@
                 .and_then(|at| at.trim().parse().ok())
                 .ok_or(format!("{name}: the log line has no address"))
         };
-        let (operator, from) = process.wait_for_line(0, PATIENCE, |line| line.contains("is asked at "))?;
-        let (listens, _) = process.wait_for_line(from, PATIENCE, |line| line.contains("listens on "))?;
+        let (operator, from) =
+            process.wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("is asked at "))?;
+        let (listens, _) = process.wait_for_line(from, WAIT_TIMEOUT, |line| line.contains("listens on "))?;
         let (operator, listens) = (address(&operator, "is asked at ")?, address(&listens, "listens on ")?);
         locked(&self.addresses).insert(name.to_string(), listens);
         self.processes.insert(name.to_string(), (process, listens, operator));
@@ -410,14 +411,17 @@
     /// # Errors
     /// What timed out, and the last log lines of each sidecar.
     pub fn wait(&self, what: &str, check: impl Fn(&Sidecars) -> bool) -> Result<(), String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !check(self) {
             if Instant::now() >= until {
                 let logs = self.processes.iter().map(|(name, (process, _, _))| {
                     let log = process.log();
                     format!("{name}: {}", log[log.len().saturating_sub(4)..].join(" / "))
                 });
-                return Err(format!("timed out waiting for {what}; {}", logs.collect::<Vec<_>>().join("\n")));
+                return Err(format!(
+                    "timed out waiting for: {what}; {}",
+                    logs.collect::<Vec<_>>().join("\n")
+                ));
             }
             thread::sleep(Duration::from_millis(15));
         }
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -22,7 +22,7 @@
 use super::scenario::Scenario;
 pub use super::world::Place;
 use super::world::{LOOK, REAL_EVERY, Sample, World, a_put, commit, settings};
-use crate::rig::fleet::PATIENCE;
+use crate::rig::fleet::WAIT_TIMEOUT;
 
 /// Between two sums of what all believe that they may use.
 const SUMS_EVERY: Duration = Duration::from_millis(250);
@@ -90,7 +90,7 @@
                 let write = a_put(number, &text, &budgets);
                 // Danger: a write given up while its fate is open would be one that nobody waits for.
                 while !mine.load(Ordering::Relaxed) {
-                    if let Ok((version, began, at)) = commit(&doors, &write, &mut leader, PATIENCE) {
+                    if let Ok((version, began, at)) = commit(&doors, &write, &mut leader, WAIT_TIMEOUT) {
                         let _ = told.send(Put { version, text: digest(&text), bytes, began, at });
                         break;
                     }
@@ -407,7 +407,7 @@
         world.tell(&Order::Wants { who: Vec::new(), of, wants: WANTS })?;
         // A quarter of what they want above what each may use alone: the division settles over some seconds more.
         let enough = world.hollow_count() as u64 * (ALONE + (WANTS - ALONE).div_ceil(4));
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let sums = world.sums(&rows)?;
             if rows.iter().all(|budget| sums.get(&budget.resource).is_some_and(|sum| *sum >= enough)) {
--- a/crates/lab/src/scale/world.rs
+++ b/crates/lab/src/scale/world.rs
@@ -21,7 +21,7 @@
 use super::scenario::Scenario;
 use super::shape::Shape;
 use super::{lists, now};
-use crate::rig::fleet::{self, Daemons, PATIENCE, ask};
+use crate::rig::fleet::{self, Daemons, WAIT_TIMEOUT, ask};
 use crate::rig::links::{Link, LinkState};
 use crate::rig::sidecars::{Sidecars, entry};
 
@@ -300,9 +300,9 @@
     }
 
     fn wait_for_all(&self, size: usize) -> Result<(), String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let serving = match self.daemons.ask(&OperatorRequest::Members, PATIENCE)? {
+            let serving = match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT)? {
                 OperatorReply::Members(rows) => {
                     rows.iter().filter(|row| row.status == Member::Serving).count()
                 }
@@ -342,7 +342,7 @@
     /// # Errors
     /// That nobody came to lead.
     pub fn leader(&self) -> Result<u16, String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             // Danger: one that answers late on a busy machine has not gone.
             if let Some(leader) = self.daemons.leader() {
@@ -537,7 +537,7 @@
         let text = settings(number, bytes);
         let mut leader = self.leader()?;
         let write = a_put(number, &text, budgets);
-        let (version, began, committed) = commit(&self.doors(), &write, &mut leader, PATIENCE)?;
+        let (version, began, committed) = commit(&self.doors(), &write, &mut leader, WAIT_TIMEOUT)?;
         self.committed(version, digest(&text), committed);
         Ok((version, began, committed))
     }
@@ -560,14 +560,14 @@
         let scope = Scope::Service(self.shape.services[service].name.clone());
         let mut leader = self.daemons.wait_for_leader()?;
         let asked = OperatorRequest::WriteScoped { scope, write };
-        let (version, began, committed) = commit_asked(&self.doors(), &asked, &mut leader, PATIENCE)?;
+        let (version, began, committed) = commit_asked(&self.doors(), &asked, &mut leader, WAIT_TIMEOUT)?;
         let concerns: Vec<usize> = self.shape.services[service].members.clone().collect();
         // What they are to act on is another text than was put: the daemons have made one of two.
         let name = self.shape.members[concerns[0]].name.clone();
         // Danger: a leader that is new has not heard yet what its members belong to, and says what holds for all.
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let merged = loop {
-            let said = self.daemons.ask(&OperatorRequest::MemberSettings(name.clone()), PATIENCE)?;
+            let said = self.daemons.ask(&OperatorRequest::MemberSettings(name.clone()), WAIT_TIMEOUT)?;
             match said {
                 OperatorReply::Merged(Some(merged))
                     if merged.locality.is_some() && merged.version >= version =>
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
-use appledyke_lab::rig::fleet::PATIENCE;
+use appledyke_lab::rig::fleet::WAIT_TIMEOUT;
 use appledyke_lab::rig::links::Link;
 use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::scale::children::Told;
@@ -188,12 +188,12 @@
         let mut world = World::begin(&scenario, 16, 0, 1, place).unwrap();
         let hollow: Vec<usize> = (0..16).filter(|at| !world.shape.members[*at].real).collect();
         let (one, name) = (hollow[0], world.shape.members[hollow[0]].name.clone());
-        let row = |world: &World| match world.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+        let row = |world: &World| match world.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
             Ok(OperatorReply::Members(rows)) => rows.into_iter().find(|row| row.name == name).unwrap(),
             other => panic!("{other:?}"),
         };
         let wait = |world: &World, what: &str, check: &dyn Fn(&World) -> bool| {
-            let until = Instant::now() + PATIENCE;
+            let until = Instant::now() + WAIT_TIMEOUT;
             while !check(world) {
                 assert!(Instant::now() < until, "{what}: {:?}", row(world));
                 std::thread::sleep(Duration::from_millis(20));
@@ -217,7 +217,7 @@
         let cut = |world: &World| {
             let lost = members.iter().find(|at| !world.shape.members[**at].real).copied().unwrap();
             let lost = &world.shape.members[lost].name;
-            match world.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+            match world.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
                 Ok(OperatorReply::Members(rows)) => {
                     rows.iter().any(|row| row.name == *lost && row.status.name() == "silent")
                 }
@@ -226,14 +226,14 @@
         };
         wait(&world, "cut off", &cut);
         world.region(1, false, &members).unwrap();
-        wait(&world, "joined", &|world| match world.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+        wait(&world, "joined", &|world| match world.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
             Ok(OperatorReply::Members(rows)) => rows.iter().all(|row| row.status.name() == "serving"),
             _ => false,
         });
         // A change reaches every one, and what they say of it is what was put.
         world.put_and_look(4096, &[]).unwrap();
         let version = world.latest();
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while world
             .marks()
             .unwrap()
@@ -256,10 +256,10 @@
     setup.services.insert("s2".into(), vec![entry("two"), entry("three")]);
     let program = PathBuf::from(env!("CARGO_BIN_EXE_appledyke-lab"));
     let mut lists: Told<lists::Said> = Told::start(&program, "lists", &setup).unwrap();
-    let lists::Said::At(at) = lists.hear(PATIENCE).unwrap() else { panic!("no address") };
+    let lists::Said::At(at) = lists.hear(WAIT_TIMEOUT).unwrap() else { panic!("no address") };
     let watch = |service: &str| {
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         write!(stream, "GET /v1/servers?follow=1&since=0{service} HTTP/1.1\r\n\r\n").unwrap();
         BufReader::new(stream)
     };
@@ -285,7 +285,7 @@
     assert_eq!(next(&mut one), (false, vec!["four".into()]));
     assert_eq!(next(&mut watch("")), (true, vec![]));
     lists.tell(&lists::Order::Mark).unwrap();
-    let lists::Said::Mark(counts) = lists.hear(PATIENCE).unwrap() else { panic!("no mark") };
+    let lists::Said::Mark(counts) = lists.hear(WAIT_TIMEOUT).unwrap() else { panic!("no mark") };
     assert!(counts.calls == 4 && counts.messages >= 6 && counts.bytes_out > 0, "{counts:?}");
 }
 
@@ -302,7 +302,7 @@
     let delay = Duration::from_millis(60);
     link.set_delay(delay, 0.0);
     let mut stream = TcpStream::connect(link.at()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let start = Instant::now();
     let sent: Vec<u8> = (0..200_000_u32).map(|at| (at % 251) as u8).collect();
     stream.write_all(&sent).unwrap();
