--- a/crates/lab/src/rig/fleet.rs
+++ b/crates/lab/src/rig/fleet.rs
@@ -74,7 +74,7 @@
     Frame::hello(FLEET, Initiator::Operator).write(&mut out);
     Frame::Request { number: 1, ask: ask.clone() }.write(&mut out);
     stream.write_all(&out).map_err(error)?;
-    let (mut frames, mut piece) = (FrameReader::default(), [0; 16 * 1024]);
+    let (mut frames, mut buffer) = (FrameReader::default(), [0; 16 * 1024]);
     loop {
         while let Some(frame) = frames.pop()? {
             if let Frame::Reply { reply, .. } = frame {
@@ -86,9 +86,9 @@
             return Err(format!("{at}: no reply before the timeout"));
         }
         stream.set_read_timeout(Some(left)).map_err(error)?;
-        match stream.read(&mut piece).map_err(error)? {
+        match stream.read(&mut buffer).map_err(error)? {
             0 => return Err(format!("{at}: connection closed before a reply")),
-            read => frames.push(&piece[..read]),
+            read => frames.push(&buffer[..read]),
         }
     }
 }
--- a/crates/lab/src/rig/play.rs
+++ b/crates/lab/src/rig/play.rs
@@ -442,7 +442,7 @@
         let mut stream = TcpStream::connect_timeout(&self.addresses[&replica], REPLY_TIMEOUT)?;
         stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
         let name = format!("stand-in-{replica}");
-        let (mut out, mut frames, mut piece) = (Vec::new(), FrameReader::default(), vec![0; 64 * 1024]);
+        let (mut out, mut frames, mut buffer) = (Vec::new(), FrameReader::default(), vec![0; 64 * 1024]);
         Frame::hello(FLEET, Initiator::Member { name: name.clone() }).write(&mut out);
         // The member of replica 1 gets merged settings, which are the text of no single version.
         let scoped = self.scopes.len() > 1 && replica == 1;
@@ -467,9 +467,9 @@
                 match frames.pop().map_err(std::io::Error::other)? {
                     Some(Frame::ReportAnswer(answer)) => break answer,
                     Some(_) => {}
-                    None => match stream.read(&mut piece)? {
+                    None => match stream.read(&mut buffer)? {
                         0 => return Ok(()),
-                        read => frames.push(&piece[..read]),
+                        read => frames.push(&buffer[..read]),
                     },
                 }
             };
@@ -525,7 +525,7 @@
     scenario: &Scenario,
     seed: u64,
     environment: &Environment,
-    keep: Option<&Path>,
+    log_folder: Option<&Path>,
 ) -> Result<RunResult, String> {
     // With budgets there is no baseline: requests that a budget refuses are not lost to a fault.
     let mut paired = (0, 0);
@@ -533,7 +533,7 @@
         let baseline = Scenario { length_ms: scenario.length_ms.min(MAX_PAIRED_RUN_MS), ..scenario.clone() };
         paired = run_once(&baseline, seed, environment, None, None)?.served;
     }
-    run_once(scenario, seed, environment, keep, Some(paired))
+    run_once(scenario, seed, environment, log_folder, Some(paired))
 }
 
 /// Runs the scenario once; faults are injected if `paired` holds the baseline.
@@ -541,7 +541,7 @@
     scenario: &Scenario,
     seed: u64,
     environment: &Environment,
-    keep: Option<&Path>,
+    log_folder: Option<&Path>,
     paired: Option<(u64, u64)>,
 ) -> Result<RunResult, String> {
     let shape = Shape {
@@ -702,7 +702,7 @@
         .map(|a| (a.served, a.served + a.rejected + a.failed + a.no_reply))
         .fold((0, 0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
     run.released.lost_requests = answers.iter().map(|a| a.failed + a.no_reply).sum();
-    let result = run.judge(keep, served, paired.unwrap_or_default());
+    let result = run.judge(log_folder, served, paired.unwrap_or_default());
     let _ = fs::remove_dir_all(folder);
     result
 }
@@ -1062,7 +1062,7 @@
     /// Waits until all replicas have the same state, and judges the run.
     fn judge(
         mut self,
-        keep: Option<&Path>,
+        log_folder: Option<&Path>,
         served: (u64, u64),
         paired: (u64, u64),
     ) -> Result<RunResult, String> {
@@ -1076,7 +1076,7 @@
             ));
         }
         names.iter().for_each(|name| self.record_applied_versions(name));
-        if let Some(to) = keep {
+        if let Some(to) = log_folder {
             self.keep_logs(to)?;
         }
         let mut record = std::mem::take(&mut *self.watchers.record.lock().expect("all threads have ended"));
--- a/crates/lab/src/rig/sidecars.rs
+++ b/crates/lab/src/rig/sidecars.rs
@@ -317,7 +317,12 @@
     ///
     /// # Errors
     /// Why it does not listen.
-    pub fn start(&mut self, name: &str, daemons: &[(u16, SocketAddr)], beat_ms: u64) -> Result<(), String> {
+    pub fn start(
+        &mut self,
+        name: &str,
+        daemons: &[(u16, SocketAddr)],
+        heartbeat_ms: u64,
+    ) -> Result<(), String> {
         let mut file = self.base.clone();
         let entries: Vec<Value> =
             self.endpoints.iter().enumerate().map(|(at, endpoint)| entry(at, endpoint.at, "up")).collect();
@@ -331,7 +336,7 @@
                 .iter()
                 .map(|(replica, at)| json!({"place": replica, "address": at.to_string()}))
                 .collect();
-            file["fleet"] = json!({"name": FLEET, "daemons": rows, "beatMs": beat_ms, "keep": self.kept_settings(name), "alone": self.alone, "groups": self.groups});
+            file["fleet"] = json!({"name": FLEET, "daemons": rows, "beatMs": heartbeat_ms, "keep": self.kept_settings(name), "alone": self.alone, "groups": self.groups});
             for (key, value) in [("version", &self.version), ("belongs", &self.belongs)] {
                 if !value.is_null() {
                     file["fleet"][key] = value.clone();
