--- a/crates/daemon/tests/backlog.rs
+++ b/crates/daemon/tests/backlog.rs
@@ -23,8 +23,8 @@
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
     let shape = Shape { daemons: 1, ..Shape::default() };
     let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-    daemons.begin().unwrap();
-    let replica_id = daemons.places().next().unwrap();
+    daemons.start_all().unwrap();
+    let replica_id = daemons.replicas().next().unwrap();
     let at = daemons.own_address(replica_id).unwrap();
     daemons.process(replica_id).stop();
     let mut streams = Vec::new();
@@ -32,7 +32,7 @@
         let stream = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT);
         streams.push(stream.unwrap_or_else(|e| panic!("{number} of {MEMBERS}: {e}")));
     }
-    daemons.process(replica_id).go_on();
+    daemons.process(replica_id).resume();
     drop(daemons);
     let _ = std::fs::remove_dir_all(&root);
 }
--- a/crates/daemon/tests/budgets.rs
+++ b/crates/daemon/tests/budgets.rs
@@ -8,11 +8,11 @@
 use appledyke_fleet::budgets::{Budget, Resource};
 use appledyke_fleet::messages::{BudgetRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
 use appledyke_lab::rig::holders::Holders;
-use appledyke_lab::rig::links::Standing;
-use appledyke_lab::rig::processes::beside;
-use appledyke_lab::rig::sidecars::{Clients, Endpoint, How, Sidecars, entry, most_within};
+use appledyke_lab::rig::links::LinkState;
+use appledyke_lab::rig::processes::workspace_program;
+use appledyke_lab::rig::sidecars::{Behavior, Clients, Endpoint, Sidecars, entry, max_in_window};
 use serde_json::json;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -49,31 +49,32 @@
         let root = std::env::temp_dir().join(format!("appledyke-budgets-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-        daemons.begin().unwrap();
+        daemons.start_all().unwrap();
         let mut sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
-        sidecars.alone(alone);
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 4)
+                .unwrap();
+        sidecars.set_alone(alone);
         let mut cluster = Cluster { daemons, sidecars };
         (0..members).for_each(|number| cluster.start(&format!("s{number}")));
         cluster
     }
 
     fn start(&mut self, name: &str) {
-        let at: Vec<_> = self.daemons.places().map(|place| (place, self.daemons.at(place))).collect();
+        let at: Vec<_> = self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect();
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
     fn put(&mut self, budgets: &[Budget]) {
         let write =
-            self.daemons.a_write(SettingsChange::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
+            self.daemons.new_write(SettingsChange::Put("{}".to_string(), budgets.to_vec(), Vec::new()), None);
         assert!(matches!(
-            self.daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            self.daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT),
             Ok(OperatorReply::Committed(_))
         ));
     }
 
     fn row(&self) -> BudgetRow {
-        match self.daemons.ask(&OperatorRequest::Budgets, PATIENCE) {
+        match self.daemons.ask(&OperatorRequest::Budgets, WAIT_TIMEOUT) {
             Ok(OperatorReply::Budgets(rows)) if rows.len() == 1 => rows[0].clone(),
             other => panic!("{other:?}"),
         }
@@ -101,7 +102,7 @@
 
     /// The most attempts that all sidecars together sent within one window.
     fn max_in_window(&self, from: Instant) -> usize {
-        most_within(self.times(from, Instant::now()), WINDOW - UNDER_WAY).0
+        max_in_window(self.times(from, Instant::now()), WINDOW - UNDER_WAY).0
     }
 }
 
@@ -128,24 +129,24 @@
     let leader = cluster.daemons.wait_for_leader().unwrap();
     cluster.daemons.kill(leader);
     std::thread::sleep(Duration::from_millis(3500));
-    cluster.sidecars.process("s1").go_on();
+    cluster.sidecars.process("s1").resume();
     cluster.daemons.start(leader).unwrap();
     // The leader is cut off from the other daemons, and still reaches all members.
     let leader = cluster.daemons.wait_for_leader().unwrap();
-    cluster.daemons.around(leader, Standing::cut());
+    cluster.daemons.set_links_of(leader, LinkState::partitioned());
     std::thread::sleep(Duration::from_millis(2000));
-    cluster.daemons.around(leader, Standing::default());
-    cluster.daemons.wait_for_one_state().unwrap();
+    cluster.daemons.set_links_of(leader, LinkState::default());
+    cluster.daemons.wait_for_same_state().unwrap();
     // The restarted sidecar needs clients that use its new address.
     let more = cluster.load(&["s0"]);
     cluster.wait_until_divided(4);
     // All daemons are down for longer than a lease: each sidecar has its standalone share.
-    cluster.daemons.places().for_each(|place| cluster.daemons.kill(place));
+    cluster.daemons.replicas().for_each(|place| cluster.daemons.kill(place));
     std::thread::sleep(Duration::from_millis(4200));
     let (from, to) = (Instant::now() - WINDOW, Instant::now());
     let without = cluster.times(from, to).len();
     assert!(without <= 4 * 3, "{without} without daemons");
-    for place in cluster.daemons.places() {
+    for place in cluster.daemons.replicas() {
         cluster.daemons.start(place).unwrap();
     }
     cluster.wait_until_divided(4);
@@ -173,10 +174,10 @@
     let alone = json!({"write-outs": {"part": 200, "windowMs": 1000}});
     let mut cluster = Cluster::begin("flaw", 2, alone);
     cluster.put(&[attempts_budget(60)]);
-    cluster.daemons.places().for_each(|place| cluster.daemons.kill(place));
+    cluster.daemons.replicas().for_each(|place| cluster.daemons.kill(place));
     cluster.sidecars.names().iter().for_each(|name| cluster.sidecars.kill(name));
     for name in ["s0", "s1"] {
-        let _ = std::fs::remove_file(cluster.sidecars.keep(name));
+        let _ = std::fs::remove_file(cluster.sidecars.kept_settings(name));
         cluster.start(name);
     }
     let start = Instant::now();
@@ -196,7 +197,7 @@
     cool.stop();
     let hot = cluster.load(&["s0"]);
     let start = Instant::now();
-    let allowed = || cluster.sidecars.figure("s0", "sidecar_fleet_allowed{of=\"write-outs\"}").unwrap_or(0);
+    let allowed = || cluster.sidecars.metric("s0", "sidecar_fleet_allowed{of=\"write-outs\"}").unwrap_or(0);
     cluster.daemons.wait("it is granted nearly all", |_| allowed() >= 80).unwrap();
     let took = start.elapsed();
     assert!(took < Duration::from_secs(6), "{took:?}");
@@ -223,15 +224,16 @@
     std::thread::sleep(Duration::from_millis(4500));
     let row = cluster.row();
     assert_eq!(row.holders, 3, "{before:?} {row:?}");
-    let most: Vec<u64> = cluster.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
+    let most: Vec<u64> = cluster.sidecars.endpoints.iter().map(Endpoint::peak_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     cluster.sidecars.kill("s2");
-    let Ok(OperatorReply::Members(rows)) = cluster.daemons.ask(&OperatorRequest::Members, PATIENCE) else {
+    let Ok(OperatorReply::Members(rows)) = cluster.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT)
+    else {
         panic!()
     };
     let gone = rows.into_iter().find(|row| row.name == "s2").unwrap();
     let ended = OperatorRequest::MarkEnded { name: gone.name, incarnation: gone.incarnation };
-    assert_eq!(cluster.daemons.ask(&ended, PATIENCE), Ok(OperatorReply::Done));
+    assert_eq!(cluster.daemons.ask(&ended, WAIT_TIMEOUT), Ok(OperatorReply::Done));
     cluster.daemons.wait("what it held is free", |_| cluster.row().holders == 2).unwrap();
     // A restarted sidecar proves by its lock that no other process of its name exists.
     cluster.sidecars.kill("s1");
@@ -242,7 +244,7 @@
             cluster.row().holders == 2 && cluster.row().excess == 0
         })
         .unwrap();
-    let most: Vec<u64> = cluster.sidecars.endpoints.iter().map(Endpoint::most_open).collect();
+    let most: Vec<u64> = cluster.sidecars.endpoints.iter().map(Endpoint::peak_open).collect();
     assert!(most.iter().all(|open| *open <= 8), "{most:?}");
     clients.stop();
 }
@@ -285,8 +287,8 @@
     };
     let mut cluster = Cluster::begin("cap", 1, json!({}));
     cluster.put(&[budget]);
-    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Waits));
-    let most = |cluster: &Cluster| cluster.sidecars.endpoints.iter().map(Endpoint::most_open).max().unwrap();
+    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Hangs));
+    let most = |cluster: &Cluster| cluster.sidecars.endpoints.iter().map(Endpoint::peak_open).max().unwrap();
     cluster.daemons.wait("it has its share", |_| cluster.row().holders == 1).unwrap();
     let clients = cluster.load(&["s0"; 3]);
     std::thread::sleep(WINDOW);
@@ -305,7 +307,7 @@
         cluster.put(budgets);
         let known = || {
             cluster.sidecars.names().iter().all(|name| {
-                let allowed = cluster.sidecars.figure(name, "sidecar_fleet_allowed{of=\"list-calls\"}");
+                let allowed = cluster.sidecars.metric(name, "sidecar_fleet_allowed{of=\"list-calls\"}");
                 budgets.is_empty() || allowed.is_some_and(|allowed| allowed > 0)
             })
         };
@@ -313,13 +315,13 @@
         // Calls made before they knew of the budget fall out of the window.
         std::thread::sleep(window);
         let from = Instant::now();
-        cluster.sidecars.list.is_away(true);
+        cluster.sidecars.list.set_unavailable(true);
         std::thread::sleep(2 * window);
-        cluster.sidecars.list.is_away(false);
+        cluster.sidecars.list.set_unavailable(false);
         let calls = || cluster.sidecars.list.calls().into_iter().filter(|at| *at >= from).collect::<Vec<_>>();
         let before = calls().len();
         cluster.daemons.wait("some have called it again", |_| calls().len() >= before + 4).unwrap();
-        most_within(calls(), window - UNDER_WAY).0
+        max_in_window(calls(), window - UNDER_WAY).0
     };
     let of = Resource::DiscoveryCalls;
     let budget = Budget {
@@ -347,17 +349,17 @@
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
         let mut started = entry(1, cluster.sidecars.endpoints[1].at, "up");
         started["since_ms"] = (now.as_millis() as u64).into();
-        cluster.sidecars.list.tell(&[started]);
+        cluster.sidecars.list.send_update(&[started]);
         // Attempts in flight when the list announced the start are not counted.
         std::thread::sleep(Duration::from_millis(300));
         let from = Instant::now();
-        let granted = |cluster: &Cluster| matches!(cluster.daemons.ask(&OperatorRequest::Budgets, PATIENCE), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
+        let granted = |cluster: &Cluster| matches!(cluster.daemons.ask(&OperatorRequest::Budgets, WAIT_TIMEOUT), Ok(OperatorReply::Budgets(rows)) if rows.iter().all(|row| row.holders == 4));
         cluster.daemons.wait("its shares are granted", |_| granted(&cluster)).unwrap();
         std::thread::sleep(2 * WINDOW);
         let reqs = |at: usize| {
             cluster.sidecars.endpoints[at].times().into_iter().filter(|at| *at >= from).collect::<Vec<_>>()
         };
-        let (cold, other) = (most_within(reqs(1), WINDOW - UNDER_WAY).0, most_within(reqs(0), WINDOW).0);
+        let (cold, other) = (max_in_window(reqs(1), WINDOW - UNDER_WAY).0, max_in_window(reqs(0), WINDOW).0);
         clients.stop();
         assert!(other > 60, "the other endpoints keep serving: {other}");
         cold
@@ -393,23 +395,23 @@
     }]);
     cluster.daemons.wait_for_leader().unwrap();
     let mut holders = Holders::new(cluster.daemons.own_addresses().unwrap(), HOLDERS_BEAT, &[of]);
-    holders.come(300, 20);
+    holders.add(300, 20);
     let most = std::cell::Cell::new(0);
     let believed = || {
-        most.set(most.get().max(holders.believed(of, false)));
+        most.set(most.get().max(holders.total_share(of, false)));
         most.get()
     };
     // What the holders believe to hold, each by its own clock, at every poll.
     cluster.daemons.wait("nearly all is held", |_| believed() * 10 >= quota * 8).unwrap();
-    holders.come(30, 20);
+    holders.add(30, 20);
     let most = std::cell::Cell::new(most.get());
     // Within 6 s, measured in each holder's reports: on a busy machine reports and answers are late.
     let reported = std::cell::Cell::new(0);
     cluster
         .daemons
         .wait("each new holder has its minimum share", |_| {
-            most.set(most.get().max(holders.believed(of, false)));
-            let lack: Vec<_> = (300..330).filter(|who| holders.holds(*who, of) < 3).collect();
+            most.set(most.get().max(holders.total_share(of, false)));
+            let lack: Vec<_> = (300..330).filter(|who| holders.share(*who, of) < 3).collect();
             let reports = lack.iter().map(|who| holders.reports(*who)).max();
             reported.set(reported.get().max(reports.unwrap_or(0)));
             lack.is_empty()
@@ -423,8 +425,8 @@
     cluster
         .daemons
         .wait("others have their shares", |_| {
-            most.set(most.get().max(holders.believed(of, false)));
-            holders.believed(of, true) > quota
+            most.set(most.get().max(holders.total_share(of, false)));
+            holders.total_share(of, true) > quota
         })
         .unwrap();
     assert!(most.get() <= quota, "{} of {quota}", most.get());
@@ -446,14 +448,14 @@
     let leader = cluster.daemons.wait_for_leader().unwrap();
     let mut holders =
         Holders::new(cluster.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
-    holders.come(20, 10);
+    holders.add(20, 10);
     cluster
         .daemons
-        .wait("all have what they want", |_| (0..20).all(|who| holders.holds(who, of) >= 10))
+        .wait("all have what they want", |_| (0..20).all(|who| holders.share(who, of) >= 10))
         .unwrap();
     cluster.daemons.kill(leader);
-    holders.wants(7, 300);
-    cluster.daemons.wait("the next leader grants one more", |_| holders.holds(7, of) >= 250).unwrap();
+    holders.set_wanted(7, 300);
+    cluster.daemons.wait("the next leader grants one more", |_| holders.share(7, of) >= 250).unwrap();
 }
 
 #[test]
@@ -472,8 +474,8 @@
     cluster.daemons.wait_for_leader().unwrap();
     let mut holders =
         Holders::new(cluster.daemons.own_addresses().unwrap(), Duration::from_millis(200), &[of]);
-    holders.come(50, 40);
-    let all = |holders: &Holders| holders.believed(of, false);
+    holders.add(50, 40);
+    let all = |holders: &Holders| holders.total_share(of, false);
     cluster.daemons.wait("nearly all is held", |_| all(&holders) >= 850).unwrap();
     // Lowered to a tenth: shares are first taken back, then the new quota holds. 40 are left for 50 holders with a minimum of
     // two each, so some keep only their standalone share.
@@ -492,6 +494,6 @@
         let (held, counted) = (all(&holders), cluster.row().reserved);
         assert!(held <= 100 && counted <= 40, "{held} held, {counted} counted");
     }
-    let with = (0..50).filter(|who| holders.holds(*who, of) > 1).count();
+    let with = (0..50).filter(|who| holders.share(*who, of) > 1).count();
     assert!((10..=20).contains(&with), "{with} have a share");
 }
--- a/crates/daemon/tests/drains.rs
+++ b/crates/daemon/tests/drains.rs
@@ -7,9 +7,9 @@
 use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::messages::{MemberRow, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
-use appledyke_lab::rig::links::{Standing as Link, Way};
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
+use appledyke_lab::rig::links::{Flow, LinkState};
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -26,15 +26,17 @@
         let root = std::env::temp_dir().join(format!("appledyke-drains-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
-        daemons.begin().unwrap();
-        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
+        daemons.start_all().unwrap();
+        let write =
+            daemons.new_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups.to_vec()), None);
         assert!(matches!(
-            daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT),
             Ok(OperatorReply::Committed(_))
         ));
         let mut sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
-        sidecars.groups(&["zone a"]);
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 2)
+                .unwrap();
+        sidecars.set_groups(&["zone a"]);
         let mut cluster = Cluster { daemons, sidecars };
         (0..members).for_each(|number| cluster.start(&format!("s{number}")));
         cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
@@ -42,12 +44,12 @@
     }
 
     fn start(&mut self, name: &str) {
-        let at: Vec<_> = self.daemons.places().map(|place| (place, self.daemons.at(place))).collect();
+        let at: Vec<_> = self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect();
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
     fn rows(&self) -> Vec<MemberRow> {
-        match self.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+        match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
             Ok(OperatorReply::Members(rows)) => rows,
             other => panic!("{other:?}"),
         }
@@ -67,7 +69,7 @@
         std::thread::scope(|scope| {
             let asked: Vec<_> = names
                 .iter()
-                .map(|name| scope.spawn(|| self.sidecars.told(name, "drain\n").unwrap()))
+                .map(|name| scope.spawn(|| self.sidecars.command(name, "drain\n").unwrap()))
                 .collect();
             asked.into_iter().map(|one| one.join().unwrap()).collect()
         })
@@ -106,13 +108,13 @@
     assert_eq!(cluster.drain(std::slice::from_ref(granted[0])), ["200 drains\n"]);
     assert_eq!(cluster.out(), 2);
     // One is back, so one other member may drain, and only one.
-    cluster.sidecars.told(granted[0], "resume\n").unwrap();
+    cluster.sidecars.command(granted[0], "resume\n").unwrap();
     cluster.wait("it is back", |rows| rows.iter().filter(|row| row.out).count() == 1);
     let answers = cluster.drain(&names);
     assert_eq!((cluster.unhealthy(&names), cluster.out()), (2, 2), "{answers:?}");
     // An operator overrides the limit.
     let third = names.iter().zip(&answers).find(|(_, answer)| answer.starts_with("400")).unwrap().0;
-    assert_eq!(cluster.sidecars.told(third, "drain anyway the rack burns\n").unwrap(), "200 drains\n");
+    assert_eq!(cluster.sidecars.command(third, "drain anyway the rack burns\n").unwrap(), "200 drains\n");
     cluster.wait("three are out", |rows| rows.iter().filter(|row| row.out).count() == 3);
     assert_eq!(cluster.unhealthy(&names), 3);
 }
@@ -140,16 +142,19 @@
     assert!(cluster.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
     // A serving member cannot be forgotten by mistake. Forgetting one that never returns makes the group smaller.
     assert!(matches!(
-        cluster.daemons.ask(&OperatorRequest::Forget("s1".into()), PATIENCE),
+        cluster.daemons.ask(&OperatorRequest::Forget("s1".into()), WAIT_TIMEOUT),
         Ok(OperatorReply::Refused(_))
     ));
     cluster.sidecars.kill("s2");
-    assert_eq!(cluster.daemons.ask(&OperatorRequest::Forget("s2".into()), PATIENCE), Ok(OperatorReply::Done));
+    assert_eq!(
+        cluster.daemons.ask(&OperatorRequest::Forget("s2".into()), WAIT_TIMEOUT),
+        Ok(OperatorReply::Done)
+    );
     assert_eq!(cluster.drain(&["s1".to_string()]), ["200 drains\n"]);
     // SIGTERM is never refused: a leaving member counts as out, and the others have to wait.
-    cluster.sidecars.told("s1", "resume\n").unwrap();
+    cluster.sidecars.command("s1", "resume\n").unwrap();
     cluster.wait("it is back", |rows| rows.iter().all(|row| !row.out));
-    cluster.sidecars.process("s0").leave();
+    cluster.sidecars.process("s0").terminate();
     cluster.wait("it leaves", |rows| rows.iter().any(|row| row.name == "s0" && row.out));
     assert!(cluster.drain(&["s1".to_string()])[0].starts_with("400 not now: 1 of 1 out"));
 }
@@ -159,15 +164,14 @@
     let cluster = Cluster::begin("lost", 3, &max_out(1));
     // All answers of the daemons are held back: the permission is granted, and never arrives.
     let hold = |way| {
-        cluster
-            .daemons
-            .places()
-            .for_each(|place| cluster.daemons.door(place).stand(Link { back: way, ..Link::default() }))
+        cluster.daemons.replicas().for_each(|place| {
+            cluster.daemons.client_link(place).set_state(LinkState { back: way, ..LinkState::default() })
+        })
     };
-    hold(Way::Held);
+    hold(Flow::Held);
     assert_eq!(cluster.drain(&["s0".to_string()]), ["400 not now: no daemon heard\n"]);
     assert_eq!(cluster.unhealthy(&names(3)), 0);
-    hold(Way::Open);
+    hold(Flow::Open);
     // A late permission drains nobody, and is revoked.
     cluster.wait("it is revoked", |rows| rows.len() == 3 && rows.iter().all(|row| !row.out));
     assert_eq!(cluster.unhealthy(&names(3)), 0);
@@ -209,7 +213,7 @@
 fn without_a_majority_only_an_operators_override_drains() {
     let mut cluster = Cluster::begin("majority", 2, &max_out(1));
     let leader = cluster.daemons.wait_for_leader().unwrap();
-    let others: Vec<u16> = cluster.daemons.places().filter(|place| *place != leader).collect();
+    let others: Vec<u16> = cluster.daemons.replicas().filter(|place| *place != leader).collect();
     others.iter().for_each(|place| cluster.daemons.kill(*place));
     let answers = cluster.drain(&names(2));
     assert!(answers.iter().all(|answer| answer.starts_with("400 not now: ")), "{answers:?}");
@@ -217,9 +221,9 @@
     cluster.daemons.kill(leader);
     std::thread::sleep(Duration::from_millis(4 * BEAT_MS));
     assert_eq!(cluster.drain(&names(2)), ["400 not now: no daemon heard\n"; 2]);
-    assert_eq!(cluster.sidecars.told("s0", "drain anyway\n").unwrap(), "200 drains\n");
+    assert_eq!(cluster.sidecars.command("s0", "drain anyway\n").unwrap(), "200 drains\n");
     assert_eq!(cluster.unhealthy(&names(2)), 1);
-    for place in cluster.daemons.places() {
+    for place in cluster.daemons.replicas() {
         cluster.daemons.start(place).unwrap();
     }
     // Once the daemons are back they learn of it.
@@ -233,7 +237,7 @@
         })
         .unwrap();
     // Danger: the override given while no daemon was reachable must not apply to a later drain without one.
-    cluster.sidecars.told("s0", "resume\n").unwrap();
+    cluster.sidecars.command("s0", "resume\n").unwrap();
     cluster.wait("it is back", |rows| rows.iter().all(|row| !row.out));
     assert_eq!(cluster.drain(&["s1".to_string()]), ["200 drains\n"]);
     let answers = cluster.drain(&["s0".to_string()]);
@@ -272,7 +276,7 @@
 #[test]
 fn a_drained_endpoint_is_empty_only_once_every_member_reports_it() {
     let mut cluster = Cluster::begin("endpoint", 3, &max_out(1));
-    let ask = |cluster: &Cluster, asked: OperatorRequest| cluster.daemons.ask(&asked, PATIENCE).unwrap();
+    let ask = |cluster: &Cluster, asked: OperatorRequest| cluster.daemons.ask(&asked, WAIT_TIMEOUT).unwrap();
     let request_all = |cluster: &Cluster| {
         for name in names(3).iter().cycle().take(60) {
             let _ = request(cluster.sidecars.at(name), "/menu/1");
@@ -301,7 +305,7 @@
     cluster.daemons.kill(leader);
     cluster.daemons.wait("two have reported to the new leader", |_| holders(&cluster) == ["s2"]).unwrap();
     cluster.daemons.start(leader).unwrap();
-    cluster.sidecars.process("s2").go_on();
+    cluster.sidecars.process("s2").resume();
     cluster.daemons.wait("it is empty", |_| holders(&cluster).is_empty()).unwrap();
     let before = cluster.sidecars.endpoints[0].requests();
     cluster.daemons.wait("nothing is open there", |_| cluster.sidecars.endpoints[0].open() == 0).unwrap();
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -7,10 +7,10 @@
 use appledyke_fleet::members::MemberStatus;
 use appledyke_fleet::messages::{OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
-use appledyke_lab::rig::links::Standing as Link;
-use appledyke_lab::rig::processes::beside;
-use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, request};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
+use appledyke_lab::rig::links::LinkState;
+use appledyke_lab::rig::processes::workspace_program;
+use appledyke_lab::rig::sidecars::{Behavior, Clients, Sidecars, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 60;
@@ -25,9 +25,10 @@
         let root = std::env::temp_dir().join(format!("appledyke-members-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, Shape::default()).unwrap();
-        daemons.begin().unwrap();
+        daemons.start_all().unwrap();
         let sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 4).unwrap();
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 4)
+                .unwrap();
         let mut cluster = Cluster { daemons, sidecars };
         for number in 0..members {
             cluster.start(&format!("s{number}"));
@@ -39,12 +40,12 @@
     }
 
     fn start(&mut self, name: &str) {
-        let at: Vec<_> = self.daemons.places().map(|place| (place, self.daemons.at(place))).collect();
+        let at: Vec<_> = self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect();
         self.sidecars.start(name, &at, BEAT_MS).unwrap();
     }
 
     fn members(&self) -> Vec<(String, MemberStatus, Option<Version>)> {
-        match self.daemons.ask(&OperatorRequest::Members, PATIENCE).unwrap() {
+        match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT).unwrap() {
             OperatorReply::Members(rows) => {
                 rows.into_iter().map(|row| (row.name, row.status, row.version)).collect()
             }
@@ -65,7 +66,7 @@
 
     fn wait_for_version(&self, names: &[&str], version: Version) {
         for name in names {
-            let number = |sidecars: &Sidecars| sidecars.figure(name, "sidecar_fleet_settings_number");
+            let number = |sidecars: &Sidecars| sidecars.metric(name, "sidecar_fleet_settings_number");
             self.sidecars.wait("the version", |sidecars| number(sidecars) == Some(version.number)).unwrap();
         }
     }
@@ -94,12 +95,12 @@
     }
     // A leader cut off together with all members accepts a put that is never committed: no member applies it.
     let old = cluster.daemons.wait_for_leader().unwrap();
-    cluster.daemons.around(old, Link::cut());
+    cluster.daemons.set_links_of(old, LinkState::partitioned());
     let write =
-        cluster.daemons.a_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
+        cluster.daemons.new_write(SettingsChange::Put(with_method("never"), Vec::new(), Vec::new()), None);
     let at = cluster.daemons.at(old);
     let asked = std::thread::spawn(move || {
-        appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), PATIENCE)
+        appledyke_lab::rig::fleet::ask(at, &OperatorRequest::Write(write), WAIT_TIMEOUT)
     });
     cluster
         .daemons
@@ -113,12 +114,12 @@
             (Some(404), Some(200))
         );
     }
-    cluster.daemons.around(old, Link::default());
+    cluster.daemons.set_links_of(old, LinkState::default());
     assert!(!matches!(asked.join().unwrap(), Ok(OperatorReply::Committed(version)) if version <= second));
     // A rollback is a new version.
-    let back = cluster.daemons.a_write(SettingsChange::Rollback(first), None);
+    let back = cluster.daemons.new_write(SettingsChange::Rollback(first), None);
     let OperatorReply::Committed(third) =
-        cluster.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+        cluster.daemons.ask(&OperatorRequest::Write(back), WAIT_TIMEOUT).unwrap()
     else {
         panic!()
     };
@@ -129,8 +130,8 @@
 #[test]
 fn a_leaving_member_is_gone_a_killed_or_suspended_one_silent_and_a_resumed_one_catches_up() {
     let mut cluster = Cluster::begin("standing", 3);
-    cluster.sidecars.process("s0").leave();
-    assert!(cluster.sidecars.process("s0").ended(PATIENCE).unwrap().success());
+    cluster.sidecars.process("s0").terminate();
+    assert!(cluster.sidecars.process("s0").wait_for_exit(WAIT_TIMEOUT).unwrap().success());
     cluster.wait_for_status("s0", MemberStatus::Gone);
     cluster.sidecars.kill("s1");
     cluster.wait_for_status("s1", MemberStatus::Silent);
@@ -138,21 +139,21 @@
     cluster.sidecars.process("s2").stop();
     cluster.wait_for_status("s2", MemberStatus::Silent);
     let first = cluster.daemons.put(&with_method("soup")).unwrap();
-    let back = cluster.daemons.a_write(SettingsChange::Rollback(first), None);
+    let back = cluster.daemons.new_write(SettingsChange::Rollback(first), None);
     let OperatorReply::Committed(second) =
-        cluster.daemons.ask(&OperatorRequest::Write(back), PATIENCE).unwrap()
+        cluster.daemons.ask(&OperatorRequest::Write(back), WAIT_TIMEOUT).unwrap()
     else {
         panic!()
     };
-    cluster.sidecars.process("s2").go_on();
+    cluster.sidecars.process("s2").resume();
     cluster.wait_for_status("s2", MemberStatus::Serving);
     cluster.wait_for_version(&["s2"], second);
     cluster.start("s1");
     cluster.wait_for_status("s1", MemberStatus::Serving);
     cluster.wait_for_version(&["s1"], second);
-    cluster.sidecars.told("s1", "drain\n").unwrap();
+    cluster.sidecars.command("s1", "drain\n").unwrap();
     cluster.wait_for_status("s1", MemberStatus::Drained);
-    cluster.sidecars.told("s1", "resume\n").unwrap();
+    cluster.sidecars.command("s1", "resume\n").unwrap();
     cluster.wait_for_status("s1", MemberStatus::Serving);
 }
 
@@ -161,7 +162,7 @@
     let mut cluster = Cluster::begin("away", 2);
     let version = cluster.daemons.put(&with_method("soup")).unwrap();
     cluster.wait_for_version(&["s0", "s1"], version);
-    cluster.daemons.places().for_each(|place| cluster.daemons.kill(place));
+    cluster.daemons.replicas().for_each(|place| cluster.daemons.kill(place));
     let clients = Clients::start(&[cluster.sidecars.at("s0")], "/soup/1", Duration::from_millis(2));
     cluster.sidecars.kill("s1");
     cluster.start("s1");
@@ -171,26 +172,29 @@
         (request(cluster.sidecars.at("s1"), "/soup/1"), request(cluster.sidecars.at("s2"), "/menu/1")),
         (Some(200), Some(200))
     );
-    assert_eq!(cluster.sidecars.figure("s1", "sidecar_fleet_settings_number"), Some(1));
-    assert_eq!(cluster.sidecars.figure("s2", "sidecar_fleet_daemon_heard"), Some(0));
+    assert_eq!(cluster.sidecars.metric("s1", "sidecar_fleet_settings_number"), Some(1));
+    assert_eq!(cluster.sidecars.metric("s2", "sidecar_fleet_daemon_heard"), Some(0));
     // An invalid copy of the last settings is logged and ignored.
     cluster.sidecars.kill("s1");
-    std::fs::write(cluster.sidecars.keep("s1"), "{\"version\": \"0.9\", \"settings\": {\"methods\": []}}")
-        .unwrap();
+    std::fs::write(
+        cluster.sidecars.kept_settings("s1"),
+        "{\"version\": \"0.9\", \"settings\": {\"methods\": []}}",
+    )
+    .unwrap();
     cluster.start("s1");
     let (line, _) = cluster
         .sidecars
         .process("s1")
-        .line(0, PATIENCE, |line| line.contains("it starts with the file's own"))
+        .wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("it starts with the file's own"))
         .unwrap();
     assert!(line.contains("settings.methods"), "{line}");
     assert_eq!(request(cluster.sidecars.at("s1"), "/menu/1"), Some(200));
-    for place in cluster.daemons.places() {
+    for place in cluster.daemons.replicas() {
         cluster.daemons.start(place).unwrap();
     }
     cluster.wait_for_version(&["s0", "s1", "s2"], version);
     let answers = clients.stop()[0];
-    assert!(answers.served > 100 && answers.share() == 1.0, "{answers:?}");
+    assert!(answers.served > 100 && answers.served_share() == 1.0, "{answers:?}");
 }
 
 #[test]
@@ -201,16 +205,16 @@
     base["watch"] = serde_json::json!({"methods": base["settings"]["methods"].clone()});
     let mut odd = Sidecars::new(
         &cluster.daemons.root.join("odd"),
-        &beside("appledyke-sidecar").unwrap(),
+        &workspace_program("appledyke-sidecar").unwrap(),
         &base.to_string(),
         1,
     )
     .unwrap();
-    let at: Vec<_> = cluster.daemons.places().map(|place| (place, cluster.daemons.at(place))).collect();
+    let at: Vec<_> = cluster.daemons.replicas().map(|place| (place, cluster.daemons.at(place))).collect();
     odd.start("odd", &at, BEAT_MS).unwrap();
     let version = cluster.daemons.put(&with_method("soup")).unwrap();
     cluster.wait_for_version(&["s0"], version);
-    odd.wait("it is found invalid", |odd| odd.figure("odd", "sidecar_fleet_settings_faulty") == Some(1))
+    odd.wait("it is found invalid", |odd| odd.metric("odd", "sidecar_fleet_settings_faulty") == Some(1))
         .unwrap();
     assert_eq!(
         (request(odd.at("odd"), "/menu/1"), request(odd.at("odd"), "/soup/1")),
@@ -220,48 +224,52 @@
     cluster.wait_for("its version", |rows| {
         rows.iter().any(|(name, _, applied)| name == "odd" && *applied == Some(Version::default()))
     });
-    assert_eq!(odd.figure("odd", "sidecar_fleet_settings_faulty"), Some(1));
+    assert_eq!(odd.metric("odd", "sidecar_fleet_settings_faulty"), Some(1));
 }
 
 #[test]
 fn evidence_reaches_other_members_and_new_ones() {
     let mut cluster = Cluster::begin("evidence", 2);
-    cluster.sidecars.endpoints[0].answers(How::Fails);
+    cluster.sidecars.endpoints[0].set_behavior(Behavior::Fails);
     for _ in 0..60 {
         let _ = request(cluster.sidecars.at("s0"), "/menu/1");
     }
     cluster
         .sidecars
         .wait("the other member receives evidence", |sidecars| {
-            sidecars.figure("s1", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 60)
+            sidecars.metric("s1", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 60)
         })
         .unwrap();
     cluster.start("s2");
     cluster
         .sidecars
         .wait("a new member receives the latest evidence", |sidecars| {
-            sidecars.figure("s2", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 8)
+            sidecars.metric("s2", "sidecar_fleet_ends_heard").is_some_and(|heard| heard >= 8)
         })
         .unwrap();
     // Nothing is counted twice: no member receives more than was reported.
     let reported: u64 = ["s0", "s1", "s2"]
         .iter()
-        .filter_map(|name| cluster.sidecars.figure(name, "sidecar_fleet_ends_told"))
+        .filter_map(|name| cluster.sidecars.metric(name, "sidecar_fleet_ends_told"))
         .sum();
-    let heard = cluster.sidecars.figure("s1", "sidecar_fleet_ends_heard").unwrap();
+    let heard = cluster.sidecars.metric("s1", "sidecar_fleet_ends_heard").unwrap();
     assert!(heard <= reported, "{heard} of {reported}");
 }
 
 #[test]
 fn of_two_processes_with_one_name_the_earlier_one_is_notified() {
     let mut cluster = Cluster::begin("twins", 1);
-    let mut twin =
-        Sidecars::new(&cluster.daemons.root.join("twin"), &beside("appledyke-sidecar").unwrap(), BASE, 1)
-            .unwrap();
-    let at: Vec<_> = cluster.daemons.places().map(|place| (place, cluster.daemons.at(place))).collect();
+    let mut twin = Sidecars::new(
+        &cluster.daemons.root.join("twin"),
+        &workspace_program("appledyke-sidecar").unwrap(),
+        BASE,
+        1,
+    )
+    .unwrap();
+    let at: Vec<_> = cluster.daemons.replicas().map(|place| (place, cluster.daemons.at(place))).collect();
     twin.start("s0", &at, BEAT_MS).unwrap();
     let later = |line: &str| line.contains("a later process has taken this name");
-    cluster.sidecars.process("s0").line(0, PATIENCE, later).unwrap();
+    cluster.sidecars.process("s0").wait_for_line(0, WAIT_TIMEOUT, later).unwrap();
     assert!(!twin.process("s0").log().iter().any(|line| later(line)));
 }
 
@@ -284,20 +292,21 @@
 #[test]
 fn without_a_fleet_configuration_there_are_no_extra_descriptors_threads_or_metrics() {
     let root = std::env::temp_dir().join(format!("appledyke-members-{}-without", std::process::id()));
-    let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
+    let mut sidecars =
+        Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("alone", &[], BEAT_MS).unwrap();
     let nobody = "127.0.0.1:1".parse().unwrap();
     sidecars.start("member", &[(1, nobody)], BEAT_MS).unwrap();
     for name in ["alone", "member"] {
         sidecars
             .wait("ready", |sidecars| {
-                sidecars.told(name, "ready\n").is_ok_and(|reply| reply == "200 ready\n")
+                sidecars.command(name, "ready\n").is_ok_and(|reply| reply == "200 ready\n")
             })
             .unwrap();
     }
-    let text = sidecars.told("alone", "show-stat\n").unwrap();
+    let text = sidecars.command("alone", "show-stat\n").unwrap();
     assert!(!text.contains("fleet"), "{text}");
-    assert!(sidecars.told("member", "show-stat\n").unwrap().contains("sidecar_fleet_daemon_heard 0"));
+    assert!(sidecars.command("member", "show-stat\n").unwrap().contains("sidecar_fleet_daemon_heard 0"));
     for name in ["alone", "member"] {
         let id = sidecars.process(name).id();
         let count = |what: &str| std::fs::read_dir(format!("/proc/{id}/{what}")).unwrap().count();
@@ -319,7 +328,7 @@
     use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report};
     let name = "copy".to_string();
     let mut stream = std::net::TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut out = Vec::new();
     Frame::hello("rig", Initiator::Member { name: name.clone() }).write(&mut out);
     Frame::Report(Report { name, incarnation, process_nonce: process, ..Report::default() }).write(&mut out);
@@ -370,7 +379,8 @@
         stream.write_all(&out).unwrap();
         let _kept = (stream, listener.accept());
     });
-    let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
+    let mut sidecars =
+        Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
     sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
     sidecars.wait("it applies them", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
     std::fs::remove_dir_all(&root).unwrap();
--- a/crates/daemon/tests/older.rs
+++ b/crates/daemon/tests/older.rs
@@ -8,8 +8,8 @@
 
 use appledyke_consensus::Id;
 use appledyke_fleet::messages::{Frame, FrameReader, Initiator, Report, ReportAnswer};
-use appledyke_lab::rig::fleet::PATIENCE;
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::fleet::WAIT_TIMEOUT;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::Sidecars;
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
@@ -80,9 +80,10 @@
         let name = format!("appledyke-older-{}-{sends_reason}", std::process::id());
         let root = std::env::temp_dir().join(name);
         let (at, heard) = daemon_of_version_2(sends_reason);
-        let mut sidecars = Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
+        let mut sidecars =
+            Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 1).unwrap();
         sidecars.start("s0", &[(1, at)], BEAT_MS).unwrap();
-        let next = || heard.recv_timeout(PATIENCE).expect("a frame from the sidecar");
+        let next = || heard.recv_timeout(WAIT_TIMEOUT).expect("a frame from the sidecar");
         let version = || match next() {
             Frame::Hello { version, who: Initiator::Member { name }, .. } if name == "s0" => version,
             other => panic!("{other:?}"),
--- a/crates/daemon/tests/processes.rs
+++ b/crates/daemon/tests/processes.rs
@@ -9,9 +9,9 @@
 use appledyke_fleet::messages::{Frame, Initiator, OperatorReply, OperatorRequest};
 use appledyke_fleet::state::SettingsChange;
 use appledyke_fleet::{Command, Version};
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape, ask};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT, ask};
 use appledyke_lab::rig::folders;
-use appledyke_lab::rig::links::{Standing, Way};
+use appledyke_lab::rig::links::{Flow, LinkState};
 use appledyke_store::Store;
 use appledyke_store::disk::Folder;
 use appledyke_store::format::Change;
@@ -30,7 +30,7 @@
 
 fn start_fleet(name: &str) -> Daemons {
     let mut fleet = daemons(name, Shape::default());
-    fleet.begin().unwrap();
+    fleet.start_all().unwrap();
     fleet
 }
 
@@ -99,7 +99,7 @@
         fleet.kill(leader);
         versions.push(fleet.put(&settings(100 + round)).unwrap());
         fleet.start(leader).unwrap();
-        fleet.wait_for_one_state().unwrap();
+        fleet.wait_for_same_state().unwrap();
     }
     let history: Vec<Version> = fleet.history().unwrap().iter().map(|written| written.version).collect();
     assert_eq!(history, versions);
@@ -111,11 +111,11 @@
     for round in 0..40 {
         fleet.put(&settings(round)).unwrap();
     }
-    fleet.places().for_each(|place| fleet.kill(place));
-    for place in fleet.places() {
+    fleet.replicas().for_each(|place| fleet.kill(place));
+    for place in fleet.replicas() {
         fleet.start(place).unwrap();
     }
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let history = fleet.history().unwrap();
     assert_eq!(history.len(), 40);
     assert!(history.iter().zip(0..).all(|(written, round)| written.settings == settings(round)));
@@ -130,12 +130,12 @@
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let later = fleet.put(&settings(2)).unwrap();
     // Requests sent while it is suspended are the first that it reads when it resumes.
-    let write = fleet.a_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
+    let write = fleet.new_write(SettingsChange::Put(settings(3), Vec::new(), Vec::new()), Some(number(1)));
     let at = fleet.at(old);
     let asked = [OperatorRequest::Get(None), OperatorRequest::Write(write)]
-        .map(|question| std::thread::spawn(move || ask(at, &question, PATIENCE)));
+        .map(|question| std::thread::spawn(move || ask(at, &question, WAIT_TIMEOUT)));
     std::thread::sleep(Duration::from_millis(100));
-    fleet.process(old).go_on();
+    fleet.process(old).resume();
     let [read, put] = asked.map(|thread| thread.join().unwrap());
     match read.unwrap() {
         OperatorReply::NotLeader(_) => {}
@@ -146,7 +146,7 @@
         put.unwrap(),
         OperatorReply::NotLeader(_) | OperatorReply::Unknown(_) | OperatorReply::Refused(_)
     ));
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 2);
 }
 
@@ -156,16 +156,16 @@
     fleet.put(&settings(1)).unwrap();
     let old = fleet.wait_for_leader().unwrap();
     // Silently cut off from the other daemons; operators still reach it.
-    fleet.around(old, Standing::cut());
-    let write = fleet.a_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
+    fleet.set_links_of(old, LinkState::partitioned());
+    let write = fleet.new_write(SettingsChange::Put(settings(2), Vec::new(), Vec::new()), None);
     let at = fleet.at(old);
-    let put = std::thread::spawn(move || ask(at, &OperatorRequest::Write(write), PATIENCE));
+    let put = std::thread::spawn(move || ask(at, &OperatorRequest::Write(write), WAIT_TIMEOUT));
     fleet.wait("another leader", |fleet| fleet.leader().is_some_and(|leader| leader != old)).unwrap();
     let version = fleet.put(&settings(3)).unwrap();
-    fleet.around(old, Standing::default());
+    fleet.set_links_of(old, LinkState::default());
     let reply = put.join().unwrap();
     assert!(!matches!(reply, Ok(OperatorReply::Committed(_))), "{reply:?}");
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let history = fleet.history().unwrap();
     assert_eq!(
         history.last().map(|written| (written.version, written.settings.as_str())),
@@ -179,19 +179,19 @@
 fn two_daemons_without_a_link_agree_through_the_third() {
     let mut fleet = start_fleet("between");
     let leader = fleet.wait_for_leader().unwrap();
-    let other = fleet.places().find(|place| *place != leader).unwrap();
-    fleet.between(leader, other, Standing::cut());
+    let other = fleet.replicas().find(|place| *place != leader).unwrap();
+    fleet.set_links_between(leader, other, LinkState::partitioned());
     for round in 0..5 {
         fleet.put(&settings(round)).unwrap();
     }
     // Cut in one direction only, then in the other.
-    fleet.between(leader, other, Standing::default());
-    fleet.link(leader, other).stand(Standing { to: Way::Held, ..Standing::default() });
+    fleet.set_links_between(leader, other, LinkState::default());
+    fleet.link(leader, other).set_state(LinkState { to: Flow::Held, ..LinkState::default() });
     fleet.put(&settings(6)).unwrap();
-    fleet.link(leader, other).stand(Standing::default());
+    fleet.link(leader, other).set_state(LinkState::default());
     fleet.link(other, leader).reset();
     fleet.put(&settings(7)).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 7);
 }
 
@@ -202,15 +202,15 @@
     fleet.put(&settings(0)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
     let (failed, third) = {
-        let mut others = fleet.places().filter(|place| *place != leader);
+        let mut others = fleet.replicas().filter(|place| *place != leader);
         (others.next().unwrap(), others.next().unwrap())
     };
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let (folder, copy) = (fleet.folder(failed), fleet.root.join("copy"));
     fleet.kill(failed);
     folders::copy(&folder, &copy).unwrap();
     fleet.start(failed).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     fleet.kill(third);
     let version = fleet.put(&settings(1)).unwrap();
     fleet.kill(failed);
@@ -219,10 +219,10 @@
     fleet.start_with(failed, more).unwrap();
     fleet.start_with(third, more).unwrap();
     let is_leader = |line: &str| line.contains("is Leader");
-    let elected = fleet.process(failed).line(0, Duration::from_millis(1500), is_leader).is_ok()
-        || fleet.process(third).line(0, Duration::ZERO, is_leader).is_ok();
+    let elected = fleet.process(failed).wait_for_line(0, Duration::from_millis(1500), is_leader).is_ok()
+        || fleet.process(third).wait_for_line(0, Duration::ZERO, is_leader).is_ok();
     fleet.start(leader).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     (elected, version, fleet.history().unwrap().iter().map(|written| written.version).collect())
 }
 
@@ -243,14 +243,14 @@
         // More than the trailing entries that are kept after a snapshot.
         fleet.put(&settings(round)).unwrap();
     }
-    let before = fleet.wait_for_one_state().unwrap();
-    for place in fleet.places() {
+    let before = fleet.wait_for_same_state().unwrap();
+    for place in fleet.replicas() {
         fleet.kill(place);
         folders::empty(&fleet.folder(place)).unwrap();
         fleet.start(place).unwrap();
-        fleet.wait_for_one_state().unwrap();
+        fleet.wait_for_same_state().unwrap();
     }
-    let after = fleet.wait_for_one_state().unwrap();
+    let after = fleet.wait_for_same_state().unwrap();
     assert!(after.iter().all(|id| !before.contains(id)), "{before:?} {after:?}");
     assert_eq!(fleet.history().unwrap().len(), 60);
 }
@@ -258,17 +258,17 @@
 #[test]
 fn a_folder_with_both_copies_damaged_is_set_aside_and_its_daemon_rejoins() {
     let mut fleet = daemons("damage", Shape { daemons: 5, ..Shape::default() });
-    fleet.begin().unwrap();
+    fleet.start_all().unwrap();
     for round in 0..10 {
         fleet.put(&settings(round)).unwrap();
     }
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let (failed, also_down) = (2, 3);
     let before = fleet.status(failed).unwrap().id;
     fleet.kill(failed);
     fleet.kill(also_down);
     for copy in ["log.0", "log.1"] {
-        folders::damage(&fleet.folder(failed).join(copy), 2000).unwrap();
+        folders::corrupt(&fleet.folder(failed).join(copy), 2000).unwrap();
     }
     fleet.start(failed).unwrap();
     fleet
@@ -279,14 +279,14 @@
         })
         .unwrap();
     fleet.start(also_down).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     // Damage to one copy is repaired from the other.
     fleet.kill(failed);
     let id =
         fleet.statuses().values().next().unwrap().voters.iter().copied().find(|id| id.replica_id == failed);
-    folders::cut_short(&fleet.folder(failed).join("log.1"), 700).unwrap();
+    folders::truncate(&fleet.folder(failed).join("log.1"), 700).unwrap();
     fleet.start(failed).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.status(failed).map(|status| status.id), id);
     assert_eq!(fleet.history().unwrap().len(), 10);
 }
@@ -306,7 +306,7 @@
     assert!(status.excluded.is_some() && status.voters.is_empty(), "{status:?}");
     std::fs::remove_dir(&log).unwrap();
     std::fs::rename(&away, &log).unwrap();
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     assert_eq!(fleet.history().unwrap().len(), 4);
 }
 
@@ -314,18 +314,18 @@
 fn a_put_whose_answer_is_lost_takes_effect_once_when_repeated_elsewhere() {
     let mut fleet = start_fleet("answer");
     let leader = fleet.wait_for_leader().unwrap();
-    fleet.door(leader).stand(Standing { back: Way::Held, ..Standing::default() });
+    fleet.client_link(leader).set_state(LinkState { back: Flow::Held, ..LinkState::default() });
     let write = OperatorRequest::Write(
-        fleet.a_write(SettingsChange::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))),
+        fleet.new_write(SettingsChange::Put(settings(1), Vec::new(), Vec::new()), Some(number(0))),
     );
     assert!(ask(fleet.at(leader), &write, Duration::from_millis(400)).is_err());
     // It took effect, but the answer was lost. The leader is killed, and its successor reports the outcome.
     fleet.kill(leader);
-    fleet.door(leader).stand(Standing::default());
-    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
+    fleet.client_link(leader).set_state(LinkState::default());
+    assert_eq!(fleet.ask(&write, WAIT_TIMEOUT).unwrap(), OperatorReply::Committed(number(1)));
     fleet.start(leader).unwrap();
-    fleet.wait_for_one_state().unwrap();
-    assert_eq!(fleet.ask(&write, PATIENCE).unwrap(), OperatorReply::Committed(number(1)));
+    fleet.wait_for_same_state().unwrap();
+    assert_eq!(fleet.ask(&write, WAIT_TIMEOUT).unwrap(), OperatorReply::Committed(number(1)));
     assert_eq!(fleet.history().unwrap().len(), 1);
 }
 
@@ -356,8 +356,8 @@
     for round in 0..5 {
         fleet.put(&settings(round)).unwrap();
     }
-    let before = fleet.wait_for_one_state().unwrap();
-    let failed = fleet.places().find(|place| Some(*place) != fleet.leader()).unwrap();
+    let before = fleet.wait_for_same_state().unwrap();
+    let failed = fleet.replicas().find(|place| Some(*place) != fleet.leader()).unwrap();
     fleet.kill(failed);
     tamper(&fleet.folder(failed));
     fleet.start(failed).unwrap();
@@ -365,10 +365,12 @@
     for round in 5..30 {
         fleet.put(&settings(round)).unwrap();
     }
-    let (line, _) =
-        fleet.process(failed).line(0, PATIENCE, |line| line.contains("differs from a majority's")).unwrap();
+    let (line, _) = fleet
+        .process(failed)
+        .wait_for_line(0, WAIT_TIMEOUT, |line| line.contains("differs from a majority's"))
+        .unwrap();
     assert!(line.contains("stops serving"), "{line}");
-    let after = fleet.wait_for_one_state().unwrap();
+    let after = fleet.wait_for_same_state().unwrap();
     assert_eq!(after.iter().filter(|id| !before.contains(id)).count(), 1);
     assert!(fleet.history().unwrap().iter().all(|written| written.reason != "altered"));
 }
@@ -424,7 +426,7 @@
     assert_eq!(run(&fleet, &["backup", &file]).0, Some(1), "a backup is never written over");
     fleet.put(&settings(2)).unwrap();
     let leader = fleet.wait_for_leader().unwrap();
-    let out = fleet.places().find(|place| *place != leader).unwrap().to_string();
+    let out = fleet.replicas().find(|place| *place != leader).unwrap().to_string();
     let (status, output) = run(&fleet, &["take-out", &out]);
     assert!(status == Some(1) && output.contains("--anyway"), "{output}");
     let (status, output) = run(&fleet, &["take-out", &leader.to_string()]);
@@ -432,15 +434,15 @@
     let (status, output) = run(&fleet, &["restore", &file]);
     assert!(status == Some(1) && output.contains("already"), "{output}");
     // Everything but the backup is lost.
-    for place in fleet.places() {
+    for place in fleet.replicas() {
         fleet.kill(place);
         folders::empty(&fleet.folder(place)).unwrap();
     }
     assert_eq!(run(&fleet, &["restore", &file]).0, Some(0));
-    for place in fleet.places() {
+    for place in fleet.replicas() {
         fleet.start(place).unwrap();
     }
-    fleet.wait_for_one_state().unwrap();
+    fleet.wait_for_same_state().unwrap();
     let history = fleet.history().unwrap();
     let last = history.last().unwrap();
     assert!(last.version > number(2) && last.version.generation > 0, "{last:?}");
--- a/crates/daemon/tests/releases.rs
+++ b/crates/daemon/tests/releases.rs
@@ -14,11 +14,11 @@
     Action, FORMAT, Plan, Release, ReleaseState, ReleaseUpdate, RollbackPolicy, Side, Stage, TargetKind,
 };
 use appledyke_fleet::state::SettingsChange;
-use appledyke_lab::rig::fleet::{Daemons, PATIENCE, Shape};
-use appledyke_lab::rig::links::{Link, Standing as Way};
+use appledyke_lab::rig::fleet::{Daemons, Shape, WAIT_TIMEOUT};
+use appledyke_lab::rig::links::{Link, LinkState};
 use appledyke_lab::rig::operators::Operators;
-use appledyke_lab::rig::processes::{Process, Recipe, beside};
-use appledyke_lab::rig::sidecars::{Clients, How, Sidecars, entry, request};
+use appledyke_lab::rig::processes::{Process, ProcessSpec, workspace_program};
+use appledyke_lab::rig::sidecars::{Behavior, Clients, Sidecars, entry, request};
 
 const BASE: &str = include_str!("../../../examples/sidecar.json");
 const BEAT_MS: u64 = 80;
@@ -78,7 +78,7 @@
         let root = std::env::temp_dir().join(format!("appledyke-releases-{}-{name}", std::process::id()));
         let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
         let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-        daemons.begin().unwrap();
+        daemons.start_all().unwrap();
         let group = |name: &str, most, endpoints: &[&str]| Group {
             name: name.into(),
             max_out: Some(Amount::Number(most)),
@@ -86,16 +86,17 @@
             endpoints: endpoints.iter().map(ToString::to_string).collect(),
         };
         let groups = vec![group("zone a", 2, &[]), group("pool", 1, &["e0", "e1"])];
-        let write = daemons.a_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups), None);
+        let write = daemons.new_write(SettingsChange::Put("{}".to_string(), Vec::new(), groups), None);
         assert!(matches!(
-            daemons.ask(&OperatorRequest::Write(write), PATIENCE),
+            daemons.ask(&OperatorRequest::Write(write), WAIT_TIMEOUT),
             Ok(OperatorReply::Committed(_))
         ));
         let mut sidecars =
-            Sidecars::new(&root.join("sidecars"), &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap();
-        sidecars.groups(&["zone a"]);
-        sidecars.version("1", false);
-        let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
+            Sidecars::new(&root.join("sidecars"), &workspace_program("appledyke-sidecar").unwrap(), BASE, 2)
+                .unwrap();
+        sidecars.set_groups(&["zone a"]);
+        sidecars.set_version("1", false);
+        let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
         names(members).iter().for_each(|name| sidecars.start(name, &at, BEAT_MS).unwrap());
         let cluster = Cluster { daemons, sidecars, operators: Operators::default() };
         cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == members);
@@ -103,7 +104,7 @@
     }
 
     fn rows(&self) -> Vec<MemberRow> {
-        match self.daemons.ask(&OperatorRequest::Members, PATIENCE) {
+        match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT) {
             Ok(OperatorReply::Members(rows)) => rows,
             other => panic!("{other:?}"),
         }
@@ -116,7 +117,7 @@
     }
 
     fn send_update(&self, update: ReleaseUpdate) -> OperatorReply {
-        self.daemons.ask(&OperatorRequest::Release(update), PATIENCE).unwrap()
+        self.daemons.ask(&OperatorRequest::Release(update), WAIT_TIMEOUT).unwrap()
     }
 
     fn start(&self, plan: &Plan) {
@@ -135,10 +136,10 @@
     fn until(&mut self, name: &str, what: &str, check: impl Fn(&Release) -> bool) -> Release {
         let start = std::time::Instant::now();
         loop {
-            let seen = self.operators.turn(&self.daemons, &mut self.sidecars, name, BEAT_MS).unwrap();
+            let seen = self.operators.poll(&self.daemons, &mut self.sidecars, name, BEAT_MS).unwrap();
             match seen {
                 Some(release) if check(&release) => return release,
-                Some(release) if start.elapsed() > 2 * PATIENCE => {
+                Some(release) if start.elapsed() > 2 * WAIT_TIMEOUT => {
                     panic!("{what}: {}\n{:?}", release.summary(), self.rows())
                 }
                 _ => std::thread::sleep(Duration::from_millis(10)),
@@ -179,7 +180,13 @@
 }
 
 fn front(cluster: &Cluster, count: usize) -> Clients {
-    Clients::front(&cluster.sidecars, &names(count), 2, "/menu/1", Duration::from_millis(4))
+    Clients::start_with_health_checks(
+        &cluster.sidecars,
+        &names(count),
+        2,
+        "/menu/1",
+        Duration::from_millis(4),
+    )
 }
 
 fn ended(how: &'static str) -> impl Fn(&Release) -> bool {
@@ -200,17 +207,17 @@
     cluster.daemons.start(leader).unwrap();
     let most = monitor.most();
     let answers = clients.stop();
-    let lost: u64 = answers.iter().map(|a| a.none + a.failed + a.rejected).sum();
+    let lost: u64 = answers.iter().map(|a| a.no_reply + a.failed + a.rejected).sum();
     assert!(most <= 2, "{most} were out at once");
     assert_eq!(lost, 0, "{answers:?}");
     assert!(answers.iter().all(|a| a.served > 20), "{answers:?}");
-    assert!(names(5).iter().all(|target| cluster.operators.moves(target, "2") == 1));
+    assert!(names(5).iter().all(|target| cluster.operators.restarts(target, "2") == 1));
 }
 
 #[test]
 fn a_faulty_version_is_halted_at_its_first_step_and_rolled_back_automatically() {
     let mut cluster = Cluster::begin_with_long_lease("flawed", 5);
-    cluster.operators.flawed.push("2".into());
+    cluster.operators.failing_versions.push("2".into());
     let clients = front(&cluster, 5);
     std::thread::sleep(Duration::from_millis(1500));
     cluster.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
@@ -218,8 +225,8 @@
     let (why, worse) = release.halted.clone().unwrap();
     assert!(worse && why.contains("not served, against"), "{why}");
     // At most one step was moved, and each moved member is back.
-    let moved: usize = names(5).iter().map(|target| cluster.operators.moves(target, "2")).sum();
-    let back: usize = names(5).iter().map(|target| cluster.operators.moves(target, "1")).sum();
+    let moved: usize = names(5).iter().map(|target| cluster.operators.restarts(target, "2")).sum();
+    let back: usize = names(5).iter().map(|target| cluster.operators.restarts(target, "1")).sum();
     assert!((1..=2).contains(&moved) && back == moved, "{moved} moved, {back} back");
     drop(clients.stop());
 }
@@ -231,13 +238,13 @@
     std::thread::sleep(Duration::from_millis(2500));
     cluster.start(&Plan { rollback: RollbackPolicy::WhenWorse, ..plan("r") });
     cluster.until("r", "one is moved", |release| release.reached(Side::New).count() >= 1);
-    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Fails));
+    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Fails));
     let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     let (why, worse) = release.halted.clone().unwrap();
     let expected = why.starts_with("those not moved do worse than before") || why.contains("nobody is left");
     assert!(!worse && expected, "{why}");
     // Members in progress come back, and no other is drained; an operator resumes the release.
-    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.answers(How::Well));
+    cluster.sidecars.endpoints.iter().for_each(|endpoint| endpoint.set_behavior(Behavior::Succeeds));
     let release = cluster.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(release.state, ReleaseState::Halted);
     cluster.wait("all are back", |rows| rows.iter().all(|row| !row.out));
@@ -261,7 +268,7 @@
         .map(|()| cluster.release("r").transitions().next().map(|(target, _)| target.clone()));
     let first = first.unwrap().unwrap_or("s0".to_string());
     // Killed before it is drained, and restarted with the old version: its step in the release stays.
-    let at: Vec<_> = cluster.daemons.places().map(|place| (place, cluster.daemons.at(place))).collect();
+    let at: Vec<_> = cluster.daemons.replicas().map(|place| (place, cluster.daemons.at(place))).collect();
     cluster.sidecars.kill(&first);
     cluster.sidecars.start(&first, &at, BEAT_MS).unwrap();
     let release = cluster.until("r", "it halts, or goes on", |release| {
@@ -291,7 +298,7 @@
         "{}",
         release.summary()
     );
-    left.iter().take(2).for_each(|target| cluster.sidecars.process(target).go_on());
+    left.iter().take(2).for_each(|target| cluster.sidecars.process(target).resume());
     cluster.wait("all are back", |rows| rows.iter().all(|row| !row.out));
     assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     cluster.until("r", "it ends", ended("all are moved"));
@@ -313,13 +320,13 @@
     let (status, text) = cluster.daemons.command(&["backup", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
     assert_eq!(cluster.send_update(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
-    for place in cluster.daemons.places() {
+    for place in cluster.daemons.replicas() {
         cluster.daemons.kill(place);
         std::fs::remove_dir_all(cluster.daemons.folder(place)).unwrap();
     }
     let (status, text) = cluster.daemons.command(&["restore", "--config", &config, &file]).unwrap();
     assert_eq!(status, Some(0), "{text}");
-    cluster.daemons.places().for_each(|place| cluster.daemons.start(place).unwrap());
+    cluster.daemons.replicas().for_each(|place| cluster.daemons.start(place).unwrap());
     cluster.daemons.wait_for_leader().unwrap();
     let release = cluster.until("r", "it is there", |_| true);
     assert!(release.summary().contains("halted: restored from a backup"), "{}", release.summary());
@@ -328,7 +335,7 @@
     let clients = front(&cluster, 3);
     assert_eq!(cluster.send_update(ReleaseUpdate::Rollback("r".into())), OperatorReply::Done);
     cluster.until("r", "it ends", |release| release.is_ended() || release.state == ReleaseState::Halted);
-    assert_eq!(cluster.operators.moves("s0", "1"), 1);
+    assert_eq!(cluster.operators.restarts("s0", "1"), 1);
     drop(clients.stop());
 }
 
@@ -336,15 +343,15 @@
 fn a_zone_cut_off_in_the_middle_of_a_step_counts_as_out_and_drains_nobody_itself() {
     let mut cluster = Cluster::begin("zone", 3);
     // Two more members behind links of their own are the zone that is cut off.
-    let links: Vec<_> = cluster.daemons.places().map(|place| (place, Link::new(None).unwrap())).collect();
-    links.iter().for_each(|(place, link)| link.lead_to(cluster.daemons.at(*place)));
+    let links: Vec<_> = cluster.daemons.replicas().map(|place| (place, Link::new(None).unwrap())).collect();
+    links.iter().for_each(|(place, link)| link.set_target(cluster.daemons.at(*place)));
     let at: Vec<_> = links.iter().map(|(place, link)| (*place, link.at())).collect();
     ["s3", "s4"].iter().for_each(|name| cluster.sidecars.start(name, &at, BEAT_MS).unwrap());
     cluster.wait("all serve", |rows| rows.iter().filter(|row| !row.out).count() == 5);
     let clients = front(&cluster, 5);
     cluster.start(&plan("r"));
     cluster.until("r", "one is on its way", |release| release.transitions().next().is_some());
-    links.iter().for_each(|(_, link)| link.stand(Way::cut()));
+    links.iter().for_each(|(_, link)| link.set_state(LinkState::partitioned()));
     let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("more out than may be"), "{}", release.summary());
     cluster.until("r", "nobody is under way", |release| {
@@ -353,15 +360,15 @@
     // In the cut-off zone nobody drains, and members that were not draining before keep serving.
     let sent: Vec<String> = cluster.release("r").transitions().map(|(target, _)| target.clone()).collect();
     for name in ["s3", "s4"].iter().filter(|name| !sent.contains(&name.to_string())) {
-        assert_eq!(cluster.sidecars.told(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
+        assert_eq!(cluster.sidecars.command(name, "drain\n").unwrap(), "400 not now: no daemon heard\n");
         assert_eq!(request(cluster.sidecars.at(name), "/healthz"), Some(200));
     }
-    links.iter().for_each(|(_, link)| link.stand(Way::default()));
+    links.iter().for_each(|(_, link)| link.set_state(LinkState::default()));
     cluster.wait("all are back", |rows| rows.iter().all(|row| !row.out));
     cluster.until("r", "nobody is under way", |release| release.transitions().next().is_none());
     assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     cluster.until("r", "it ends", ended("all are moved"));
-    let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
+    let lost: u64 = clients.stop().iter().map(|a| a.no_reply + a.failed).sum();
     assert_eq!(lost, 0);
 }
 
@@ -369,7 +376,9 @@
 fn agent(cluster: &Cluster, target: &str) -> Process {
     let config = cluster.daemons.configuration(1).display().to_string();
     let program = Path::new(env!("CARGO_BIN_EXE_appledyke-daemon"));
-    Recipe::new(&format!("agent {target}"), program, &["agent", "--config", &config, target]).start().unwrap()
+    ProcessSpec::new(&format!("agent {target}"), program, &["agent", "--config", &config, target])
+        .start()
+        .unwrap()
 }
 
 fn action(cluster: &Cluster, script: &str) -> Option<Action> {
@@ -409,7 +418,7 @@
     assert_eq!(cluster.sidecars.endpoints[1].open(), 0);
     // An operator may not take the other endpoint out of service at the same time.
     let other = OperatorRequest::Endpoint { name: "e0".into(), out: true, force: None };
-    let reply = cluster.daemons.ask(&other, PATIENCE).unwrap();
+    let reply = cluster.daemons.ask(&other, WAIT_TIMEOUT).unwrap();
     assert_eq!(reply, OperatorReply::Refused("1 of 1 out in pool, which has 2: e1".into()));
     let before = cluster.sidecars.endpoints[1].requests();
     cluster.until("r", "it is back", |release| {
@@ -419,7 +428,7 @@
     cluster.until("r", "it ends", ended("all are moved"));
     assert_eq!(runs(&cluster), ["e1 2", "e0 2"]);
     let answers = clients.stop();
-    let lost: u64 = answers.iter().map(|a| a.none + a.failed).sum();
+    let lost: u64 = answers.iter().map(|a| a.no_reply + a.failed).sum();
     assert_eq!(lost, 0, "{answers:?}");
     drop(agents);
 }
@@ -446,19 +455,19 @@
     // All members have reported that they hold nothing there. Then one is suspended, and the list drops the endpoint.
     cluster.sidecars.process("s2").stop();
     let at = cluster.sidecars.endpoints[0].at;
-    cluster.sidecars.list.tell(&[entry(0, at, "removed")]);
+    cluster.sidecars.list.send_update(&[entry(0, at, "removed")]);
     let before = cluster.sidecars.endpoints[0].requests();
     cluster.until("r", "e0 is to be back", |r| {
         r.transitions().any(|(_, going)| going.stage >= Stage::ActionDone)
     });
     assert_eq!(cluster.sidecars.endpoints[0].requests(), before);
     // The endpoint is a new process by now, and back in the list. The resumed member starts from what it knew, and catches up.
-    cluster.sidecars.list.tell(&[entry(0, at, "up")]);
-    cluster.sidecars.process("s2").go_on();
+    cluster.sidecars.list.send_update(&[entry(0, at, "up")]);
+    cluster.sidecars.process("s2").resume();
     cluster.until("r", "it ends", ended("all are moved"));
     assert!(cluster.sidecars.endpoints[0].requests() > before);
     assert_eq!(runs(&cluster), ["e0 2"]);
-    let lost: u64 = clients.stop().iter().map(|a| a.none + a.failed).sum();
+    let lost: u64 = clients.stop().iter().map(|a| a.no_reply + a.failed).sum();
     assert_eq!(lost, 0);
 }
 
@@ -540,7 +549,7 @@
     let release = cluster.until("r", "it halts", |release| release.state == ReleaseState::Halted);
     assert!(release.summary().contains("e0 is not empty after 1500 ms"), "{}", release.summary());
     assert_eq!(runs(&cluster), Vec::<String>::new());
-    cluster.sidecars.process("s2").go_on();
+    cluster.sidecars.process("s2").resume();
     cluster.until("r", "e0 is back in service", |release| release.transitions().next().is_none());
     assert_eq!(cluster.send_update(ReleaseUpdate::Resume("r".into())), OperatorReply::Done);
     cluster.until("r", "it ends", ended("all are moved"));
--- a/crates/daemon/tests/scopes.rs
+++ b/crates/daemon/tests/scopes.rs
@@ -16,9 +16,9 @@
 };
 use appledyke_fleet::scopes::{Locality, Scope};
 use appledyke_fleet::state::{MAX_SETTINGS_BYTES, SettingsChange, Write};
-use appledyke_lab::rig::fleet::{Daemons, FLEET, PATIENCE, Shape, ask};
-use appledyke_lab::rig::links::Standing as Link;
-use appledyke_lab::rig::processes::beside;
+use appledyke_lab::rig::fleet::{Daemons, FLEET, Shape, WAIT_TIMEOUT, ask};
+use appledyke_lab::rig::links::LinkState;
+use appledyke_lab::rig::processes::workspace_program;
 use appledyke_lab::rig::sidecars::{Sidecars, request};
 use serde_json::{Value, json};
 
@@ -31,18 +31,18 @@
     // Timeouts long enough that a busy machine causes no elections: leaders change only where a test makes them.
     let shape = Shape { election_ms: 1000, lease_ms: 2000, ..Shape::default() };
     let mut daemons = Daemons::new(&root, program, BASE, shape).unwrap();
-    daemons.begin().unwrap();
+    daemons.start_all().unwrap();
     daemons
 }
 
 fn sidecars(daemons: &Daemons) -> Sidecars {
     let root = daemons.root.join("sidecars");
-    Sidecars::new(&root, &beside("appledyke-sidecar").unwrap(), BASE, 2).unwrap()
+    Sidecars::new(&root, &workspace_program("appledyke-sidecar").unwrap(), BASE, 2).unwrap()
 }
 
 fn start(sidecars: &mut Sidecars, daemons: &Daemons, name: &str, belongs: Value) {
-    sidecars.belongs(belongs);
-    let at: Vec<_> = daemons.places().map(|place| (place, daemons.at(place))).collect();
+    sidecars.set_belongs(belongs);
+    let at: Vec<_> = daemons.replicas().map(|place| (place, daemons.at(place))).collect();
     sidecars.start(name, &at, BEAT_MS).unwrap();
 }
 
@@ -90,8 +90,8 @@
     what: SettingsChange,
     expects: Option<Version>,
 ) -> OperatorReply {
-    let write = daemons.a_write(what, expects);
-    daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, PATIENCE).unwrap()
+    let write = daemons.new_write(what, expects);
+    daemons.ask(&OperatorRequest::WriteScoped { scope: scope(of), write }, WAIT_TIMEOUT).unwrap()
 }
 
 fn commit_scoped(daemons: &mut Daemons, of: &str, text: &str) -> Version {
@@ -111,7 +111,7 @@
 }
 
 fn rows(daemons: &Daemons) -> Vec<ScopeRow> {
-    match daemons.ask(&OperatorRequest::Scopes, PATIENCE).unwrap() {
+    match daemons.ask(&OperatorRequest::Scopes, WAIT_TIMEOUT).unwrap() {
         OperatorReply::Scopes(rows) => rows,
         other => panic!("{other:?}"),
     }
@@ -143,7 +143,7 @@
 impl RawMember {
     fn connect(at: SocketAddr, name: &str, version: u16, locality: Option<Locality>) -> RawMember {
         let stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let report = Report { name: name.into(), incarnation: 1, process_nonce: 1, ..Report::default() };
         let (frames, decoder) = (FrameReader::default(), Decoder::default());
         let mut raw = RawMember {
@@ -367,12 +367,12 @@
         let expects = row(daemons, "service=menu").version;
         assert!(expects >= holds);
         let writes: Vec<Write> = ["bread", "stew"]
-            .map(|method| daemons.a_write(put(&with_method(&format!("{method}{round}"))), Some(expects)))
+            .map(|method| daemons.new_write(put(&with_method(&format!("{method}{round}"))), Some(expects)))
             .into();
         let at = daemons.at(daemons.wait_for_leader().unwrap());
         let asked = writes.into_iter().map(|write| {
             let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
-            thread::spawn(move || ask(at, &asked, PATIENCE).unwrap())
+            thread::spawn(move || ask(at, &asked, WAIT_TIMEOUT).unwrap())
         });
         let replies: Vec<OperatorReply> =
             asked.collect::<Vec<_>>().into_iter().map(|asked| asked.join().unwrap()).collect();
@@ -401,13 +401,13 @@
             .iter()
             .map(|(of, text)| OperatorRequest::WriteScoped {
                 scope: scope(of),
-                write: daemons.a_write(put(&text.to_string()), None),
+                write: daemons.new_write(put(&text.to_string()), None),
             })
             .collect();
         let at = daemons.at(daemons.wait_for_leader().unwrap());
         // In one write: the second request is read before the first is committed.
         let mut stream = TcpStream::connect(at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let mut out = Vec::new();
         Frame::hello(FLEET, Initiator::Operator).write(&mut out);
         for (number, ask) in asked.into_iter().enumerate() {
@@ -504,16 +504,16 @@
     start(&mut sidecars, daemons, "s0", json!({"service": "menu"}));
     let _ = commit_scoped(daemons, "service=menu", &with_method("soup"));
     sidecars.wait("it acts", |sidecars| request(sidecars.at("s0"), "/soup/1") == Some(200)).unwrap();
-    assert!(sidecars.keep("s0").exists());
+    assert!(sidecars.kept_settings("s0").exists());
     // Danger: without a daemon, the stored settings of the earlier service could be taken for its own.
-    daemons.places().for_each(|place| daemons.kill(place));
+    daemons.replicas().for_each(|place| daemons.kill(place));
     sidecars.kill("s0");
     start(&mut sidecars, daemons, "s0", json!({"service": "bar"}));
     assert_eq!(
         (request(sidecars.at("s0"), "/soup/1"), request(sidecars.at("s0"), "/menu/1")),
         (Some(404), Some(200))
     );
-    for place in daemons.places() {
+    for place in daemons.replicas() {
         daemons.start(place).unwrap();
     }
     daemons.wait_for_leader().unwrap();
@@ -571,13 +571,13 @@
     let daemons = &mut start_fleet("newcomer");
     let first = commit_scoped(daemons, "service=menu", &with_method("soup"));
     let old = daemons.wait_for_leader().unwrap();
-    daemons.around(old, Link::cut());
-    let write = daemons.a_write(put(&with_method("bread")), None);
+    daemons.set_links_of(old, LinkState::partitioned());
+    let write = daemons.new_write(put(&with_method("bread")), None);
     let (at, asked) = (
         daemons.at(old),
         OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() },
     );
-    let waits = thread::spawn(move || ask(at, &asked, PATIENCE));
+    let waits = thread::spawn(move || ask(at, &asked, WAIT_TIMEOUT));
     daemons
         .wait("it is in the log", |daemons| {
             daemons.status(old).is_some_and(|status| status.last > status.committed)
@@ -588,17 +588,17 @@
     let (received, settings) = newcomer.wait_for_settings();
     assert_eq!((received, &settings["methods"][0]["name"]), (first, &json!("soup")));
     assert!(newcomer.settings().is_none());
-    daemons.around(old, Link::default());
+    daemons.set_links_of(old, LinkState::default());
     let _ = waits.join().unwrap();
     // The write repeated with its id takes effect once, whatever its first outcome.
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
     let mut reply = OperatorReply::Done;
     daemons
         .wait("its outcome is known", |daemons| {
-            matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_)))
+            matches!(daemons.ask(&asked, WAIT_TIMEOUT), Ok(OperatorReply::Committed(_)))
         })
         .unwrap();
-    if let Ok(known) = daemons.ask(&asked, PATIENCE) {
+    if let Ok(known) = daemons.ask(&asked, WAIT_TIMEOUT) {
         reply = known;
     }
     let OperatorReply::Committed(second) = reply else { panic!("{reply:?}") };
@@ -643,10 +643,10 @@
         let mut member = RawMember::connect(daemons.at(leader), "s0", VERSION, Some(in_service("menu")));
         assert_eq!(member.wait_for_settings().0, version);
         let before = daemons.status(leader).unwrap().last;
-        let write = daemons.a_write(put(&with_method(&format!("bread{round}"))), None);
+        let write = daemons.new_write(put(&with_method(&format!("bread{round}"))), None);
         let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write: write.clone() };
         let (at, request) = (daemons.at(leader), asked.clone());
-        let first = thread::spawn(move || ask(at, &request, PATIENCE));
+        let first = thread::spawn(move || ask(at, &request, WAIT_TIMEOUT));
         daemons
             .wait("it is in the log", |daemons| {
                 daemons.status(leader).is_some_and(|status| status.last > before)
@@ -657,7 +657,7 @@
         daemons.start(leader).unwrap();
         let mut outcome = None;
         for _ in 0..400 {
-            match daemons.ask(&asked, PATIENCE) {
+            match daemons.ask(&asked, WAIT_TIMEOUT) {
                 Ok(OperatorReply::Committed(version)) => {
                     outcome = Some(version);
                     break;
@@ -672,9 +672,9 @@
         assert!(
             second > version && !matches!(first, Ok(OperatorReply::Committed(version)) if version != second)
         );
-        daemons.wait_for_one_state().unwrap();
+        daemons.wait_for_same_state().unwrap();
         let OperatorReply::ScopeHistory(rows) =
-            daemons.ask(&OperatorRequest::ScopeHistory(scope("service=menu")), PATIENCE).unwrap()
+            daemons.ask(&OperatorRequest::ScopeHistory(scope("service=menu")), WAIT_TIMEOUT).unwrap()
         else {
             panic!()
         };
@@ -759,38 +759,38 @@
 fn scoped_puts_are_refused_until_all_voters_speak_version_three() {
     let daemons = &mut start_fleet("voters");
     daemons.put(&with_method("soup")).unwrap();
-    daemons.wait_for_one_state().unwrap();
+    daemons.wait_for_same_state().unwrap();
     let leader = daemons.wait_for_leader().unwrap();
-    let other = daemons.places().find(|place| *place != leader).unwrap();
+    let other = daemons.replicas().find(|place| *place != leader).unwrap();
     let id = daemons.status(other).unwrap().id;
     let refused = |daemons: &mut Daemons, what: &str| {
         let wanted = format!("not before all daemons speak version {VERSION}: place {other} {what}");
-        let write = daemons.a_write(put(&with_method("never")), None);
+        let write = daemons.new_write(put(&with_method("never")), None);
         let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
         daemons
             .wait(
                 &wanted,
-                |daemons| matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Invalid(why)) if why == wanted),
+                |daemons| matches!(daemons.ask(&asked, WAIT_TIMEOUT), Ok(OperatorReply::Invalid(why)) if why == wanted),
             )
             .unwrap();
     };
     daemons.kill(other);
-    daemons.link(leader, other).lead_to("127.0.0.1:1".parse().unwrap());
+    daemons.link(leader, other).set_target("127.0.0.1:1".parse().unwrap());
     // Danger: the remaining replicas are a majority, and would commit an entry that an older replica skips.
     refused(daemons, "is not heard");
-    daemons.link(leader, other).lead_to(fake_older_daemon(id));
+    daemons.link(leader, other).set_target(fake_older_daemon(id));
     refused(daemons, "speaks 2");
     // Settings for the whole fleet can still be put.
     daemons.put(&with_method("bread")).unwrap();
     daemons.start(other).unwrap();
     daemons.link(leader, other).reset();
     let _ = commit_scoped(daemons, "service=menu", &with_method("stew"));
-    daemons.wait_for_one_state().unwrap();
+    daemons.wait_for_same_state().unwrap();
     // Danger: checked for each put, one machine that is away would block all scoped puts from then on.
     daemons.kill(other);
-    let write = daemons.a_write(put(&with_method("cake")), None);
+    let write = daemons.new_write(put(&with_method("cake")), None);
     let asked = OperatorRequest::WriteScoped { scope: scope("service=menu"), write };
-    assert!(matches!(daemons.ask(&asked, PATIENCE), Ok(OperatorReply::Committed(_))));
+    assert!(matches!(daemons.ask(&asked, WAIT_TIMEOUT), Ok(OperatorReply::Committed(_))));
 }
 
 #[test]
@@ -860,15 +860,15 @@
 fn the_protocol_version_of_an_earlier_process_of_a_voter_does_not_count() {
     let daemons = &mut start_fleet("replaced");
     daemons.put(&with_method("soup")).unwrap();
-    daemons.wait_for_one_state().unwrap();
+    daemons.wait_for_same_state().unwrap();
     let leader = daemons.wait_for_leader().unwrap();
-    let other = daemons.places().find(|place| *place != leader).unwrap();
+    let other = daemons.replicas().find(|place| *place != leader).unwrap();
     let id = daemons.status(other).unwrap().id;
     // The leader's own connection to that replica stays open, but its peer is gone.
-    daemons.link(leader, other).stand(Link::cut());
+    daemons.link(leader, other).set_state(LinkState::partitioned());
     daemons.kill(other);
     let mut stream = TcpStream::connect(daemons.at(leader)).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let (mut out, mut frames, mut buffer) = (Vec::new(), FrameReader::default(), vec![0; 4096]);
     Frame::hello_as(MIN_VERSION, FLEET, Initiator::Replica(id)).write(&mut out);
     stream.write_all(&out).unwrap();
@@ -886,7 +886,7 @@
 fn a_daemon_of_version_two_answers_operators_and_unsupported_requests_are_named() {
     let at = fake_older_daemon(Id { replica_id: 1, incarnation: 1 });
     let one = |asked: &OperatorRequest, sent: &mut bool| {
-        appledyke_daemon::client::ask_daemon(at, FLEET, asked, PATIENCE, sent)
+        appledyke_daemon::client::ask_daemon(at, FLEET, asked, WAIT_TIMEOUT, sent)
     };
     let mut sent = false;
     assert_eq!(one(&OperatorRequest::Status, &mut sent), Ok(OperatorReply::Done));
--- a/crates/lab/src/scale/world.rs
+++ b/crates/lab/src/scale/world.rs
@@ -21,8 +21,8 @@
 use super::scenario::Scenario;
 use super::shape::Shape;
 use super::{lists, now};
-use crate::rig::fleet::{self, Daemons, PATIENCE, ask};
-use crate::rig::links::{Link, Standing};
+use crate::rig::fleet::{self, Daemons, WAIT_TIMEOUT, ask};
+use crate::rig::links::{Link, LinkState};
 use crate::rig::sidecars::{Sidecars, entry};
 
 /// Longest that a child is waited for.
@@ -186,17 +186,17 @@
         for from in &shape.daemons {
             for to in shape.daemons.iter().filter(|to| to.replica != from.replica) {
                 let (delay, loss) = path(from.place.region, to.place.region);
-                daemons.link(from.replica, to.replica).delays(delay, loss);
+                daemons.link(from.replica, to.replica).set_delay(delay, loss);
             }
         }
-        daemons.begin()?;
+        daemons.start_all()?;
         let mut ways = BTreeMap::new();
         for daemon in &shape.daemons {
             let at = daemons.own_address(daemon.replica)?;
             for region in 0..shape.numbers.regions {
                 let way = Link::new(Some(at)).map_err(|e| format!("link: {e}"))?;
                 let (delay, loss) = path(region, daemon.place.region);
-                way.delays(delay, loss);
+                way.set_delay(delay, loss);
                 ways.insert((region, daemon.replica), way);
             }
         }
@@ -300,9 +300,9 @@
     }
 
     fn wait_for_all(&self, size: usize) -> Result<(), String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let serving = match self.daemons.ask(&OperatorRequest::Members, PATIENCE)? {
+            let serving = match self.daemons.ask(&OperatorRequest::Members, WAIT_TIMEOUT)? {
                 OperatorReply::Members(rows) => {
                     rows.iter().filter(|row| row.status == Member::Serving).count()
                 }
@@ -328,7 +328,7 @@
         if self.scenario.is_scoped() {
             let (service, place) = (&self.shape.services[member.service].name, member.place);
             let (zone, region) = (format!("z{}", place.zone), format!("r{}", place.region));
-            self.sidecars.belongs(json!({"service": service, "zone": zone, "region": region}));
+            self.sidecars.set_belongs(json!({"service": service, "zone": zone, "region": region}));
         }
         self.sidecars.start(&member.name, &daemons, self.scenario.beat_ms)?;
         self.real.insert(at, incarnation.nanos());
@@ -342,7 +342,7 @@
     /// # Errors
     /// That nobody came to lead.
     pub fn leader(&self) -> Result<u16, String> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             // Danger: one that answers late on a busy machine has not gone.
             if let Some(leader) = self.daemons.leader() {
@@ -481,7 +481,7 @@
         let mut of = |name: String, id: u32| {
             taken.extend(machine::taken(id).map(|one| (name, one)));
         };
-        for place in self.daemons.places().collect::<Vec<_>>() {
+        for place in self.daemons.replicas().collect::<Vec<_>>() {
             if self.daemons.running(place) {
                 of(format!("d{place}"), self.daemons.process(place).id());
             }
@@ -497,7 +497,7 @@
         self.lists.tell(&lists::Order::Mark)?;
         let lists::Said::Mark(lists) = self.lists.hear(ANSWER_IN)? else { return Err("lists".into()) };
         let counts = self.marks()?;
-        let places: Vec<u16> = self.daemons.places().collect();
+        let places: Vec<u16> = self.daemons.replicas().collect();
         let none: BTreeMap<u16, [u64; 2]> = places.iter().map(|place| (*place, [0, 0])).collect();
         let (mut ways, mut links) = (none.clone(), none);
         for ((_, place), way) in &self.ways {
@@ -519,7 +519,7 @@
 
     /// Where daemons are asked by operators.
     pub fn doors(&self) -> Vec<(u16, SocketAddr)> {
-        self.daemons.places().map(|place| (place, self.daemons.at(place))).collect()
+        self.daemons.replicas().map(|place| (place, self.daemons.at(place))).collect()
     }
 
     /// The number of the next put.
@@ -537,7 +537,7 @@
         let text = settings(number, bytes);
         let mut leader = self.leader()?;
         let write = a_put(number, &text, budgets);
-        let (version, began, committed) = commit(&self.doors(), &write, &mut leader, PATIENCE)?;
+        let (version, began, committed) = commit(&self.doors(), &write, &mut leader, WAIT_TIMEOUT)?;
         self.committed(version, digest(&text), committed);
         Ok((version, began, committed))
     }
@@ -560,14 +560,14 @@
         let scope = Scope::Service(self.shape.services[service].name.clone());
         let mut leader = self.daemons.wait_for_leader()?;
         let asked = OperatorRequest::WriteScoped { scope, write };
-        let (version, began, committed) = commit_asked(&self.doors(), &asked, &mut leader, PATIENCE)?;
+        let (version, began, committed) = commit_asked(&self.doors(), &asked, &mut leader, WAIT_TIMEOUT)?;
         let concerns: Vec<usize> = self.shape.services[service].members.clone().collect();
         // What they are to act on is another text than was put: the daemons have made one of two.
         let name = self.shape.members[concerns[0]].name.clone();
         // Danger: a leader that is new has not heard yet what its members belong to, and says what holds for all.
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         let merged = loop {
-            let said = self.daemons.ask(&OperatorRequest::MemberSettings(name.clone()), PATIENCE)?;
+            let said = self.daemons.ask(&OperatorRequest::MemberSettings(name.clone()), WAIT_TIMEOUT)?;
             match said {
                 OperatorReply::Merged(Some(merged))
                     if merged.locality.is_some() && merged.version >= version =>
@@ -620,7 +620,7 @@
                 continue;
             }
             let name = &self.shape.members[at].name;
-            let figure = |of: &str| self.sidecars.figure(name, &format!("sidecar_fleet_settings_{of}"));
+            let figure = |of: &str| self.sidecars.metric(name, &format!("sidecar_fleet_settings_{of}"));
             let (Some(generation), Some(number)) = (figure("generation"), figure("number")) else { continue };
             let version = Version { generation, number };
             let Some(text) = self.texts.get(&version).copied() else { continue };
@@ -698,7 +698,7 @@
             }
             self.daemons.start(*place)?;
             let at = self.daemons.own_address(*place)?;
-            self.ways.iter().filter(|((_, to), _)| to == place).for_each(|(_, way)| way.lead_to(at));
+            self.ways.iter().filter(|((_, to), _)| to == place).for_each(|(_, way)| way.set_target(at));
             self.tell(&Order::Daemon { place: *place, at })?;
         }
         Ok(())
@@ -719,19 +719,19 @@
             self.hear();
             members.iter().for_each(|at| self.referee.away(now(), *at));
         }
-        let standing = if cut { Standing::cut() } else { Standing::default() };
+        let standing = if cut { LinkState::partitioned() } else { LinkState::default() };
         let daemons = self.shape.daemons.clone();
         for one in &daemons {
             for other in daemons.iter().filter(|other| other.replica > one.replica) {
                 if (one.place.region == region) != (other.place.region == region) {
-                    self.daemons.between(one.replica, other.replica, standing);
+                    self.daemons.set_links_between(one.replica, other.replica, standing);
                 }
             }
         }
         for from in 0..self.shape.numbers.regions {
             for daemon in &daemons {
                 if (from == region) != (daemon.place.region == region) {
-                    self.ways[&(from, daemon.replica)].stand(standing);
+                    self.ways[&(from, daemon.replica)].set_state(standing);
                     self.tell(&Order::Cut { region: from as u32, place: daemon.replica, cut })?;
                 }
             }
