--- a/crates/lab/src/soak/checker.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -1,29 +1,32 @@
-//! Holds the operators' rules against what a run's fakes have seen.
+//! Checks the operators' rules against what the fake clients, endpoints and discovery of a run recorded.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use super::plan::Plan;
-use super::record::{Attempt, Done, Effect, Ended, Life, Reachable, Record, Request, Told, Why};
+use super::record::{
+    Attempt, AttemptOutcome, Effect, KnownBy, NotifiedList, ProcessRun, Reachable, Record, Request,
+    RequestOutcome,
+};
 
-/// A change counts as told so long after the service had it and could be reached.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// What discovery at a newly configured address has counts as told so long after the SIGHUP.
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
-/// A process that has just started has this time to ask.
-const TOLD_AFTER_START: Duration = Duration::from_secs(4);
-/// Each time limit on sockets is so much longer.
-const SLACK: Duration = Duration::from_millis(50);
-/// What the fakes' threads may be late by in what they note, on a machine that is not idle.
-const NOTED_LATE: Duration = Duration::from_millis(40);
-/// A final answer is worth nothing, and not lost yet, for so long after its time.
-const ANSWER_MORE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has left.
-const LEFT_MORE: Duration = Duration::from_millis(100);
-/// What an attempt is told to have left may exceed what its client has by so much.
-const LEFT_SLACK: Duration = Duration::from_millis(150);
+/// A sidecar must know of a change this long after discovery had it and was reachable.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
+/// A sidecar must know what discovery has at a newly configured address this long after the SIGHUP.
+const KNOWN_AFTER_RECONFIGURATION: Duration = Duration::from_secs(4);
+/// Time that a newly started process has to call discovery.
+const KNOWN_AFTER_START: Duration = Duration::from_secs(4);
+/// Tolerance on time limits that are observed through sockets.
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+/// How late the fakes' threads may record an event on a machine that is not idle.
+const RECORDING_DELAY: Duration = Duration::from_millis(40);
+/// How long after its deadline a final answer, although useless to the client, doesn't count as lost.
+const ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// How long after its client has disconnected an attempt may still begin.
+const DISCONNECT_TOLERANCE: Duration = Duration::from_millis(100);
+/// How much the remaining time sent with an attempt may exceed that of its client.
+const REMAINING_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// The rules.
+/// The rules that a run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     Lost,
@@ -33,260 +36,293 @@
     Crash,
 }
 
-/// A rule that was broken, and what it takes to explain it.
+/// A violation of a rule, with the details that explain it.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: Duration,
-    pub what: String,
+    pub description: String,
 }
 
-/// All rules that this record breaks.
-pub fn check(plan: &Plan, record: &Record) -> Vec<Broken> {
+/// Returns all violations in this record, ordered by time.
+pub fn check(plan: &Plan, record: &Record) -> Vec<Violation> {
     let mut attempts: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in &record.attempts {
         attempts.entry(&attempt.id).or_default().push(attempt);
     }
-    attempts.values_mut().for_each(|of| of.sort_by_key(|attempt| attempt.whole));
-    let mut broken = Vec::new();
+    attempts.values_mut().for_each(|of_request| of_request.sort_by_key(|attempt| attempt.last_byte_at));
+    let mut violations = Vec::new();
     for request in &record.requests {
-        let of = attempts.get(request.id.as_str()).map(Vec::as_slice).unwrap_or_default();
-        broken.extend(lost(request, of, record));
-        broken.extend(after_leave(request, of));
-        broken.extend(deadlines(request, of, record));
+        let of_request = attempts.get(request.id.as_str()).map(Vec::as_slice).unwrap_or_default();
+        violations.extend(lost_request(request, of_request, record));
+        violations.extend(attempts_after_disconnect(request, of_request));
+        violations.extend(excessive_deadlines(request, of_request, record));
     }
-    // What a killed sidecar held is its client's to send again.
-    let again: HashSet<&str> =
+    // Clients may resend requests that were pending in a killed sidecar.
+    let resendable: HashSet<&str> =
         record.requests.iter().filter(|request| was_killed(request, record)).map(|r| r.id.as_str()).collect();
-    let once = attempts.iter().filter(|(id, _)| !again.contains(*id));
-    broken.extend(once.flat_map(|(_, of)| duplicates(of)));
-    broken.extend(drains(plan, record));
-    broken.extend(record.lives.iter().filter_map(crash));
-    broken.sort_by_key(|broken| broken.at);
-    broken
+    let not_resendable = attempts.iter().filter(|(id, _)| !resendable.contains(*id));
+    violations.extend(not_resendable.flat_map(|(_, of_request)| duplicate_attempts(of_request)));
+    violations.extend(attempts_after_drain(plan, record));
+    violations.extend(record.process_runs.iter().filter_map(unexpected_exit));
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
 
-/// Whether its sidecar was killed outright just then, which no plan tells it beforehand.
+/// Whether the request was pending when its sidecar was killed by SIGKILL without a SIGTERM before.
 fn was_killed(request: &Request, record: &Record) -> bool {
-    record.lives.iter().any(|life| {
-        let killed = life.killed.filter(|_| life.term.is_none());
-        life.sidecar == request.sidecar
-            && matches!(request.ended, Ended::Closed { .. })
-            && killed.is_some_and(|at| request.sent <= at + NOTED_LATE && request.ended_at + SLACK >= at)
+    record.process_runs.iter().any(|process_run| {
+        let killed = process_run.sigkill_at.filter(|_| process_run.sigterm_at.is_none());
+        process_run.sidecar == request.sidecar
+            && matches!(request.outcome, RequestOutcome::Closed { .. })
+            && killed.is_some_and(|at| {
+                request.sent_at <= at + RECORDING_DELAY && request.ended_at + SOCKET_TOLERANCE >= at
+            })
     })
 }
 
-/// No request without a final answer.
-fn lost(request: &Request, attempts: &[&Attempt], record: &Record) -> Option<Broken> {
-    let Request { id, sidecar, sent, ended_at, .. } = request;
-    let whose = format!("{id} ({:?}) to n{sidecar}, sent at {sent:?}", request.effect);
-    let broken = |what: String| Some(Broken { rule: Rule::Lost, at: *ended_at, what });
-    let in_time = request.waits + ANSWER_MORE + NOTED_LATE;
-    let took = ended_at.saturating_sub(*sent);
-    match &request.ended {
-        Ended::Left => None,
-        Ended::Answered { status: 200, body } if body != id => {
-            broken(format!("{whose}: served with the answer of {body}"))
+/// Checks that each request gets its own final answer in time.
+fn lost_request(request: &Request, attempts: &[&Attempt], record: &Record) -> Option<Violation> {
+    let Request { id, sidecar, sent_at, ended_at, .. } = request;
+    let request_label = format!("{id} ({:?}) to n{sidecar}, sent at {sent_at:?}", request.effect);
+    let violation = |description: String| Some(Violation { rule: Rule::Lost, at: *ended_at, description });
+    let latest_answer = request.timeout + ANSWER_TOLERANCE + RECORDING_DELAY;
+    let took = ended_at.saturating_sub(*sent_at);
+    match &request.outcome {
+        RequestOutcome::Disconnected => None,
+        RequestOutcome::Answered { status: 200, body } if body != id => {
+            violation(format!("{request_label}: answered with the body of {body}"))
         }
-        Ended::Answered { .. } if took > in_time => broken(format!("{whose}: answered after {took:?}")),
-        Ended::Answered { .. } => None,
+        RequestOutcome::Answered { .. } if took > latest_answer => {
+            violation(format!("{request_label}: answered after {took:?}"))
+        }
+        RequestOutcome::Answered { .. } => None,
         _ if was_killed(request, record) => None,
-        Ended::Silent => broken(format!("{whose}: no answer within {took:?}")),
-        // It crossed the end of a resting connection, and was not read.
-        Ended::Closed { within: false }
-            if request.reused && attempts.iter().all(|attempt| attempt.begun > *ended_at) =>
+        RequestOutcome::NoAnswer => violation(format!("{request_label}: no answer within {took:?}")),
+        // The sidecar closed the idle connection while the request was in transit, and never read it.
+        RequestOutcome::Closed { partial: false }
+            if request.reused && attempts.iter().all(|attempt| attempt.first_byte_at > *ended_at) =>
         {
             None
         }
-        // An answer that the sidecar had begun to pass on and could not finish has failed, and is not lost.
-        Ended::Closed { within: true } if attempts.iter().any(|attempt| attempt.done == Done::MayHaveRun) => {
+        // An answer that broke off while the sidecar forwarded it is a failed request, not a lost one.
+        RequestOutcome::Closed { partial: true }
+            if attempts.iter().any(|attempt| attempt.outcome == AttemptOutcome::MayHaveRun) =>
+        {
             None
         }
 
-        Ended::Closed { .. } => {
-            let killed =
-                record.lives.iter().filter(|life| life.sidecar == *sidecar).filter_map(|life| life.killed);
-            let near = killed.map(|at| format!("{at:?}")).collect::<Vec<_>>().join(" ");
-            broken(format!(
-                "{whose}: closed after {took:?} with no answer, {} attempts; kills at {near}",
+        RequestOutcome::Closed { .. } => {
+            let killed = record
+                .process_runs
+                .iter()
+                .filter(|process_run| process_run.sidecar == *sidecar)
+                .filter_map(|process_run| process_run.sigkill_at);
+            let kill_times = killed.map(|at| format!("{at:?}")).collect::<Vec<_>>().join(" ");
+            violation(format!(
+                "{request_label}: closed after {took:?} with no answer, {} attempts; kills at {kill_times}",
                 attempts.len()
             ))
         }
     }
 }
 
-/// No attempt begins after its client has left.
-fn after_leave(request: &Request, attempts: &[&Attempt]) -> Vec<Broken> {
-    if request.ended != Ended::Left {
+/// Checks that no attempt begins after its client has disconnected.
+fn attempts_after_disconnect(request: &Request, attempts: &[&Attempt]) -> Vec<Violation> {
+    if request.outcome != RequestOutcome::Disconnected {
         return Vec::new();
     }
-    let until = request.ended_at + LEFT_MORE + NOTED_LATE;
-    let late = attempts.iter().filter(|attempt| attempt.begun > until);
-    let broken = |attempt: &&Attempt| Broken {
+    let until = request.ended_at + DISCONNECT_TOLERANCE + RECORDING_DELAY;
+    let late = attempts.iter().filter(|attempt| attempt.first_byte_at > until);
+    let violation = |attempt: &&Attempt| Violation {
         rule: Rule::Lost,
-        at: attempt.begun,
-        what: format!(
-            "{}: an attempt at e{} began {:?} after its client had left",
+        at: attempt.first_byte_at,
+        description: format!(
+            "{}: an attempt at e{} began {:?} after its client had disconnected",
             request.id,
             attempt.endpoint,
-            attempt.begun.saturating_sub(request.ended_at)
+            attempt.first_byte_at.saturating_sub(request.ended_at)
         ),
     };
-    late.map(broken).collect()
+    late.map(violation).collect()
 }
 
-/// No attempt is told more time than its client has.
-fn deadlines(request: &Request, attempts: &[&Attempt], record: &Record) -> Vec<Broken> {
-    // A request that crossed the end of its connection was sent twice, with the same time.
-    let sent = record.requests.iter().filter(|other| other.id == request.id).map(|other| other.sent).max();
-    let until = sent.unwrap_or(request.sent) + request.waits;
-    let over = |attempt: &&&Attempt| {
-        attempt.left.is_some_and(|left| left > until.saturating_sub(attempt.begun) + LEFT_SLACK + NOTED_LATE)
+/// Checks that no attempt carries more remaining time than its client has.
+fn excessive_deadlines(request: &Request, attempts: &[&Attempt], record: &Record) -> Vec<Violation> {
+    // A request whose connection closed before it was read was sent twice, with the same timeout.
+    let sent = record.requests.iter().filter(|other| other.id == request.id).map(|other| other.sent_at).max();
+    let until = sent.unwrap_or(request.sent_at) + request.timeout;
+    let exceeds = |attempt: &&&Attempt| {
+        attempt.remaining.is_some_and(|remaining| {
+            remaining > until.saturating_sub(attempt.first_byte_at) + REMAINING_TOLERANCE + RECORDING_DELAY
+        })
     };
-    let broken = |attempt: &&Attempt| Broken {
+    let violation = |attempt: &&Attempt| Violation {
         rule: Rule::Deadline,
-        at: attempt.begun,
-        what: format!(
-            "{}: e{} was told {:?} is left of {:?}",
-            request.id, attempt.endpoint, attempt.left, request.waits
+        at: attempt.first_byte_at,
+        description: format!(
+            "{}: e{} received {:?} as the remaining time of {:?}",
+            request.id, attempt.endpoint, attempt.remaining, request.timeout
         ),
     };
-    attempts.iter().filter(over).map(broken).collect()
+    attempts.iter().filter(exceeds).map(violation).collect()
 }
 
-/// No effect twice, and no two attempts out at once.
-fn duplicates(attempts: &[&Attempt]) -> Vec<Broken> {
-    let mut broken = Vec::new();
+/// Checks that no request takes effect twice and that no two of its attempts are outstanding at once.
+fn duplicate_attempts(attempts: &[&Attempt]) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for (at, later) in attempts.iter().enumerate() {
         for earlier in &attempts[..at] {
-            if earlier.done == Done::TurnedAway {
+            if earlier.outcome == AttemptOutcome::Rejected {
                 continue;
             }
-            let out = earlier.out_until > later.whole.saturating_add(NOTED_LATE);
-            let twice = later.effect == Effect::Unsafe;
-            if out || twice {
-                let what = format!(
-                    "{} ({:?}): e{} at {:?}, {:?}, out until {:?}, and e{} at {:?}, {:?}",
+            let overlaps = earlier.outstanding_until > later.last_byte_at.saturating_add(RECORDING_DELAY);
+            let repeats_effect = later.effect == Effect::Unsafe;
+            if overlaps || repeats_effect {
+                let description = format!(
+                    "{} ({:?}): e{} at {:?}, {:?}, outstanding until {:?}, and e{} at {:?}, {:?}",
                     later.id,
                     later.effect,
                     earlier.endpoint,
-                    earlier.whole,
-                    earlier.done,
-                    earlier.out_until,
+                    earlier.last_byte_at,
+                    earlier.outcome,
+                    earlier.outstanding_until,
                     later.endpoint,
-                    later.whole,
-                    later.done
+                    later.last_byte_at,
+                    later.outcome
                 );
-                broken.push(Broken { rule: Rule::Duplicate, at: later.whole, what });
+                violations.push(Violation { rule: Rule::Duplicate, at: later.last_byte_at, description });
             }
         }
     }
-    broken
+    violations
 }
 
-/// When a version counts as told to a life of a sidecar, and why.
-fn told(
-    life: &Life,
+/// The time by which a process run of a sidecar must know a version, and why.
+fn known_by(
+    process_run: &ProcessRun,
     version: u64,
     made: Duration,
-    lists: &[Told],
+    lists: &[NotifiedList],
     reachable: &Reachable,
-) -> Option<(Duration, Why)> {
-    if version <= life.known {
-        return Some((life.began, Why::Written));
+) -> Option<(Duration, KnownBy)> {
+    if version <= process_run.initial_version {
+        return Some((process_run.started_at, KnownBy::Written));
     }
-    let until = life.killed.or(life.ended.map(|(_, at)| at)).unwrap_or(Duration::MAX);
-    let written = lists.iter().filter(|told| {
-        told.sidecar == life.sidecar && told.version >= version && told.at >= life.began && told.at < until
+    let until = process_run.sigkill_at.or(process_run.exited.map(|(_, at)| at)).unwrap_or(Duration::MAX);
+    let written = lists.iter().filter(|list| {
+        list.sidecar == process_run.sidecar
+            && list.version >= version
+            && list.at >= process_run.started_at
+            && list.at < until
     });
-    let written = written.map(|told| (told.at, Why::Written)).min_by_key(|(at, _)| *at);
+    let written = written.map(|list| (list.at, KnownBy::Written)).min_by_key(|(at, _)| *at);
     let reachable = &reachable.spans;
     let due = reachable.iter().filter_map(|(from, to)| {
-        let at = made.max(*from) + TOLD_AFTER;
-        (at <= *to).then(|| (at.max(life.began + TOLD_AFTER_START), Why::Due))
+        let at = made.max(*from) + KNOWN_AFTER;
+        (at <= *to).then(|| (at.max(process_run.started_at + KNOWN_AFTER_START), KnownBy::Due))
     });
-    let moves = life.moves.iter().enumerate().filter_map(|(number, at)| {
-        let told = (*at).max(made) + TOLD_AFTER_MOVE;
-        let next = life.moves.get(number + 1).copied().unwrap_or(Duration::MAX);
-        let reached = reachable.iter().any(|(from, to)| from <= at && *to >= told);
-        (made <= *at && next > told && reached).then_some((told, Why::Moved))
+    let reconfigurations = process_run.reconfigured_at.iter().enumerate().filter_map(|(number, at)| {
+        let known = (*at).max(made) + KNOWN_AFTER_RECONFIGURATION;
+        let next = process_run.reconfigured_at.get(number + 1).copied().unwrap_or(Duration::MAX);
+        let reached = reachable.iter().any(|(from, to)| from <= at && *to >= known);
+        (made <= *at && next > known && reached).then_some((known, KnownBy::Reconfigured))
     });
-    let told =
-        written.into_iter().chain(due.min_by_key(|(at, _)| *at)).chain(moves.min_by_key(|(at, _)| *at));
-    told.min_by_key(|(at, _)| *at)
+    let known = written
+        .into_iter()
+        .chain(due.min_by_key(|(at, _)| *at))
+        .chain(reconfigurations.min_by_key(|(at, _)| *at));
+    known.min_by_key(|(at, _)| *at)
 }
 
-/// The latest that a list was heard after it counts as told by the time alone: what the grace has to make up for.
+/// The longest delay between the deadline for knowing a version, by time limits alone, and the arrival of its list. The
+/// grace period for drains has to cover it.
 pub fn latest_list(record: &Record) -> Duration {
     let mut latest = Duration::ZERO;
-    for life in &record.lives {
-        let end = life.term.or(life.killed).or(life.ended.map(|(_, at)| at)).unwrap_or(Duration::MAX);
+    for process_run in &record.process_runs {
+        let end = process_run
+            .sigterm_at
+            .or(process_run.sigkill_at)
+            .or(process_run.exited.map(|(_, at)| at))
+            .unwrap_or(Duration::MAX);
         let last = record.reachable.spans.iter().map(|(_, to)| *to).max().unwrap_or_default();
-        for version in record.versions.iter().filter(|version| version.version > life.known) {
-            let told_by = |lists| told(life, version.version, version.at, lists, &record.reachable);
-            let Some((due, _)) = told_by(&[]) else { continue };
-            let heard = told_by(&record.told).filter(|(_, why)| *why == Why::Written).map(|(at, _)| at);
-            let later = record.told.iter().filter(|told| {
-                told.sidecar == life.sidecar && told.version >= version.version && told.at >= life.began
+        for version in record.versions.iter().filter(|version| version.version > process_run.initial_version)
+        {
+            let known_with =
+                |lists| known_by(process_run, version.version, version.at, lists, &record.reachable);
+            let Some((due, _)) = known_with(&[]) else { continue };
+            let received = known_with(&record.notified_lists)
+                .filter(|(_, why)| *why == KnownBy::Written)
+                .map(|(at, _)| at);
+            let later = record.notified_lists.iter().filter(|list| {
+                list.sidecar == process_run.sidecar
+                    && list.version >= version.version
+                    && list.at >= process_run.started_at
             });
-            let heard = heard.or(later.map(|told| told.at).min()).unwrap_or(last).min(end);
-            latest = latest.max(heard.saturating_sub(due));
+            let received = received.or(later.map(|list| list.at).min()).unwrap_or(last).min(end);
+            latest = latest.max(received.saturating_sub(due));
         }
     }
     latest
 }
 
-/// No attempt at an endpoint that drains or is gone, once its grace is over.
-fn drains(plan: &Plan, record: &Record) -> Vec<Broken> {
-    let sidecar_of: HashMap<&str, usize> =
+/// Checks that no attempt goes to a draining or removed endpoint after the grace period.
+fn attempts_after_drain(plan: &Plan, record: &Record) -> Vec<Violation> {
+    let sidecar_by_request: HashMap<&str, usize> =
         record.requests.iter().map(|request| (request.id.as_str(), request.sidecar)).collect();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for attempt in &record.attempts {
-        let Some(sidecar) = sidecar_of.get(attempt.id.as_str()) else { continue };
-        let life = record.lives.iter().filter(|life| life.sidecar == *sidecar && life.began <= attempt.begun);
-        let Some(life) = life.max_by_key(|life| life.began) else { continue };
-        // The change that it drains by, unless it is up again by then.
+        let Some(sidecar) = sidecar_by_request.get(attempt.id.as_str()) else { continue };
+        let process_run = record.process_runs.iter().filter(|process_run| {
+            process_run.sidecar == *sidecar && process_run.started_at <= attempt.first_byte_at
+        });
+        let Some(process_run) = process_run.max_by_key(|process_run| process_run.started_at) else {
+            continue;
+        };
+        // The change that made it drain or removed it, unless it is up again when the attempt begins.
         let is_up = |at: usize| record.versions[at].up.contains(&attempt.endpoint);
-        let made_before = (0..record.versions.len()).filter(|at| record.versions[*at].at <= attempt.begun);
+        let made_before =
+            (0..record.versions.len()).filter(|at| record.versions[*at].at <= attempt.first_byte_at);
         let Some(last) = made_before.max() else { continue };
         if is_up(last) {
             continue;
         }
         let Some(change) = (0..=last).rev().find(|at| *at == 0 || is_up(at - 1)) else { continue };
         let version = &record.versions[change];
-        let Some((told, why)) = told(life, version.version, version.at, &record.told, &record.reachable)
+        let Some((known, why)) =
+            known_by(process_run, version.version, version.at, &record.notified_lists, &record.reachable)
         else {
             continue;
         };
-        let until = told + plan.stop_sending + SLACK + NOTED_LATE;
-        if attempt.begun > until {
-            let what = format!(
-                "{} by n{sidecar} to e{}: {:?} after version {} (made at {:?}) counts as told ({why:?}); life since {:?}, moves {:?}",
+        let until = known + plan.stop_sending + SOCKET_TOLERANCE + RECORDING_DELAY;
+        if attempt.first_byte_at > until {
+            let description = format!(
+                "{} by n{sidecar} to e{}: {:?} after version {} (made at {:?}) had to be known ({why:?}); process started at {:?}, reconfigured at {:?}",
                 attempt.id,
                 attempt.endpoint,
-                attempt.begun.saturating_sub(told),
+                attempt.first_byte_at.saturating_sub(known),
                 version.version,
                 version.at,
-                life.began,
-                life.moves
+                process_run.started_at,
+                process_run.reconfigured_at
             );
-            broken.push(Broken { rule: Rule::Drain, at: attempt.begun, what });
+            violations.push(Violation { rule: Rule::Drain, at: attempt.first_byte_at, description });
         }
     }
-    broken
+    violations
 }
 
-/// No process ends but when it is told to.
-fn crash(life: &Life) -> Option<Broken> {
-    let (code, at) = life.ended?;
-    let told = life.term.is_some() && code == Some(0);
-    (!told).then(|| Broken {
+/// Checks that a process exits only after SIGTERM, and with code 0.
+fn unexpected_exit(process_run: &ProcessRun) -> Option<Violation> {
+    let (code, at) = process_run.exited?;
+    let requested = process_run.sigterm_at.is_some() && code == Some(0);
+    (!requested).then(|| Violation {
         rule: Rule::Crash,
         at,
-        what: format!(
-            "n{} ended with {code:?}; its last lines: {:?}",
-            life.sidecar,
-            life.log.iter().rev().take(5).collect::<Vec<_>>()
+        description: format!(
+            "n{} exited with {code:?}; its last log lines: {:?}",
+            process_run.sidecar,
+            process_run.log.iter().rev().take(5).collect::<Vec<_>>()
         ),
     })
 }
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -10,7 +10,7 @@
 use oorandom::Rand64;
 
 use super::http::{NoMessage, Reader, status};
-use super::record::{Effect, Ended, Recorder, Request};
+use super::record::{Effect, Recorder, Request, RequestOutcome};
 
 /// Between two requests of a client, at most.
 const PAUSE_MOST: u64 = 40;
@@ -126,8 +126,8 @@
             let Some(mut connection) = self.connection.take().or_else(|| self.connect()) else { return };
             let request = self.send(&mut connection, &format!("r{number}"), effect, waits);
             let Some(request) = request else { continue };
-            let unread = request.ended == Ended::Closed { within: false } && request.reused;
-            if matches!(request.ended, Ended::Answered { .. }) {
+            let unread = request.outcome == RequestOutcome::Closed { partial: false } && request.reused;
+            if matches!(request.outcome, RequestOutcome::Answered { .. }) {
                 connection.used = true;
                 self.connection = Some(connection);
             }
@@ -154,31 +154,31 @@
             waits.as_millis()
         );
         connection.reader.stream.write_all(text.as_bytes()).ok()?;
-        let sent = self.recorder.now();
+        let sent_at = self.recorder.now();
         let leaves = self.chance.rand_float() < LEAVES_SHARE;
         let patience =
             if leaves { waits.mul_f64(0.3 * self.chance.rand_float()) } else { waits + WAITS_MORE };
         connection.reader.stream.set_read_timeout(Some(patience.max(Duration::from_millis(1)))).ok()?;
-        let ended = match connection.reader.message() {
+        let outcome = match connection.reader.message() {
             Ok(message) => match status(&message.head) {
-                Some(status) => Ended::Answered { status, body: message.body },
-                None => Ended::Closed { within: true },
+                Some(status) => RequestOutcome::Answered { status, body: message.body },
+                None => RequestOutcome::Closed { partial: true },
             },
-            Err(NoMessage::Ended { within }) => Ended::Closed { within },
+            Err(NoMessage::Closed { partial }) => RequestOutcome::Closed { partial },
             Err(NoMessage::TimedOut) if leaves => {
                 let _ = connection.reader.stream.shutdown(std::net::Shutdown::Both);
-                Ended::Left
+                RequestOutcome::Disconnected
             }
-            Err(NoMessage::TimedOut) => Ended::Silent,
+            Err(NoMessage::TimedOut) => RequestOutcome::NoAnswer,
         };
         Some(Request {
             id: id.to_string(),
             sidecar: connection.sidecar,
             effect,
-            sent,
-            waits,
+            sent_at,
+            timeout: waits,
             reused: connection.used,
-            ended,
+            outcome,
             ended_at: self.recorder.now(),
         })
     }
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use super::http::Reader;
-use super::record::{Recorder, Told, Version, Why};
+use super::record::{KnownBy, NotifiedList, Recorder, Version};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -230,7 +230,7 @@
 
 fn told(recorder: &Recorder, sidecar: usize, version: u64) {
     let at = recorder.now();
-    recorder.lock().told.push(Told { sidecar, at, version, why: Why::Written });
+    recorder.lock().notified_lists.push(NotifiedList { sidecar, at, version, reason: KnownBy::Written });
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
--- a/crates/lab/src/soak/endpoints.rs
+++ b/crates/lab/src/soak/endpoints.rs
@@ -8,7 +8,7 @@
 
 use super::http::{Message, NoMessage, Reader, header};
 use super::plan::Behaviour;
-use super::record::{Attempt, Done, Effect, Recorder};
+use super::record::{Attempt, AttemptOutcome, Effect, Recorder};
 
 /// How long an endpoint works on a request.
 const WORK: Duration = Duration::from_millis(12);
@@ -51,10 +51,10 @@
         let at = note(number, &message, recorder);
         let behaves = *behaviour.lock().expect("no endpoint panics with its behaviour");
         thread::sleep(WORK);
-        let (done, goes_on) = answer(&mut reader, &message, behaves);
+        let (outcome, goes_on) = answer(&mut reader, &message, behaves);
         let mut record = recorder.lock();
-        record.attempts[at].done = done;
-        record.attempts[at].out_until = recorder.now();
+        record.attempts[at].outcome = outcome;
+        record.attempts[at].outstanding_until = recorder.now();
         if !goes_on {
             return;
         }
@@ -67,23 +67,23 @@
     let ago = |at: Instant| now.saturating_sub(at.elapsed());
     let effect =
         Effect::ALL.into_iter().find(|effect| message.head.contains(&format!("/{}/", effect.class())));
-    let left = header(&message.head, "x-remaining-ms").and_then(|value| value.parse().ok());
+    let remaining = header(&message.head, "x-remaining-ms").and_then(|value| value.parse().ok());
     let mut record = recorder.lock();
     record.attempts.push(Attempt {
         id: header(&message.head, "x-txn").unwrap_or_default().to_string(),
         endpoint: number,
         effect: effect.unwrap_or(Effect::Safe),
-        begun: ago(message.begun),
-        whole: ago(message.whole),
-        left: left.map(Duration::from_millis),
-        done: Done::MayHaveRun,
-        out_until: Duration::MAX,
+        first_byte_at: ago(message.begun),
+        last_byte_at: ago(message.whole),
+        remaining: remaining.map(Duration::from_millis),
+        outcome: AttemptOutcome::MayHaveRun,
+        outstanding_until: Duration::MAX,
     });
     record.attempts.len() - 1
 }
 
 /// Answers as the endpoint behaves. Returns what became of the attempt, and whether the connection goes on.
-fn answer(reader: &mut Reader, message: &Message, behaves: Behaviour) -> (Done, bool) {
+fn answer(reader: &mut Reader, message: &Message, behaves: Behaviour) -> (AttemptOutcome, bool) {
     let id = header(&message.head, "x-txn").unwrap_or_default();
     let text = |status: &str, more: &str, body: &str| {
         format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
@@ -92,28 +92,28 @@
         Behaviour::Well | Behaviour::Closes => {
             let more = if behaves == Behaviour::Closes { "Connection: close\r\n" } else { "" };
             let written = reader.stream.write_all(text("200 OK", more, id).as_bytes()).is_ok();
-            (Done::Ran, written && behaves == Behaviour::Well)
+            (AttemptOutcome::Ran, written && behaves == Behaviour::Well)
         }
         Behaviour::Fails => {
             let written = reader.stream.write_all(text("500 Internal Server Error", "", "").as_bytes());
-            (Done::MayHaveRun, written.is_ok())
+            (AttemptOutcome::MayHaveRun, written.is_ok())
         }
         Behaviour::TurnsAway => {
             let refusal = text("503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
-            (Done::TurnedAway, reader.stream.write_all(refusal.as_bytes()).is_ok())
+            (AttemptOutcome::Rejected, reader.stream.write_all(refusal.as_bytes()).is_ok())
         }
         Behaviour::Hangs => {
             // Until the sidecar gives the attempt up.
             while reader.message() == Err(NoMessage::TimedOut) {}
-            (Done::MayHaveRun, false)
+            (AttemptOutcome::MayHaveRun, false)
         }
         Behaviour::Resets => {
             let _ = socket2::SockRef::from(&reader.stream).set_linger(Some(Duration::ZERO));
-            (Done::MayHaveRun, false)
+            (AttemptOutcome::MayHaveRun, false)
         }
         Behaviour::BreaksOff => {
             let _ = reader.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-            (Done::MayHaveRun, false)
+            (AttemptOutcome::MayHaveRun, false)
         }
     }
 }
--- a/crates/lab/src/soak/http.rs
+++ b/crates/lab/src/soak/http.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum NoMessage {
     /// The connection ended before any byte of it, or within it.
-    Ended { within: bool },
+    Closed { partial: bool },
     /// Nothing more came in the stream's read timeout.
     TimedOut,
 }
@@ -54,7 +54,7 @@
             }
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
-                Ok(0) => return Err(NoMessage::Ended { within: begun.is_some() }),
+                Ok(0) => return Err(NoMessage::Closed { partial: begun.is_some() }),
                 Ok(n) => {
                     begun.get_or_insert_with(Instant::now);
                     self.buffer.extend_from_slice(&bytes[..n]);
@@ -63,7 +63,7 @@
                     return Err(NoMessage::TimedOut);
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return Err(NoMessage::Ended { within: begun.is_some() }),
+                Err(_) => return Err(NoMessage::Closed { partial: begun.is_some() }),
             }
         }
     }
--- a/crates/lab/src/soak/record.rs
+++ b/crates/lab/src/soak/record.rs
@@ -1,21 +1,20 @@
-//! What the fakes of a run have seen, on one monotonic clock.
+//! The record of what the fakes of a run observed, on one monotonic clock.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What may be done with a request of a class.
+/// Which retries the requests of a class allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// It may be repeated and refused at will.
+    /// It may be retried and rejected freely.
     Safe,
-    /// It carries an idempotency key, which endpoints of one group remember for a while.
+    /// It carries an idempotency key, which the endpoints of a group remember for a limited time.
     Keyed,
-    /// It may run once.
+    /// It may run at most once.
     Unsafe,
 }
 
 impl Effect {
-    /// All of them.
     pub const ALL: [Effect; 3] = [Effect::Safe, Effect::Keyed, Effect::Unsafe];
 
     /// The name of the class that has this effect.
@@ -28,82 +27,82 @@
     }
 }
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// A whole answer with this status and body.
+pub enum RequestOutcome {
+    /// A complete response with this status and body.
     Answered { status: u16, body: String },
-    /// The connection ended with no whole answer, with or without part of one.
-    Closed { within: bool },
-    /// The client left by itself.
-    Left,
-    /// Nothing came for as long as the client waits.
-    Silent,
+    /// The connection closed before a complete response, after part of one or none.
+    Closed { partial: bool },
+    /// The client disconnected on its own.
+    Disconnected,
+    /// No response came while the client waited.
+    NoAnswer,
 }
 
-/// A request, as its client saw it.
+/// A request as its client observed it.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
     pub sidecar: usize,
     pub effect: Effect,
-    /// When its last byte was written, and how long its client waits from then on.
-    pub sent: Duration,
-    pub waits: Duration,
-    /// Its connection had carried an earlier one.
+    /// When its last byte was written, and the client's timeout from then on.
+    pub sent_at: Duration,
+    pub timeout: Duration,
+    /// Whether its connection had carried an earlier request.
     pub reused: bool,
-    pub ended: Ended,
+    pub outcome: RequestOutcome,
     pub ended_at: Duration,
 }
 
-/// How an attempt ended at its endpoint.
+/// The outcome of an attempt at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Done {
-    /// It ran, and was answered as far as the endpoint could.
+pub enum AttemptOutcome {
+    /// It ran, and the endpoint tried to answer it.
     Ran,
-    /// It was turned away with the mark that says that it never ran.
-    TurnedAway,
-    /// It may have run: the endpoint broke or hung.
+    /// It was rejected with the header that says that it never ran.
+    Rejected,
+    /// It may have run: the endpoint failed or hung.
     MayHaveRun,
 }
 
-/// An attempt, as its endpoint saw it.
+/// An attempt as its endpoint observed it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub id: String,
     pub endpoint: usize,
     pub effect: Effect,
-    /// When its first byte was read, and its last.
-    pub begun: Duration,
-    pub whole: Duration,
-    /// The time that it was told is left.
-    pub left: Option<Duration>,
-    pub done: Done,
-    /// Until when it was out: answered, or its connection ended.
-    pub out_until: Duration,
+    /// When its first and its last byte were read.
+    pub first_byte_at: Duration,
+    pub last_byte_at: Duration,
+    /// The remaining time that its header carried.
+    pub remaining: Option<Duration>,
+    pub outcome: AttemptOutcome,
+    /// When it was answered or its connection closed.
+    pub outstanding_until: Duration,
 }
 
-/// A list that was written to a sidecar, or that counts as told to it.
+/// An endpoint list that a sidecar was notified of, or had to know by then.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct NotifiedList {
     pub sidecar: usize,
     pub at: Duration,
     pub version: u64,
-    pub why: Why,
+    pub reason: KnownBy,
 }
 
-/// Why a list counts as told.
+/// Why a sidecar must know a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    /// It was written.
+pub enum KnownBy {
+    /// Discovery wrote it to the sidecar.
     Written,
-    /// It could be had for as long as the rule allows.
+    /// Discovery was reachable with it for the longest time that the rule allows.
     Due,
-    /// A configuration named the address that has it, as long ago as the rule allows.
-    Moved,
+    /// A new configuration named an address of discovery that has it, the longest time ago that the rule allows.
+    Reconfigured,
 }
 
-/// A change of the list: the endpoints that are up from then on, and those that drain.
+/// A version of the endpoint list: the endpoints that are up from then on, and those that drain.
 #[derive(Clone, Debug)]
 pub struct Version {
     pub version: u64,
@@ -112,41 +111,41 @@
     pub draining: Vec<usize>,
 }
 
-/// One life of a sidecar.
+/// One run of a sidecar's process.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct ProcessRun {
     pub sidecar: usize,
-    pub began: Duration,
-    /// When it was told to leave, and when it was killed.
-    pub term: Option<Duration>,
-    pub killed: Option<Duration>,
-    /// It ended by itself, with this code, and when.
-    pub ended: Option<(Option<i32>, Duration)>,
-    /// The version that it was started with.
-    pub known: u64,
-    /// SIGHUPs that it got.
-    pub moves: Vec<Duration>,
+    pub started_at: Duration,
+    /// When it got SIGTERM, and when SIGKILL.
+    pub sigterm_at: Option<Duration>,
+    pub sigkill_at: Option<Duration>,
+    /// The exit code and time, if it exited on its own.
+    pub exited: Option<(Option<i32>, Duration)>,
+    /// The version of the endpoint list that it was started with.
+    pub initial_version: u64,
+    /// The times of the SIGHUPs that it got.
+    pub reconfigured_at: Vec<Duration>,
     pub log: Vec<String>,
 }
 
-/// Spans in which discovery could be reached.
+/// Spans in which discovery was reachable.
 #[derive(Clone, Debug, Default)]
 pub struct Reachable {
     pub spans: Vec<(Duration, Duration)>,
 }
 
-/// All that was seen.
+/// Everything that the fakes of a run observed.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     pub requests: Vec<Request>,
     pub attempts: Vec<Attempt>,
-    pub told: Vec<Told>,
+    pub notified_lists: Vec<NotifiedList>,
     pub versions: Vec<Version>,
-    pub lives: Vec<Life>,
+    pub process_runs: Vec<ProcessRun>,
     pub reachable: Reachable,
 }
 
-/// The record that all fakes of a run write to.
+/// The shared record that all fakes of a run write to.
 #[derive(Clone)]
 pub struct Recorder {
     start: Instant,
@@ -165,12 +164,12 @@
         self.start.elapsed()
     }
 
-    /// Waits until then.
+    /// Sleeps until this time of the run.
     pub fn wait_until(&self, at: Duration) {
         std::thread::sleep(at.saturating_sub(self.now()));
     }
 
-    /// The record, to be written to.
+    /// Locks the record for writing.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
         self.record.lock().expect("no fake panics with the record")
     }
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -11,7 +11,7 @@
 use super::discovery::Discovery;
 use super::endpoints::Endpoint;
 use super::plan::{Event, Plan};
-use super::record::{Effect, Life, Record, Recorder};
+use super::record::{Effect, ProcessRun, Record, Recorder};
 use crate::rig::processes::{Process, Recipe};
 
 /// New connections still come for so long after SIGTERM.
@@ -38,7 +38,7 @@
 
 struct Sidecar {
     process: Option<Process>,
-    life: Option<Life>,
+    process_run: Option<ProcessRun>,
     file: PathBuf,
     discovery: SocketAddr,
 }
@@ -72,7 +72,7 @@
     for number in 0..plan.sidecars {
         let at = discovery.address(number).map_err(|e| format!("discovery: {e}"))?;
         let file = folder.join(format!("n{number}.json"));
-        sidecars.push(Sidecar { process: None, life: None, file, discovery: at });
+        sidecars.push(Sidecar { process: None, process_run: None, file, discovery: at });
     }
     let front = Front::new(plan.sidecars);
     let mut run = Run {
@@ -146,7 +146,10 @@
             Event::Move(number) => return self.move_discovery(number),
             Event::Leave(number) => {
                 let now = self.recorder.now();
-                self.sidecars[number].life.iter_mut().for_each(|life| life.term = Some(now));
+                self.sidecars[number]
+                    .process_run
+                    .iter_mut()
+                    .for_each(|process_run| process_run.sigterm_at = Some(now));
                 self.process(number).into_iter().for_each(|process| process.leave());
             }
             Event::Kill(number) => {
@@ -205,17 +208,17 @@
         self.write_file(number, &known)?;
         let file = self.sidecars[number].file.display().to_string();
         let recipe = Recipe::new(&format!("n{number}"), self.program, &["serve", "--config", &file]);
-        let began = self.recorder.now();
+        let started_at = self.recorder.now();
         self.sidecars[number].process = Some(recipe.start()?);
         let at = self.address(number).ok_or_else(|| format!("n{number}: does not listen"))?;
-        self.sidecars[number].life = Some(Life {
+        self.sidecars[number].process_run = Some(ProcessRun {
             sidecar: number,
-            began,
-            term: None,
-            killed: None,
-            ended: None,
-            known: version,
-            moves: Vec::new(),
+            started_at,
+            sigterm_at: None,
+            sigkill_at: None,
+            exited: None,
+            initial_version: version,
+            reconfigured_at: Vec::new(),
             log: Vec::new(),
         });
         self.front.set(number, Some(at));
@@ -232,7 +235,10 @@
         let known = self.old_list().0.to_string();
         self.write_file(number, &known)?;
         let now = self.recorder.now();
-        self.sidecars[number].life.iter_mut().for_each(|life| life.moves.push(now));
+        self.sidecars[number]
+            .process_run
+            .iter_mut()
+            .for_each(|process_run| process_run.reconfigured_at.push(now));
         self.process(number).into_iter().for_each(|process| process.hang_up());
         Ok(())
     }
@@ -244,13 +250,13 @@
         let now = self.recorder.now();
         process.kill();
         self.front.set(number, None);
-        let Some(mut life) = self.sidecars[number].life.take() else { return };
+        let Some(mut process_run) = self.sidecars[number].process_run.take() else { return };
         match ended {
-            Some(status) => life.ended = Some((status.code(), now)),
-            None => life.killed = Some(now),
+            Some(status) => process_run.exited = Some((status.code(), now)),
+            None => process_run.sigkill_at = Some(now),
         }
-        life.log = process.log();
-        self.recorder.lock().lives.push(life);
+        process_run.log = process.log();
+        self.recorder.lock().process_runs.push(process_run);
     }
 
     fn finish(&mut self) {
@@ -259,10 +265,10 @@
             let ended = self.process(number).and_then(|process| process.ended(Duration::ZERO));
             let now = self.recorder.now();
             let Some(process) = self.sidecars[number].process.take() else { continue };
-            let Some(mut life) = self.sidecars[number].life.take() else { continue };
-            life.ended = ended.map(|status| (status.code(), now));
-            life.log = process.log();
-            self.recorder.lock().lives.push(life);
+            let Some(mut process_run) = self.sidecars[number].process_run.take() else { continue };
+            process_run.exited = ended.map(|status| (status.code(), now));
+            process_run.log = process.log();
+            self.recorder.lock().process_runs.push(process_run);
         }
     }
 }
--- a/crates/lab/src/soak/seeds.rs
+++ b/crates/lab/src/soak/seeds.rs
@@ -8,16 +8,16 @@
 use std::thread;
 use std::time::Duration;
 
-use super::checker::{Broken, Rule, check, latest_list};
+use super::checker::{Rule, Violation, check, latest_list};
 use super::plan::{Event, Plan};
-use super::record::{Ended, Record};
+use super::record::{Record, RequestOutcome};
 use super::run::play;
 
 /// One seed that was played.
 pub struct Played {
     pub plan: Plan,
     pub record: Record,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
 impl Played {
@@ -31,8 +31,8 @@
 
     /// The part of the requests that were answered 200.
     pub fn served(&self) -> f64 {
-        let ok = |ended: &Ended| matches!(ended, Ended::Answered { status: 200, .. });
-        let served = self.record.requests.iter().filter(|request| ok(&request.ended)).count();
+        let ok = |outcome: &RequestOutcome| matches!(outcome, RequestOutcome::Answered { status: 200, .. });
+        let served = self.record.requests.iter().filter(|request| ok(&request.outcome)).count();
         served as f64 / (self.record.requests.len() as f64).max(1.0)
     }
 
@@ -40,15 +40,20 @@
     pub fn story(&self) -> String {
         let mut text = format!("seed {}: {:#?}\n", self.plan.seed, self.plan);
         for broken in &self.broken {
-            let _ = writeln!(text, "{:?} at {:?}: {}", broken.rule, broken.at, broken.what);
+            let _ = writeln!(text, "{:?} at {:?}: {}", broken.rule, broken.at, broken.description);
         }
-        let named = |id: &str| self.broken.iter().any(|broken| broken.what.starts_with(&format!("{id} ")));
+        let named =
+            |id: &str| self.broken.iter().any(|broken| broken.description.starts_with(&format!("{id} ")));
         for request in self.record.requests.iter().filter(|request| named(&request.id)) {
             let _ = writeln!(text, "{request:?}");
         }
-        for life in &self.record.lives {
-            let _ = writeln!(text, "n{} since {:?}, {:?}:", life.sidecar, life.began, life.ended);
-            for line in &life.log {
+        for process_run in &self.record.process_runs {
+            let _ = writeln!(
+                text,
+                "n{} since {:?}, {:?}:",
+                process_run.sidecar, process_run.started_at, process_run.exited
+            );
+            for line in &process_run.log {
                 let _ = writeln!(text, "    {line}");
             }
         }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -7,7 +7,8 @@
 use appledyke_lab::soak::checker::{Rule, check};
 use appledyke_lab::soak::plan::Plan;
 use appledyke_lab::soak::record::{
-    Attempt, Done, Effect, Ended, Life, Reachable, Record, Request, Told, Version, Why,
+    Attempt, AttemptOutcome, Effect, KnownBy, NotifiedList, ProcessRun, Reachable, Record, Request,
+    RequestOutcome, Version,
 };
 use appledyke_lab::soak::seeds::{Played, play_all, table};
 
@@ -32,37 +33,46 @@
     Duration::from_millis(of)
 }
 
-fn request(id: &str, effect: Effect, ended: Ended, ended_at: u64) -> Request {
-    let (sent, waits) = (ms(1000), ms(500));
-    Request { id: id.into(), sidecar: 0, effect, sent, waits, reused: false, ended, ended_at: ms(ended_at) }
+fn request(id: &str, effect: Effect, outcome: RequestOutcome, ended_at: u64) -> Request {
+    let (sent_at, timeout) = (ms(1000), ms(500));
+    Request {
+        id: id.into(),
+        sidecar: 0,
+        effect,
+        sent_at,
+        timeout,
+        reused: false,
+        outcome,
+        ended_at: ms(ended_at),
+    }
 }
 
-fn answered(id: &str) -> Ended {
-    Ended::Answered { status: 200, body: id.into() }
+fn answered(id: &str) -> RequestOutcome {
+    RequestOutcome::Answered { status: 200, body: id.into() }
 }
 
-fn attempt(id: &str, endpoint: usize, effect: Effect, begun: u64, out_until: u64) -> Attempt {
+fn attempt(id: &str, endpoint: usize, effect: Effect, begun: u64, outstanding_until: u64) -> Attempt {
     Attempt {
         id: id.into(),
         endpoint,
         effect,
-        begun: ms(begun),
-        whole: ms(begun),
-        left: Some(ms(490)),
-        done: Done::Ran,
-        out_until: ms(out_until),
+        first_byte_at: ms(begun),
+        last_byte_at: ms(begun),
+        remaining: Some(ms(490)),
+        outcome: AttemptOutcome::Ran,
+        outstanding_until: ms(outstanding_until),
     }
 }
 
-fn life() -> Life {
-    Life {
+fn process_run() -> ProcessRun {
+    ProcessRun {
         sidecar: 0,
-        began: Duration::ZERO,
-        term: None,
-        killed: None,
-        ended: None,
-        known: 1,
-        moves: Vec::new(),
+        started_at: Duration::ZERO,
+        sigterm_at: None,
+        sigkill_at: None,
+        exited: None,
+        initial_version: 1,
+        reconfigured_at: Vec::new(),
         log: Vec::new(),
     }
 }
@@ -73,7 +83,7 @@
         requests: vec![request("r1", Effect::Unsafe, answered("r1"), 1050)],
         attempts: vec![attempt("r1", 0, Effect::Unsafe, 1010, 1040)],
         versions: vec![Version { version: 1, at: Duration::ZERO, up: vec![0, 1], draining: vec![] }],
-        lives: vec![life()],
+        process_runs: vec![process_run()],
         reachable: Reachable { spans: vec![(Duration::ZERO, ms(60_000))] },
         ..Record::default()
     }
@@ -91,27 +101,32 @@
 
 #[test]
 fn requests_without_a_final_answer_in_time_are_lost() {
-    for ended in [Ended::Silent, Ended::Closed { within: false }, Ended::Closed { within: true }] {
+    for ended in [
+        RequestOutcome::NoAnswer,
+        RequestOutcome::Closed { partial: false },
+        RequestOutcome::Closed { partial: true },
+    ] {
         let mut record = well();
-        record.requests[0].ended = ended.clone();
+        record.requests[0].outcome = ended.clone();
         assert_eq!(broken(&record), [Rule::Lost], "{ended:?}");
     }
     let mut late = well();
     late.requests[0].ended_at = ms(2100);
     assert_eq!(broken(&late), [Rule::Lost]);
     let mut of_another = well();
-    of_another.requests[0].ended = answered("r2");
+    of_another.requests[0].outcome = answered("r2");
     assert_eq!(broken(&of_another), [Rule::Lost]);
     // What SIGKILL finds unanswered after SIGTERM is lost; what an outright kill finds is not.
     let mut killed = well();
-    killed.requests[0].ended = Ended::Closed { within: false };
-    killed.lives[0].killed = Some(ms(1040));
+    killed.requests[0].outcome = RequestOutcome::Closed { partial: false };
+    killed.process_runs[0].sigkill_at = Some(ms(1040));
     assert_eq!(broken(&killed), []);
-    killed.lives[0].term = Some(ms(100));
+    killed.process_runs[0].sigterm_at = Some(ms(100));
     assert_eq!(broken(&killed), [Rule::Lost]);
     // One that crosses the end of a resting connection may be closed unread, and not once it was sent on.
     let mut crossed = well();
-    (crossed.requests[0].ended, crossed.requests[0].reused) = (Ended::Closed { within: false }, true);
+    (crossed.requests[0].outcome, crossed.requests[0].reused) =
+        (RequestOutcome::Closed { partial: false }, true);
     assert_eq!(broken(&crossed), [Rule::Lost]);
     crossed.attempts.clear();
     assert_eq!(broken(&crossed), []);
@@ -120,10 +135,10 @@
 #[test]
 fn an_attempt_long_after_its_client_has_left_is_lost() {
     let mut record = well();
-    (record.requests[0].ended, record.requests[0].ended_at) = (Ended::Left, ms(1005));
+    (record.requests[0].outcome, record.requests[0].ended_at) = (RequestOutcome::Disconnected, ms(1005));
     assert_eq!(broken(&record), []);
-    (record.attempts[0].begun, record.attempts[0].whole) = (ms(1160), ms(1160));
-    record.attempts[0].left = Some(ms(340));
+    (record.attempts[0].first_byte_at, record.attempts[0].last_byte_at) = (ms(1160), ms(1160));
+    record.attempts[0].remaining = Some(ms(340));
     assert_eq!(broken(&record), [Rule::Lost]);
 }
 
@@ -132,32 +147,32 @@
     let mut twice = well();
     twice.attempts.push(attempt("r1", 1, Effect::Unsafe, 1100, 1120));
     assert_eq!(broken(&twice), [Rule::Duplicate]);
-    twice.attempts[0].done = Done::TurnedAway;
+    twice.attempts[0].outcome = AttemptOutcome::Rejected;
     assert_eq!(broken(&twice), []);
     let mut copies = well();
     copies.requests[0].effect = Effect::Safe;
     copies.attempts[0].effect = Effect::Safe;
     copies.attempts.push(attempt("r1", 1, Effect::Safe, 1100, 1120));
     assert_eq!(broken(&copies), []);
-    copies.attempts[0].out_until = ms(1200);
+    copies.attempts[0].outstanding_until = ms(1200);
     assert_eq!(broken(&copies), [Rule::Duplicate]);
 }
 
 #[test]
 fn more_time_than_the_client_has_breaks_the_deadline() {
     let mut record = well();
-    record.attempts[0].left = Some(ms(700));
+    record.attempts[0].remaining = Some(ms(700));
     assert_eq!(broken(&record), [Rule::Deadline]);
 }
 
 #[test]
 fn an_end_that_nobody_asked_for_is_a_crash() {
     let mut record = well();
-    record.lives[0].ended = Some((Some(0), ms(5000)));
+    record.process_runs[0].exited = Some((Some(0), ms(5000)));
     assert_eq!(broken(&record), [Rule::Crash]);
-    record.lives[0].term = Some(ms(4000));
+    record.process_runs[0].sigterm_at = Some(ms(4000));
     assert_eq!(broken(&record), []);
-    record.lives[0].ended = Some((Some(101), ms(5000)));
+    record.process_runs[0].exited = Some((Some(101), ms(5000)));
     assert_eq!(broken(&record), [Rule::Crash]);
 }
 
@@ -166,20 +181,20 @@
     let mut record = well();
     record.versions.push(Version { version: 2, at: ms(2000), up: vec![1], draining: vec![0] });
     record.requests = vec![request("r1", Effect::Safe, answered("r1"), begun + 50)];
-    record.requests[0].sent = ms(begun - 10);
+    record.requests[0].sent_at = ms(begun - 10);
     record.attempts = vec![attempt("r1", 0, Effect::Safe, begun, begun + 40)];
     record
 }
 
 #[test]
 fn an_attempt_after_the_grace_of_a_drain_breaks_it_however_it_counts_as_told() {
-    let written = |at| Told { sidecar: 0, at: ms(at), version: 2, why: Why::Written };
+    let written = |at| NotifiedList { sidecar: 0, at: ms(at), version: 2, reason: KnownBy::Written };
     // Told as it was written, at 2.1 s: a second, and some milliseconds.
     let mut record = drained(3000);
-    record.told = vec![written(2100)];
+    record.notified_lists = vec![written(2100)];
     assert_eq!(broken(&record), []);
     let mut record = drained(3300);
-    record.told = vec![written(2100)];
+    record.notified_lists = vec![written(2100)];
     assert_eq!(broken(&record), [Rule::Drain]);
     // Never written, it counts 6 s after it was made, or after the service is back.
     assert_eq!(broken(&drained(8900)), []);
@@ -192,12 +207,12 @@
     assert_eq!(broken(&outage), [Rule::Drain]);
     // And 4 s after the last of some configurations that named another address.
     let mut moved = drained(7900);
-    moved.lives[0].moves = vec![ms(2200), ms(2500)];
+    moved.process_runs[0].reconfigured_at = vec![ms(2200), ms(2500)];
     assert_eq!(broken(&moved), [Rule::Drain]);
-    moved.lives[0].moves.push(ms(3200));
+    moved.process_runs[0].reconfigured_at.push(ms(3200));
     assert_eq!(broken(&moved), []);
     // A process that was started with the list that has it is told from the first moment.
     let mut started = drained(4000);
-    (started.lives[0].began, started.lives[0].known) = (ms(2500), 2);
+    (started.process_runs[0].started_at, started.process_runs[0].initial_version) = (ms(2500), 2);
     assert_eq!(broken(&started), [Rule::Drain]);
 }
