--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,7 +1,8 @@
-//! A soak of real sidecars on loopback: seeded plans of faults, clients that go on until the kill, and a checker outside.
+//! A soak test of real sidecars on loopback: seeded plans of faults, clients that send until the sidecar is killed, and a
+//! checker that judges only what clients, endpoints and discovery observed.
 //!
-//! `plan` draws what happens and when; `endpoints`, `discovery` and `clients` are fakes that record what they see on the
-//! monotonic clock; `run` carries a plan out; `checker` holds the rules against the records.
+//! `plan` draws the events and their times. `endpoints`, `discovery` and `clients` are fakes that record what they observe
+//! on the monotonic clock. `run` executes a plan. `checker` checks the record against the rules.
 
 pub mod checker;
 pub mod clients;
--- a/crates/lab/src/soak/checker.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -202,7 +202,7 @@
 fn known_by(
     process_run: &ProcessRun,
     version: u64,
-    made: Duration,
+    changed_at: Duration,
     lists: &[NotifiedList],
     reachable: &Reachable,
 ) -> Option<(Duration, KnownBy)> {
@@ -219,14 +219,14 @@
     let written = written.map(|list| (list.at, KnownBy::Written)).min_by_key(|(at, _)| *at);
     let reachable = &reachable.spans;
     let due = reachable.iter().filter_map(|(from, to)| {
-        let at = made.max(*from) + KNOWN_AFTER;
+        let at = changed_at.max(*from) + KNOWN_AFTER;
         (at <= *to).then(|| (at.max(process_run.started_at + KNOWN_AFTER_START), KnownBy::Due))
     });
     let reconfigurations = process_run.reconfigured_at.iter().enumerate().filter_map(|(number, at)| {
-        let known = (*at).max(made) + KNOWN_AFTER_RECONFIGURATION;
+        let known = (*at).max(changed_at) + KNOWN_AFTER_RECONFIGURATION;
         let next = process_run.reconfigured_at.get(number + 1).copied().unwrap_or(Duration::MAX);
         let reached = reachable.iter().any(|(from, to)| from <= at && *to >= known);
-        (made <= *at && next > known && reached).then_some((known, KnownBy::Reconfigured))
+        (changed_at <= *at && next > known && reached).then_some((known, KnownBy::Reconfigured))
     });
     let known = written
         .into_iter()
@@ -252,7 +252,7 @@
                 |lists| known_by(process_run, version.version, version.at, lists, &record.reachable);
             let Some((due, _)) = known_with(&[]) else { continue };
             let received = known_with(&record.notified_lists)
-                .filter(|(_, why)| *why == KnownBy::Written)
+                .filter(|(_, reason)| *reason == KnownBy::Written)
                 .map(|(at, _)| at);
             let later = record.notified_lists.iter().filter(|list| {
                 list.sidecar == process_run.sidecar
@@ -281,15 +281,15 @@
         };
         // The change that made it drain or removed it, unless it is up again when the attempt begins.
         let is_up = |at: usize| record.versions[at].up.contains(&attempt.endpoint);
-        let made_before =
+        let earlier_versions =
             (0..record.versions.len()).filter(|at| record.versions[*at].at <= attempt.first_byte_at);
-        let Some(last) = made_before.max() else { continue };
+        let Some(last) = earlier_versions.max() else { continue };
         if is_up(last) {
             continue;
         }
         let Some(change) = (0..=last).rev().find(|at| *at == 0 || is_up(at - 1)) else { continue };
         let version = &record.versions[change];
-        let Some((known, why)) =
+        let Some((known, reason)) =
             known_by(process_run, version.version, version.at, &record.notified_lists, &record.reachable)
         else {
             continue;
@@ -297,7 +297,7 @@
         let until = known + plan.stop_sending + SOCKET_TOLERANCE + RECORDING_DELAY;
         if attempt.first_byte_at > until {
             let description = format!(
-                "{} by n{sidecar} to e{}: {:?} after version {} (made at {:?}) had to be known ({why:?}); process started at {:?}, reconfigured at {:?}",
+                "{} by n{sidecar} to e{}: {:?} after version {} (made at {:?}) had to be known ({reason:?}); process started at {:?}, reconfigured at {:?}",
                 attempt.id,
                 attempt.endpoint,
                 attempt.first_byte_at.saturating_sub(known),
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -1,4 +1,5 @@
-//! A fake discovery service with addresses for each sidecar: it works through calls in turn, and records what it told whom.
+//! A fake discovery service with separate addresses for each sidecar. It serves calls one at a time, and records which
+//! list it sent to which sidecar.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -15,17 +16,17 @@
 use super::record::{KnownBy, NotifiedList, Recorder, Version};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// Between two empty lines on a watch that has nothing to tell.
+const REJECTION: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// Interval between the empty lines that keep a watch alive.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How long a call hangs before it is refused while the service is down.
-const DOWN_HANG: Duration = Duration::from_secs(2);
-/// Longest that a call waits for its turn before it is refused.
-const WAIT_MOST: Duration = Duration::from_secs(3);
-/// Part of the watches that end in place of telling a change.
-const ENDS_SHARE: f64 = 0.4;
+/// How long a call hangs before it is rejected while the service is down.
+const DOWN_DELAY: Duration = Duration::from_secs(2);
+/// Longest time that a call may wait in the queue before it is rejected.
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(3);
+/// Share of watches that close instead of sending a change.
+const CLOSE_SHARE: f64 = 0.4;
 
-struct Waiting {
+struct QueuedCall {
     since: Instant,
     sidecar: usize,
     stream: TcpStream,
@@ -34,26 +35,26 @@
 struct Watch {
     sidecar: usize,
     stream: TcpStream,
-    silent: bool,
+    stalled: bool,
 }
 
 struct State {
     call_time: Duration,
-    queue_most: usize,
+    queue_capacity: usize,
     down: bool,
     version: u64,
-    /// Addresses of endpoints, and which are up, which drain, and since when each counts as started.
+    /// The endpoints' addresses, which of them are up or drain, and the start time of each.
     endpoints: Vec<SocketAddr>,
     up: Vec<usize>,
     draining: Vec<usize>,
     started_ms: Vec<u64>,
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<QueuedCall>,
     watches: Vec<Watch>,
-    chance: Rand64,
+    random: Rand64,
     reachable_since: Duration,
 }
 
-/// The service.
+/// The fake discovery service.
 pub struct Discovery {
     state: Arc<Mutex<State>>,
     recorder: Recorder,
@@ -70,19 +71,19 @@
                "type": "t", "group": 0, "status": status, "weight": 1.0, "since_ms": self.started_ms[endpoint]})
     }
 
-    /// The whole list, which leaves out endpoints that drain.
-    fn whole(&self) -> String {
+    /// The whole endpoint list, without draining endpoints.
+    fn whole_list(&self) -> String {
         let entries: Vec<Value> = self.up.iter().map(|endpoint| self.entry(*endpoint, "up")).collect();
         json!({"index": self.version, "snapshot": true, "endpoints": entries}).to_string()
     }
 }
 
 impl Discovery {
-    /// A service that tells these endpoints.
+    /// Starts a service that lists these endpoints.
     pub fn start(
         endpoints: Vec<SocketAddr>,
         call_time: Duration,
-        queue_most: usize,
+        queue_capacity: usize,
         seed: u64,
         recorder: &Recorder,
     ) -> Discovery {
@@ -96,7 +97,7 @@
         let started_ms = vec![0; endpoints.len()];
         let state = Arc::new(Mutex::new(State {
             call_time,
-            queue_most,
+            queue_capacity,
             down: false,
             version: 1,
             endpoints,
@@ -105,18 +106,18 @@
             started_ms,
             queue: VecDeque::new(),
             watches: Vec::new(),
-            chance: Rand64::new(u128::from(seed) << 32 | 7),
+            random: Rand64::new(u128::from(seed) << 32 | 7),
             reachable_since: Duration::ZERO,
         }));
         let (wake, queued) = channel();
         let (worker, own) = (state.clone(), recorder.clone());
-        thread::spawn(move || work(&worker, &queued, &own));
-        let heart = Arc::downgrade(&state);
+        thread::spawn(move || serve_calls(&worker, &queued, &own));
+        let heartbeat_state = Arc::downgrade(&state);
         thread::spawn(move || {
-            while let Some(state) = heart.upgrade() {
-                let beats =
-                    |watch: &mut Watch| watch.silent || watch.stream.write_all(b"1\r\n\n\r\n").is_ok();
-                lock(&state).watches.retain_mut(beats);
+            while let Some(state) = heartbeat_state.upgrade() {
+                let send_heartbeat =
+                    |watch: &mut Watch| watch.stalled || watch.stream.write_all(b"1\r\n\n\r\n").is_ok();
+                lock(&state).watches.retain_mut(send_heartbeat);
                 drop(state);
                 thread::sleep(HEARTBEAT);
             }
@@ -128,29 +129,29 @@
         lock(&self.state)
     }
 
-    /// A further address, for this sidecar alone.
+    /// Opens another address, for this sidecar alone.
     ///
     /// # Errors
-    /// What the system says if there is none.
+    /// Fails if it can't listen on a loopback address.
     pub fn address(&self, sidecar: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let (state, wake) = (self.state.clone(), self.wake.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                take(sidecar, stream, &state, &wake);
+                accept_call(sidecar, stream, &state, &wake);
             }
         });
         Ok(at)
     }
 
-    /// The list as a sidecar's configuration has it, and its version.
-    pub fn known(&self) -> (String, u64) {
+    /// The endpoint list in the form of a sidecar's configuration, and its version.
+    pub fn endpoint_list(&self) -> (String, u64) {
         let state = self.lock();
-        (state.whole(), state.version)
+        (state.whole_list(), state.version)
     }
 
-    /// It is down from now on: its watches end.
+    /// Takes the service down and closes its watches.
     pub fn go_down(&self) {
         let mut state = self.lock();
         if !std::mem::replace(&mut state.down, true) {
@@ -160,25 +161,25 @@
         }
     }
 
-    /// It can be reached from now on.
-    pub fn retry_after(&self) {
+    /// Makes the service reachable again.
+    pub fn come_up(&self) {
         let mut state = self.lock();
         if std::mem::replace(&mut state.down, false) {
             state.reachable_since = self.recorder.now();
         }
     }
 
-    /// The run is over: what it can still be reached for is recorded.
+    /// Ends the run and records the last span in which the service was reachable.
     pub fn finish(&self) {
         self.go_down();
     }
 
-    /// All open watches fall silent, and stay open.
-    pub fn watches_fall_silent(&self) {
-        self.lock().watches.iter_mut().for_each(|watch| watch.silent = true);
+    /// All open watches stay open but send nothing more.
+    pub fn stall_watches(&self) {
+        self.lock().watches.iter_mut().for_each(|watch| watch.stalled = true);
     }
 
-    /// All open watches are reset.
+    /// Resets all open watches.
     pub fn reset_watches(&self) {
         let watches = std::mem::take(&mut self.lock().watches);
         for watch in watches {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// An endpoint drains, is removed, or is up again.
+    /// Changes an endpoint's status: draining, removed or up.
     pub fn change(&self, endpoint: usize, status: &str) {
         let mut state = self.lock();
         let State { up, draining, .. } = &mut *state;
@@ -209,35 +210,35 @@
         let line = json!({"index": version, "snapshot": false, "endpoints": entries}).to_string();
         let watches = std::mem::take(&mut state.watches);
         for mut watch in watches {
-            if !watch.silent && state.chance.rand_float() < ENDS_SHARE {
+            if !watch.stalled && state.random.rand_float() < CLOSE_SHARE {
                 continue;
             }
             let mut written =
                 || is_open(&watch.stream) && watch.stream.write_all(chunk(&line).as_bytes()).is_ok();
-            if watch.silent || written() {
-                if !watch.silent {
-                    self.told(watch.sidecar, version);
+            if watch.stalled || written() {
+                if !watch.stalled {
+                    self.record_notification(watch.sidecar, version);
                 }
                 state.watches.push(watch);
             }
         }
     }
 
-    fn told(&self, sidecar: usize, version: u64) {
-        told(&self.recorder, sidecar, version);
+    fn record_notification(&self, sidecar: usize, version: u64) {
+        record_notification(&self.recorder, sidecar, version);
     }
 }
 
-fn told(recorder: &Recorder, sidecar: usize, version: u64) {
+fn record_notification(recorder: &Recorder, sidecar: usize, version: u64) {
     let at = recorder.now();
     recorder.lock().notified_lists.push(NotifiedList { sidecar, at, version, reason: KnownBy::Written });
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().expect("no thread of the service panics with its state")
+    state.lock().expect("no thread of the service panics with its state locked")
 }
 
-/// Whether the sidecar's side of a connection has not ended it yet.
+/// Whether the sidecar has not closed the connection yet.
 fn is_open(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
     let open = stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
@@ -245,52 +246,52 @@
     open
 }
 
-/// Takes a call: it waits for its turn, or is refused.
-fn take(sidecar: usize, stream: TcpStream, state: &Arc<Mutex<State>>, wake: &Sender<()>) {
+/// Reads a call and queues or rejects it.
+fn accept_call(sidecar: usize, stream: TcpStream, state: &Arc<Mutex<State>>, wake: &Sender<()>) {
     let since = Instant::now();
     let Ok(copy) = stream.try_clone() else { return };
     if Reader::new(copy).message().is_err() {
         return;
     }
-    let mut waiting = Waiting { since, sidecar, stream };
+    let mut call = QueuedCall { since, sidecar, stream };
     let mut service = lock(state);
     if service.down {
         thread::spawn(move || {
-            thread::sleep(DOWN_HANG);
-            let _ = waiting.stream.write_all(REFUSAL);
+            thread::sleep(DOWN_DELAY);
+            let _ = call.stream.write_all(REJECTION);
         });
-    } else if service.queue.len() >= service.queue_most {
-        let _ = waiting.stream.write_all(REFUSAL);
+    } else if service.queue.len() >= service.queue_capacity {
+        let _ = call.stream.write_all(REJECTION);
     } else {
-        service.queue.push_back(waiting);
+        service.queue.push_back(call);
         let _ = wake.send(());
     }
 }
 
-/// Works through the calls that wait, one at a time.
-fn work(state: &Mutex<State>, queued: &Receiver<()>, recorder: &Recorder) {
+/// Serves the queued calls, one at a time.
+fn serve_calls(state: &Mutex<State>, queued: &Receiver<()>, recorder: &Recorder) {
     while queued.recv().is_ok() {
-        let (waiting, call_time) = {
+        let (call, call_time) = {
             let mut service = lock(state);
             (service.queue.pop_front(), service.call_time)
         };
-        let Some(mut waiting) = waiting else { continue };
-        if waiting.since.elapsed() >= WAIT_MOST {
-            let _ = waiting.stream.write_all(REFUSAL);
+        let Some(mut call) = call else { continue };
+        if call.since.elapsed() >= MAX_QUEUE_WAIT {
+            let _ = call.stream.write_all(REJECTION);
             continue;
         }
         thread::sleep(call_time);
         let mut service = lock(state);
         if service.down {
-            let _ = waiting.stream.write_all(REFUSAL);
+            let _ = call.stream.write_all(REJECTION);
             continue;
         }
-        let (text, version) = (service.whole(), service.version);
-        if is_open(&waiting.stream)
-            && waiting.stream.write_all((HEAD.to_string() + &chunk(&text)).as_bytes()).is_ok()
+        let (text, version) = (service.whole_list(), service.version);
+        if is_open(&call.stream)
+            && call.stream.write_all((HEAD.to_string() + &chunk(&text)).as_bytes()).is_ok()
         {
-            told(recorder, waiting.sidecar, version);
-            service.watches.push(Watch { sidecar: waiting.sidecar, stream: waiting.stream, silent: false });
+            record_notification(recorder, call.sidecar, version);
+            service.watches.push(Watch { sidecar: call.sidecar, stream: call.stream, stalled: false });
         }
     }
 }
--- a/crates/lab/src/soak/endpoints.rs
+++ b/crates/lab/src/soak/endpoints.rs
@@ -10,37 +10,37 @@
 use super::plan::Behaviour;
 use super::record::{Attempt, AttemptOutcome, Effect, Recorder};
 
-/// How long an endpoint works on a request.
+/// How long an endpoint takes to process a request.
 const WORK: Duration = Duration::from_millis(12);
 
-/// An endpoint at an address of its own.
+/// A fake endpoint at an address of its own.
 pub struct Endpoint {
     pub at: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
 }
 
 impl Endpoint {
-    /// Starts one that behaves well.
+    /// Starts a healthy endpoint.
     ///
     /// # Errors
-    /// What the system says if there is no address to listen at.
+    /// Fails if it can't listen on a loopback address.
     pub fn start(number: usize, recorder: &Recorder) -> std::io::Result<Endpoint> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
-        let behaviour = Arc::new(Mutex::new(Behaviour::Well));
-        let (own, recorder) = (behaviour.clone(), recorder.clone());
+        let behaviour = Arc::new(Mutex::new(Behaviour::Healthy));
+        let (shared, recorder) = (behaviour.clone(), recorder.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (own, recorder) = (own.clone(), recorder.clone());
-                thread::spawn(move || serve(number, stream, &own, &recorder));
+                let (shared, recorder) = (shared.clone(), recorder.clone());
+                thread::spawn(move || serve(number, stream, &shared, &recorder));
             }
         });
         Ok(Endpoint { at, behaviour })
     }
 
-    /// It behaves so from now on.
-    pub fn behaves(&self, behaviour: Behaviour) {
-        *self.behaviour.lock().expect("no endpoint panics with its behaviour") = behaviour;
+    /// Sets how the endpoint handles requests from now on.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().expect("no endpoint panics with its behaviour locked") = behaviour;
     }
 }
 
@@ -48,21 +48,22 @@
     let _ = stream.set_nodelay(true);
     let mut reader = Reader::new(stream);
     while let Ok(message) = reader.message() {
-        let at = note(number, &message, recorder);
-        let behaves = *behaviour.lock().expect("no endpoint panics with its behaviour");
+        let index = record_attempt(number, &message, recorder);
+        let current = *behaviour.lock().expect("no endpoint panics with its behaviour locked");
         thread::sleep(WORK);
-        let (outcome, goes_on) = answer(&mut reader, &message, behaves);
+        let (outcome, stays_open) = answer(&mut reader, &message, current);
         let mut record = recorder.lock();
-        record.attempts[at].outcome = outcome;
-        record.attempts[at].outstanding_until = recorder.now();
-        if !goes_on {
+        record.attempts[index].outcome = outcome;
+        record.attempts[index].outstanding_until = recorder.now();
+        if !stays_open {
             return;
         }
     }
 }
 
-/// Records an attempt that has come whole; as it is out from now on, until it is known better.
-fn note(number: usize, message: &Message, recorder: &Recorder) -> usize {
+/// Records an attempt that was read completely. It counts as outstanding until its outcome is set. Returns its index in
+/// the record.
+fn record_attempt(number: usize, message: &Message, recorder: &Recorder) -> usize {
     let now = recorder.now();
     let ago = |at: Instant| now.saturating_sub(at.elapsed());
     let effect =
@@ -73,8 +74,8 @@
         id: header(&message.head, "x-txn").unwrap_or_default().to_string(),
         endpoint: number,
         effect: effect.unwrap_or(Effect::Safe),
-        first_byte_at: ago(message.begun),
-        last_byte_at: ago(message.whole),
+        first_byte_at: ago(message.first_byte_at),
+        last_byte_at: ago(message.last_byte_at),
         remaining: remaining.map(Duration::from_millis),
         outcome: AttemptOutcome::MayHaveRun,
         outstanding_until: Duration::MAX,
@@ -82,28 +83,28 @@
     record.attempts.len() - 1
 }
 
-/// Answers as the endpoint behaves. Returns what became of the attempt, and whether the connection goes on.
-fn answer(reader: &mut Reader, message: &Message, behaves: Behaviour) -> (AttemptOutcome, bool) {
+/// Answers according to the endpoint's behaviour. Returns the attempt's outcome, and whether the connection stays open.
+fn answer(reader: &mut Reader, message: &Message, behaviour: Behaviour) -> (AttemptOutcome, bool) {
     let id = header(&message.head, "x-txn").unwrap_or_default();
-    let text = |status: &str, more: &str, body: &str| {
-        format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
+    let response = |status: &str, extra_headers: &str, body: &str| {
+        format!("HTTP/1.1 {status}\r\n{extra_headers}Content-Length: {}\r\n\r\n{body}", body.len())
     };
-    match behaves {
-        Behaviour::Well | Behaviour::Closes => {
-            let more = if behaves == Behaviour::Closes { "Connection: close\r\n" } else { "" };
-            let written = reader.stream.write_all(text("200 OK", more, id).as_bytes()).is_ok();
-            (AttemptOutcome::Ran, written && behaves == Behaviour::Well)
+    match behaviour {
+        Behaviour::Healthy | Behaviour::Closes => {
+            let extra_headers = if behaviour == Behaviour::Closes { "Connection: close\r\n" } else { "" };
+            let written = reader.stream.write_all(response("200 OK", extra_headers, id).as_bytes()).is_ok();
+            (AttemptOutcome::Ran, written && behaviour == Behaviour::Healthy)
         }
         Behaviour::Fails => {
-            let written = reader.stream.write_all(text("500 Internal Server Error", "", "").as_bytes());
+            let written = reader.stream.write_all(response("500 Internal Server Error", "", "").as_bytes());
             (AttemptOutcome::MayHaveRun, written.is_ok())
         }
-        Behaviour::TurnsAway => {
-            let refusal = text("503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
-            (AttemptOutcome::Rejected, reader.stream.write_all(refusal.as_bytes()).is_ok())
+        Behaviour::Rejects => {
+            let rejection = response("503 Service Unavailable", "X-Turned-Away: 1\r\n", "");
+            (AttemptOutcome::Rejected, reader.stream.write_all(rejection.as_bytes()).is_ok())
         }
         Behaviour::Hangs => {
-            // Until the sidecar gives the attempt up.
+            // Waits until the sidecar abandons the attempt.
             while reader.message() == Err(NoMessage::TimedOut) {}
             (AttemptOutcome::MayHaveRun, false)
         }
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -1,89 +1,91 @@
-//! What happens in a run and when: drawn from a seed, and small enough to be read.
+//! Plans of a run: its events and their times, drawn from a seed and short enough to read.
 
 use std::time::Duration;
 
 use oorandom::Rand64;
 
-/// How an endpoint treats what reaches it.
+/// How an endpoint handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It answers after some milliseconds.
-    Well,
+    /// It answers 200 after some milliseconds.
+    Healthy,
     /// It answers 500.
     Fails,
-    /// It turns requests away as never run.
-    TurnsAway,
-    /// It reads and never answers.
+    /// It rejects requests, and marks them as never run.
+    Rejects,
+    /// It reads requests and never answers.
     Hangs,
-    /// It resets the connection under a request.
+    /// It resets the connection while a request is pending.
     Resets,
-    /// It sends half of an answer and ends.
+    /// It sends part of a response and closes the connection.
     BreaksOff,
-    /// It ends the connection right after an answer.
+    /// It closes the connection right after a response.
     Closes,
 }
 
-/// One thing that happens.
+/// An event of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// Discovery is down: its watches end, calls hang and are refused.
+    /// Discovery goes down: its watches close, and calls hang before they are rejected.
     DiscoveryDown,
-    /// It is back.
-    DiscoveryBack,
-    /// All open watches fall silent.
-    WatchesSilent,
+    /// Discovery is up again.
+    DiscoveryUp,
+    /// All open watches stay open but send nothing more.
+    WatchesStall,
     /// All open watches are reset.
     WatchesReset,
-    /// An endpoint drains, and goes after some seconds; or goes at once.
+    /// An endpoint drains, and is removed some seconds later; or is removed at once.
     Drains(usize),
     Removed(usize),
-    /// An endpoint is up again, cold.
+    /// An endpoint is up again, with a cold start.
     Returns(usize),
     Behaves(usize, Behaviour),
-    /// SIGHUP with the next address of discovery.
-    Move(usize),
-    /// SIGTERM, and SIGKILL at the page's earliest.
-    Leave(usize),
+    /// SIGHUP, with a configuration that names a new address of discovery.
+    Reconfigure(usize),
+    /// SIGTERM, and SIGKILL at the earliest time that the operators' page allows.
+    Shutdown(usize),
     /// SIGKILL.
     Kill(usize),
     /// The sidecar is started again.
     Start(usize),
-    /// SIGSTOP for so long.
-    HoldUp(usize, Duration),
-    /// Clients that say nothing connect to a sidecar, so many, and stay.
-    Crowd(usize, usize),
+    /// SIGSTOP, and SIGCONT after this time.
+    Pause(usize, Duration),
+    /// This many clients connect to a sidecar, send nothing and stay connected.
+    ConnectIdleClients(usize, usize),
 }
 
-/// A whole run.
+/// The plan of a whole run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
     pub sidecars: usize,
     pub endpoints: usize,
     pub clients: usize,
-    /// Longest deadline of the settings, and how soon sending to a drained endpoint ends.
+    /// Longest deadline in the settings, and the time within which sending to a draining endpoint must stop.
     pub deadline: Duration,
     pub stop_sending: Duration,
-    /// Discovery's time for a call, and how many wait.
+    /// Discovery's time for a call, and the capacity of its queue.
     pub call_time: Duration,
-    pub queue_most: usize,
-    pub asked_within: Duration,
+    pub queue_capacity: usize,
+    /// The value of `askWithinNs` in the settings.
+    pub ask_within: Duration,
     pub events: Vec<(Duration, Event)>,
-    pub lasts: Duration,
-    pub crowded: bool,
+    pub duration: Duration,
+    /// Whether idle clients connect to a sidecar, whose limit on sockets is lower in such a plan.
+    pub has_idle_clients: bool,
 }
 
-/// In which discovery works through one call of each sidecar.
-const ROOM: Duration = Duration::from_millis(2500);
+/// Time in which discovery can serve one call of each sidecar.
+const DISCOVERY_ROUND: Duration = Duration::from_millis(2500);
 
-fn millis(of: u64) -> Duration {
-    Duration::from_millis(of)
+fn millis(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
-/// Draws spans and choices.
-struct Draw(Rand64);
+/// Draws random time spans and choices.
+struct Random(Rand64);
 
-impl Draw {
+impl Random {
     fn between(&mut self, least: u64, most: u64) -> u64 {
         self.0.rand_range(least..most + 1)
     }
@@ -96,140 +98,142 @@
         self.0.rand_range(0..most as u64) as usize
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        self.0.rand_float() < part
+    fn chance(&mut self, probability: f64) -> bool {
+        self.0.rand_float() < probability
     }
 }
 
 impl Plan {
-    /// The plan of this seed.
+    /// Draws the plan of this seed.
     pub fn draw(seed: u64) -> Plan {
-        let mut draw = Draw(Rand64::new(u128::from(seed)));
-        // Discovery that has hardly room for all its callers, and configurations in long series.
-        let busy_discovery = draw.chance(0.4);
-        let least = if busy_discovery { 7 } else { 2 };
-        let (sidecars, endpoints) = (draw.between(least, 9) as usize, draw.between(4, 7) as usize);
-        // It works through one call of each in `ROOM`.
-        let most = (ROOM.as_millis() as u64 / sidecars as u64).min(300);
-        let call_time = draw.millis(if busy_discovery { most * 4 / 5 } else { 10 }, most);
+        let mut random = Random(Rand64::new(u128::from(seed)));
+        // Discovery with hardly enough capacity for its callers, and long series of new configurations.
+        let busy_discovery = random.chance(0.4);
+        let fewest_sidecars = if busy_discovery { 7 } else { 2 };
+        let (sidecars, endpoints) =
+            (random.between(fewest_sidecars, 9) as usize, random.between(4, 7) as usize);
+        // Discovery serves one call of each sidecar within `DISCOVERY_ROUND`.
+        let longest_call = (DISCOVERY_ROUND.as_millis() as u64 / sidecars as u64).min(300);
+        let call_time = random.millis(if busy_discovery { longest_call * 4 / 5 } else { 10 }, longest_call);
         let mut plan = Plan {
             seed,
             sidecars,
             endpoints,
-            clients: sidecars + draw.between(1, 4) as usize,
-            deadline: draw.millis(600, 2500),
-            stop_sending: draw.millis(500, 1500),
+            clients: sidecars + random.between(1, 4) as usize,
+            deadline: random.millis(600, 2500),
+            stop_sending: random.millis(500, 1500),
             call_time,
-            queue_most: draw.between(3, 12) as usize,
-            asked_within: millis(10_000),
+            queue_capacity: random.between(3, 12) as usize,
+            ask_within: millis(10_000),
             events: Vec::new(),
-            lasts: Duration::ZERO,
-            crowded: draw.chance(0.3),
+            duration: Duration::ZERO,
+            has_idle_clients: random.chance(0.3),
         };
-        let begin = draw.millis(1500, 3000);
-        let back = plan.outage(&mut draw, begin);
-        let from = back + draw.millis(0, 4000);
-        let moved = plan.moves(&mut draw, from, busy_discovery);
-        plan.drains(&mut draw, begin, moved);
-        plan.restarts(&mut draw, from);
-        plan.bad_endpoints(&mut draw, begin);
-        if plan.crowded {
-            let (at, sidecar, clients) = (begin + draw.millis(0, 4000), draw.below(sidecars), 60);
-            plan.events.push((at, Event::Crowd(sidecar, clients)));
+        let begin = random.millis(1500, 3000);
+        let restored = plan.outage(&mut random, begin);
+        let from = restored + random.millis(0, 4000);
+        let reconfigured = plan.reconfigurations(&mut random, from, busy_discovery);
+        plan.drains(&mut random, begin, reconfigured);
+        plan.restarts(&mut random, from);
+        plan.faulty_endpoints(&mut random, begin);
+        if plan.has_idle_clients {
+            let (at, sidecar, clients) = (begin + random.millis(0, 4000), random.below(sidecars), 60);
+            plan.events.push((at, Event::ConnectIdleClients(sidecar, clients)));
         }
-        for _ in 0..draw.between(1, 4) {
-            let (at, sidecar) = (begin + draw.millis(0, 9000), draw.below(sidecars));
-            plan.events.push((at, Event::HoldUp(sidecar, draw.millis(40, 150))));
+        for _ in 0..random.between(1, 4) {
+            let (at, sidecar) = (begin + random.millis(0, 9000), random.below(sidecars));
+            plan.events.push((at, Event::Pause(sidecar, random.millis(40, 150))));
         }
         plan.events.sort_by_key(|(at, _)| *at);
         let last = plan.events.iter().map(|(at, _)| *at).max().unwrap_or_default();
-        plan.lasts = last.max(from + millis(6000)) + plan.deadline + millis(4000);
+        plan.duration = last.max(from + millis(6000)) + plan.deadline + millis(4000);
         plan
     }
 
-    /// Discovery is down for a while, or loses its watches. Returns when that is over.
-    fn outage(&mut self, draw: &mut Draw, begin: Duration) -> Duration {
-        let back = begin + draw.millis(500, 14_000);
-        match draw.below(5) {
+    /// Discovery is down for a while, or its watches fail. Returns the end of the outage.
+    fn outage(&mut self, random: &mut Random, begin: Duration) -> Duration {
+        let restored = begin + random.millis(500, 14_000);
+        match random.below(5) {
             0..=2 => {
                 self.events.push((begin, Event::DiscoveryDown));
-                self.events.push((back, Event::DiscoveryBack));
-                return back;
+                self.events.push((restored, Event::DiscoveryUp));
+                return restored;
             }
-            3 => self.events.push((begin, Event::WatchesSilent)),
+            3 => self.events.push((begin, Event::WatchesStall)),
             _ => self.events.push((begin, Event::WatchesReset)),
         }
         begin
     }
 
-    /// Each sidecar gets a series of new configurations, one after the other. Returns when they are over.
-    fn moves(&mut self, draw: &mut Draw, from: Duration, long: bool) -> Duration {
-        if !long && draw.chance(0.2) {
+    /// Each sidecar gets a series of new configurations. Returns the time of the last one, or `from` if there is none.
+    fn reconfigurations(&mut self, random: &mut Random, from: Duration, long_series: bool) -> Duration {
+        if !long_series && random.chance(0.2) {
             return from;
         }
         let mut last = from;
-        let (stagger, least) = if long { (draw.millis(300, 500), 3) } else { (draw.millis(0, 500), 1) };
+        let (stagger, fewest) =
+            if long_series { (random.millis(300, 500), 3) } else { (random.millis(0, 500), 1) };
         for sidecar in 0..self.sidecars {
             let mut at = from + stagger * sidecar as u32;
-            for _ in 0..draw.between(least, 5) {
-                self.events.push((at, Event::Move(sidecar)));
+            for _ in 0..random.between(fewest, 5) {
+                self.events.push((at, Event::Reconfigure(sidecar)));
                 last = last.max(at);
-                at += draw.millis(80, 1000);
+                at += random.millis(80, 1000);
             }
         }
         last
     }
 
-    /// Endpoints drain, vanish and come back cold, leaving two at least: from the outage on, until the configurations have
-    /// come.
-    fn drains(&mut self, draw: &mut Draw, from: Duration, until: Duration) {
-        let changing = draw.between(1, self.endpoints as u64 - 2) as usize;
+    /// Endpoints drain, are removed and return with a cold start, from the outage until the last new configuration. At
+    /// least two endpoints always stay.
+    fn drains(&mut self, random: &mut Random, from: Duration, until: Duration) {
+        let changing = random.between(1, self.endpoints as u64 - 2) as usize;
         for endpoint in 0..changing {
             let span = until.saturating_sub(from) + millis(1000);
-            let at = from + draw.millis(0, span.as_millis() as u64);
-            if draw.chance(0.7) {
+            let at = from + random.millis(0, span.as_millis() as u64);
+            if random.chance(0.7) {
                 self.events.push((at, Event::Drains(endpoint)));
-                self.events.push((at + draw.millis(1500, 5000), Event::Removed(endpoint)));
+                self.events.push((at + random.millis(1500, 5000), Event::Removed(endpoint)));
             } else {
                 self.events.push((at, Event::Removed(endpoint)));
             }
-            if draw.chance(0.3) {
-                self.events.push((at + draw.millis(5500, 8000), Event::Returns(endpoint)));
+            if random.chance(0.3) {
+                self.events.push((at + random.millis(5500, 8000), Event::Returns(endpoint)));
             }
         }
     }
 
-    /// Some sidecars leave or are killed, and come back.
-    fn restarts(&mut self, draw: &mut Draw, from: Duration) {
+    /// Some sidecars are shut down or killed, and started again.
+    fn restarts(&mut self, random: &mut Random, from: Duration) {
         for sidecar in 0..self.sidecars - 1 {
-            if draw.chance(0.3) {
+            if random.chance(0.3) {
                 continue;
             }
-            let at = from + draw.millis(0, 4000);
-            if draw.chance(0.7) {
-                self.events.push((at, Event::Leave(sidecar)));
-                // `run` starts it again once it is over.
+            let at = from + random.millis(0, 4000);
+            if random.chance(0.7) {
+                self.events.push((at, Event::Shutdown(sidecar)));
+                // `run` starts it again after the shutdown.
             } else {
                 self.events.push((at, Event::Kill(sidecar)));
-                self.events.push((at + draw.millis(100, 2500), Event::Start(sidecar)));
+                self.events.push((at + random.millis(100, 2500), Event::Start(sidecar)));
             }
         }
     }
 
-    /// Some of the endpoints that stay are bad for a while.
-    fn bad_endpoints(&mut self, draw: &mut Draw, begin: Duration) {
-        let kinds = [
+    /// Some endpoints fail in some manner for a while.
+    fn faulty_endpoints(&mut self, random: &mut Random, begin: Duration) {
+        let faults = [
             Behaviour::Fails,
-            Behaviour::TurnsAway,
+            Behaviour::Rejects,
             Behaviour::Hangs,
             Behaviour::Resets,
             Behaviour::BreaksOff,
             Behaviour::Closes,
         ];
-        for _ in 0..draw.between(1, 3) {
-            let (endpoint, at) = (draw.below(self.endpoints - 1), begin + draw.millis(0, 6000));
-            self.events.push((at, Event::Behaves(endpoint, kinds[draw.below(kinds.len())])));
-            self.events.push((at + draw.millis(500, 5000), Event::Behaves(endpoint, Behaviour::Well)));
+        for _ in 0..random.between(1, 3) {
+            let (endpoint, at) = (random.below(self.endpoints - 1), begin + random.millis(0, 6000));
+            self.events.push((at, Event::Behaves(endpoint, faults[random.below(faults.len())])));
+            self.events.push((at + random.millis(500, 5000), Event::Behaves(endpoint, Behaviour::Healthy)));
         }
     }
 }
--- a/crates/lab/src/soak/seeds.rs
+++ b/crates/lab/src/soak/seeds.rs
@@ -1,4 +1,4 @@
-//! Plays many seeds side by side, and tells what they have broken.
+//! Runs the plans of many seeds in parallel and reports the violations.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,7 +13,7 @@
 use super::record::{Record, RequestOutcome};
 use super::run::play;
 
-/// One seed that was played.
+/// The result of one seed.
 pub struct Played {
     pub plan: Plan,
     pub record: Record,
@@ -21,30 +21,31 @@
 }
 
 impl Played {
-    fn moves(&self) -> usize {
-        self.plan.events.iter().filter(|(_, event)| matches!(event, Event::Move(_))).count()
+    fn reconfigurations(&self) -> usize {
+        self.plan.events.iter().filter(|(_, event)| matches!(event, Event::Reconfigure(_))).count()
     }
 
-    fn leaves(&self) -> usize {
-        self.plan.events.iter().filter(|(_, event)| matches!(event, Event::Leave(_))).count()
+    fn shutdowns(&self) -> usize {
+        self.plan.events.iter().filter(|(_, event)| matches!(event, Event::Shutdown(_))).count()
     }
 
-    /// The part of the requests that were answered 200.
+    /// The share of requests that were answered 200.
     pub fn served(&self) -> f64 {
-        let ok = |outcome: &RequestOutcome| matches!(outcome, RequestOutcome::Answered { status: 200, .. });
-        let served = self.record.requests.iter().filter(|request| ok(&request.outcome)).count();
+        let is_served =
+            |outcome: &RequestOutcome| matches!(outcome, RequestOutcome::Answered { status: 200, .. });
+        let served = self.record.requests.iter().filter(|request| is_served(&request.outcome)).count();
         served as f64 / (self.record.requests.len() as f64).max(1.0)
     }
 
-    /// What happened and what was broken, for who looks into it.
+    /// A full report for debugging: the plan, the violations, their requests and the sidecars' logs.
     pub fn story(&self) -> String {
         let mut text = format!("seed {}: {:#?}\n", self.plan.seed, self.plan);
         for broken in &self.broken {
             let _ = writeln!(text, "{:?} at {:?}: {}", broken.rule, broken.at, broken.description);
         }
-        let named =
+        let is_reported =
             |id: &str| self.broken.iter().any(|broken| broken.description.starts_with(&format!("{id} ")));
-        for request in self.record.requests.iter().filter(|request| named(&request.id)) {
+        for request in self.record.requests.iter().filter(|request| is_reported(&request.id)) {
             let _ = writeln!(text, "{request:?}");
         }
         for process_run in &self.record.process_runs {
@@ -61,60 +62,61 @@
     }
 }
 
-/// Plays these seeds, so many at a time, each in a folder of its own under this one.
+/// Runs these seeds with this many workers, each seed in a subfolder of its own.
 ///
 /// # Errors
-/// The first seed that could not be played, and why.
+/// Fails with the first seed that couldn't be run, and why.
 pub fn play_all(
     seeds: RangeInclusive<u64>,
     workers: usize,
     program: &Path,
     folder: &Path,
 ) -> Result<Vec<Played>, String> {
-    let left = Mutex::new(seeds.collect::<Vec<_>>());
+    let pending = Mutex::new(seeds.collect::<Vec<_>>());
     let played = Mutex::new(Vec::new());
-    let next = || left.lock().expect("no worker panics with the seeds").pop();
+    let next = || pending.lock().expect("no worker panics with the seeds locked").pop();
     thread::scope(|scope| {
         for _ in 0..workers.max(1) {
             scope.spawn(|| {
                 while let Some(seed) = next() {
                     let plan = Plan::draw(seed);
-                    let own = folder.join(format!("seed-{seed}"));
-                    let record = play(&plan, program, &own).map_err(|what| format!("seed {seed}: {what}"));
-                    let done = record.map(|record| {
+                    let seed_folder = folder.join(format!("seed-{seed}"));
+                    let record =
+                        play(&plan, program, &seed_folder).map_err(|error| format!("seed {seed}: {error}"));
+                    let result = record.map(|record| {
                         let broken = check(&plan, &record);
                         Played { plan, record, broken }
                     });
-                    played.lock().expect("no worker panics with what was played").push(done);
+                    played.lock().expect("no worker panics with the results locked").push(result);
                 }
             });
         }
     });
-    let played = played.into_inner().expect("no worker panics with what was played");
+    let played = played.into_inner().expect("no worker panics with the results locked");
     let mut played = played.into_iter().collect::<Result<Vec<_>, _>>()?;
     played.sort_by_key(|played| played.plan.seed);
     Ok(played)
 }
 
-/// A row for each seed, and the sums.
+/// A table with a row for each seed, and the totals.
 pub fn table(played: &[Played]) -> String {
     let mut text = String::from(
         "| seed | sidecars | deadline | moves | leaves | crowd | requests | served | attempts | latest list | broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    let mut sums: BTreeMap<Rule, usize> = BTreeMap::new();
+    let mut totals: BTreeMap<Rule, usize> = BTreeMap::new();
     for run in played {
-        run.broken.iter().for_each(|broken| *sums.entry(broken.rule).or_default() += 1);
+        run.broken.iter().for_each(|broken| *totals.entry(broken.rule).or_default() += 1);
         let broken =
             run.broken.iter().map(|broken| format!("{:?}", broken.rule)).collect::<Vec<_>>().join(" ");
-        let Plan { seed, sidecars, deadline, crowded, .. } = &run.plan;
+        let Plan { seed, sidecars, deadline, has_idle_clients, .. } = &run.plan;
         let _ = writeln!(
             text,
             "| {seed} | {sidecars} | {:.1} s | {} | {} | {} | {} | {:.3} | {} | {:.2} s | {broken} |",
             Duration::as_secs_f64(deadline),
-            run.moves(),
-            run.leaves(),
-            if *crowded { "yes" } else { "" },
+            run.reconfigurations(),
+            run.shutdowns(),
+            if *has_idle_clients { "yes" } else { "" },
             run.record.requests.len(),
             run.served(),
             run.record.attempts.len(),
@@ -122,6 +124,6 @@
         );
     }
     let clean = played.iter().filter(|run| run.broken.is_empty()).count();
-    let _ = writeln!(text, "\n{clean} of {} seeds broke nothing; broken in all: {sums:?}", played.len());
+    let _ = writeln!(text, "\n{clean} of {} seeds broke nothing; broken in all: {totals:?}", played.len());
     text
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak in short on real sidecars, and its checker seen to fail on each rule.
+//! A short soak on real sidecars, and tests that its checker detects violations of each rule.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,12 +12,13 @@
 };
 use appledyke_lab::soak::seeds::{Played, play_all, table};
 
-/// Seeds that are played in CI: among them long series of configurations before a discovery with hardly room for them, which
-/// broke drains before the mend (103), crowds (105, 106), and processes that leave while clients go on.
+/// Seeds that run in CI. They cover long series of new configurations while discovery has hardly enough capacity for the
+/// calls, which violated the drain rule before the fix (103), many idle clients (105, 106), and processes that shut down
+/// while clients keep sending.
 const SEEDS: std::ops::RangeInclusive<u64> = 103..=106;
 
 #[test]
-fn some_seeds_break_no_rule() {
+fn seeds_violate_no_rule() {
     let folder: PathBuf = std::env::temp_dir().join(format!("appledyke-soak-test-{}", std::process::id()));
     let played = play_all(SEEDS, 2, &beside("appledyke-sidecar").unwrap(), &folder);
     let _ = std::fs::remove_dir_all(&folder);
@@ -25,12 +26,12 @@
     println!("{}", table(&played));
     let broken: Vec<String> = played.iter().filter(|run| !run.broken.is_empty()).map(Played::story).collect();
     assert!(broken.is_empty(), "{}", broken.join("\n"));
-    // It was no idle run.
+    // The runs carried real load.
     assert!(played.iter().all(|run| run.served() > 0.5 && run.record.attempts.len() > 200));
 }
 
-fn ms(of: u64) -> Duration {
-    Duration::from_millis(of)
+fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
 }
 
 fn request(id: &str, effect: Effect, outcome: RequestOutcome, ended_at: u64) -> Request {
@@ -77,8 +78,8 @@
     }
 }
 
-/// One request, served well by e0, of two endpoints.
-fn well() -> Record {
+/// A record of one request that e0, one of two endpoints, answered in time.
+fn healthy_record() -> Record {
     Record {
         requests: vec![request("r1", Effect::Unsafe, answered("r1"), 1050)],
         attempts: vec![attempt("r1", 0, Effect::Unsafe, 1010, 1040)],
@@ -89,96 +90,96 @@
     }
 }
 
-fn broken(record: &Record) -> Vec<Rule> {
+fn violated_rules(record: &Record) -> Vec<Rule> {
     let plan = Plan { stop_sending: ms(1000), ..Plan::draw(1) };
-    check(&plan, record).into_iter().map(|broken| broken.rule).collect()
+    check(&plan, record).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn a_request_that_is_served_once_breaks_nothing() {
-    assert_eq!(broken(&well()), []);
+fn a_request_that_is_served_once_violates_no_rule() {
+    assert_eq!(violated_rules(&healthy_record()), []);
 }
 
 #[test]
 fn requests_without_a_final_answer_in_time_are_lost() {
-    for ended in [
+    for outcome in [
         RequestOutcome::NoAnswer,
         RequestOutcome::Closed { partial: false },
         RequestOutcome::Closed { partial: true },
     ] {
-        let mut record = well();
-        record.requests[0].outcome = ended.clone();
-        assert_eq!(broken(&record), [Rule::Lost], "{ended:?}");
+        let mut record = healthy_record();
+        record.requests[0].outcome = outcome.clone();
+        assert_eq!(violated_rules(&record), [Rule::Lost], "{outcome:?}");
     }
-    let mut late = well();
+    let mut late = healthy_record();
     late.requests[0].ended_at = ms(2100);
-    assert_eq!(broken(&late), [Rule::Lost]);
-    let mut of_another = well();
-    of_another.requests[0].outcome = answered("r2");
-    assert_eq!(broken(&of_another), [Rule::Lost]);
-    // What SIGKILL finds unanswered after SIGTERM is lost; what an outright kill finds is not.
-    let mut killed = well();
+    assert_eq!(violated_rules(&late), [Rule::Lost]);
+    let mut other_body = healthy_record();
+    other_body.requests[0].outcome = answered("r2");
+    assert_eq!(violated_rules(&other_body), [Rule::Lost]);
+    // A request that is pending at a SIGKILL is lost if a SIGTERM came before, and not lost otherwise.
+    let mut killed = healthy_record();
     killed.requests[0].outcome = RequestOutcome::Closed { partial: false };
     killed.process_runs[0].sigkill_at = Some(ms(1040));
-    assert_eq!(broken(&killed), []);
+    assert_eq!(violated_rules(&killed), []);
     killed.process_runs[0].sigterm_at = Some(ms(100));
-    assert_eq!(broken(&killed), [Rule::Lost]);
-    // One that crosses the end of a resting connection may be closed unread, and not once it was sent on.
-    let mut crossed = well();
-    (crossed.requests[0].outcome, crossed.requests[0].reused) =
+    assert_eq!(violated_rules(&killed), [Rule::Lost]);
+    // A request on a reused connection that closes may stay unread, but not if it reached an endpoint.
+    let mut unread = healthy_record();
+    (unread.requests[0].outcome, unread.requests[0].reused) =
         (RequestOutcome::Closed { partial: false }, true);
-    assert_eq!(broken(&crossed), [Rule::Lost]);
-    crossed.attempts.clear();
-    assert_eq!(broken(&crossed), []);
+    assert_eq!(violated_rules(&unread), [Rule::Lost]);
+    unread.attempts.clear();
+    assert_eq!(violated_rules(&unread), []);
 }
 
 #[test]
-fn an_attempt_long_after_its_client_has_left_is_lost() {
-    let mut record = well();
+fn an_attempt_long_after_its_client_disconnected_violates_lost() {
+    let mut record = healthy_record();
     (record.requests[0].outcome, record.requests[0].ended_at) = (RequestOutcome::Disconnected, ms(1005));
-    assert_eq!(broken(&record), []);
+    assert_eq!(violated_rules(&record), []);
     (record.attempts[0].first_byte_at, record.attempts[0].last_byte_at) = (ms(1160), ms(1160));
     record.attempts[0].remaining = Some(ms(340));
-    assert_eq!(broken(&record), [Rule::Lost]);
+    assert_eq!(violated_rules(&record), [Rule::Lost]);
 }
 
 #[test]
-fn a_second_run_and_a_second_copy_are_duplicates() {
-    let mut twice = well();
+fn a_second_effect_and_an_overlapping_attempt_are_duplicates() {
+    let mut twice = healthy_record();
     twice.attempts.push(attempt("r1", 1, Effect::Unsafe, 1100, 1120));
-    assert_eq!(broken(&twice), [Rule::Duplicate]);
+    assert_eq!(violated_rules(&twice), [Rule::Duplicate]);
     twice.attempts[0].outcome = AttemptOutcome::Rejected;
-    assert_eq!(broken(&twice), []);
-    let mut copies = well();
+    assert_eq!(violated_rules(&twice), []);
+    let mut copies = healthy_record();
     copies.requests[0].effect = Effect::Safe;
     copies.attempts[0].effect = Effect::Safe;
     copies.attempts.push(attempt("r1", 1, Effect::Safe, 1100, 1120));
-    assert_eq!(broken(&copies), []);
+    assert_eq!(violated_rules(&copies), []);
     copies.attempts[0].outstanding_until = ms(1200);
-    assert_eq!(broken(&copies), [Rule::Duplicate]);
+    assert_eq!(violated_rules(&copies), [Rule::Duplicate]);
 }
 
 #[test]
-fn more_time_than_the_client_has_breaks_the_deadline() {
-    let mut record = well();
+fn more_remaining_time_than_the_client_has_violates_deadline() {
+    let mut record = healthy_record();
     record.attempts[0].remaining = Some(ms(700));
-    assert_eq!(broken(&record), [Rule::Deadline]);
+    assert_eq!(violated_rules(&record), [Rule::Deadline]);
 }
 
 #[test]
-fn an_end_that_nobody_asked_for_is_a_crash() {
-    let mut record = well();
+fn an_exit_without_sigterm_or_with_an_error_code_is_a_crash() {
+    let mut record = healthy_record();
     record.process_runs[0].exited = Some((Some(0), ms(5000)));
-    assert_eq!(broken(&record), [Rule::Crash]);
+    assert_eq!(violated_rules(&record), [Rule::Crash]);
     record.process_runs[0].sigterm_at = Some(ms(4000));
-    assert_eq!(broken(&record), []);
+    assert_eq!(violated_rules(&record), []);
     record.process_runs[0].exited = Some((Some(101), ms(5000)));
-    assert_eq!(broken(&record), [Rule::Crash]);
+    assert_eq!(violated_rules(&record), [Rule::Crash]);
 }
 
-/// A request to e0, which drains from 2 s on, that begins then.
-fn drained(begun: u64) -> Record {
-    let mut record = well();
+/// A record of an attempt that begins at `begun` at e0, which drains from 2 s on.
+fn record_with_drain(begun: u64) -> Record {
+    let mut record = healthy_record();
     record.versions.push(Version { version: 2, at: ms(2000), up: vec![1], draining: vec![0] });
     record.requests = vec![request("r1", Effect::Safe, answered("r1"), begun + 50)];
     record.requests[0].sent_at = ms(begun - 10);
@@ -187,32 +188,32 @@
 }
 
 #[test]
-fn an_attempt_after_the_grace_of_a_drain_breaks_it_however_it_counts_as_told() {
+fn an_attempt_after_the_grace_period_violates_drain_however_the_change_becomes_known() {
     let written = |at| NotifiedList { sidecar: 0, at: ms(at), version: 2, reason: KnownBy::Written };
-    // Told as it was written, at 2.1 s: a second, and some milliseconds.
-    let mut record = drained(3000);
+    // Discovery wrote the change at 2.1 s: the grace period is a second, plus some milliseconds of tolerance.
+    let mut record = record_with_drain(3000);
     record.notified_lists = vec![written(2100)];
-    assert_eq!(broken(&record), []);
-    let mut record = drained(3300);
+    assert_eq!(violated_rules(&record), []);
+    let mut record = record_with_drain(3300);
     record.notified_lists = vec![written(2100)];
-    assert_eq!(broken(&record), [Rule::Drain]);
-    // Never written, it counts 6 s after it was made, or after the service is back.
-    assert_eq!(broken(&drained(8900)), []);
-    assert_eq!(broken(&drained(9300)), [Rule::Drain]);
-    let mut outage = drained(9300);
+    assert_eq!(violated_rules(&record), [Rule::Drain]);
+    // If it was never written, the sidecar must know it 6 s after the change, or after discovery is reachable again.
+    assert_eq!(violated_rules(&record_with_drain(8900)), []);
+    assert_eq!(violated_rules(&record_with_drain(9300)), [Rule::Drain]);
+    let mut outage = record_with_drain(9300);
     outage.reachable.spans = vec![(Duration::ZERO, ms(1500)), (ms(5000), ms(60_000))];
-    assert_eq!(broken(&outage), []);
-    let mut outage = drained(12_300);
+    assert_eq!(violated_rules(&outage), []);
+    let mut outage = record_with_drain(12_300);
     outage.reachable.spans = vec![(Duration::ZERO, ms(1500)), (ms(5000), ms(60_000))];
-    assert_eq!(broken(&outage), [Rule::Drain]);
-    // And 4 s after the last of some configurations that named another address.
-    let mut moved = drained(7900);
+    assert_eq!(violated_rules(&outage), [Rule::Drain]);
+    // It must also know it 4 s after the last of several configurations that named another address.
+    let mut moved = record_with_drain(7900);
     moved.process_runs[0].reconfigured_at = vec![ms(2200), ms(2500)];
-    assert_eq!(broken(&moved), [Rule::Drain]);
+    assert_eq!(violated_rules(&moved), [Rule::Drain]);
     moved.process_runs[0].reconfigured_at.push(ms(3200));
-    assert_eq!(broken(&moved), []);
-    // A process that was started with the list that has it is told from the first moment.
-    let mut started = drained(4000);
+    assert_eq!(violated_rules(&moved), []);
+    // A process that was started with a list that contains the change knows it from its start.
+    let mut started = record_with_drain(4000);
     (started.process_runs[0].started_at, started.process_runs[0].initial_version) = (ms(2500), 2);
-    assert_eq!(broken(&started), [Rule::Drain]);
+    assert_eq!(violated_rules(&started), [Rule::Drain]);
 }
