--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -52,13 +52,13 @@
     RequestOutcome::Answered { status: 200, body: id.into() }
 }
 
-fn attempt(id: &str, endpoint: usize, effect: Effect, begun: u64, outstanding_until: u64) -> Attempt {
+fn attempt(id: &str, endpoint: usize, effect: Effect, begins_at: u64, outstanding_until: u64) -> Attempt {
     Attempt {
         id: id.into(),
         endpoint,
         effect,
-        first_byte_at: ms(begun),
-        last_byte_at: ms(begun),
+        first_byte_at: ms(begins_at),
+        last_byte_at: ms(begins_at),
         remaining: Some(ms(490)),
         outcome: AttemptOutcome::Ran,
         outstanding_until: ms(outstanding_until),
@@ -177,13 +177,13 @@
     assert_eq!(violated_rules(&record), [Rule::Crash]);
 }
 
-/// A record of an attempt that begins at `begun` at e0, which drains from 2 s on.
-fn record_with_drain(begun: u64) -> Record {
+/// A record of one attempt at e0, which drains from 2 s on. The attempt begins at `begins_at` milliseconds.
+fn record_with_drain(begins_at: u64) -> Record {
     let mut record = healthy_record();
     record.versions.push(Version { version: 2, at: ms(2000), up: vec![1], draining: vec![0] });
-    record.requests = vec![request("r1", Effect::Safe, answered("r1"), begun + 50)];
-    record.requests[0].sent_at = ms(begun - 10);
-    record.attempts = vec![attempt("r1", 0, Effect::Safe, begun, begun + 40)];
+    record.requests = vec![request("r1", Effect::Safe, answered("r1"), begins_at + 50)];
+    record.requests[0].sent_at = ms(begins_at - 10);
+    record.attempts = vec![attempt("r1", 0, Effect::Safe, begins_at, begins_at + 40)];
     record
 }
 
@@ -207,11 +207,11 @@
     outage.reachable.spans = vec![(Duration::ZERO, ms(1500)), (ms(5000), ms(60_000))];
     assert_eq!(violated_rules(&outage), [Rule::Drain]);
     // It must also know it 4 s after the last of several configurations that named another address.
-    let mut moved = record_with_drain(7900);
-    moved.process_runs[0].reconfigured_at = vec![ms(2200), ms(2500)];
-    assert_eq!(violated_rules(&moved), [Rule::Drain]);
-    moved.process_runs[0].reconfigured_at.push(ms(3200));
-    assert_eq!(violated_rules(&moved), []);
+    let mut reconfigured = record_with_drain(7900);
+    reconfigured.process_runs[0].reconfigured_at = vec![ms(2200), ms(2500)];
+    assert_eq!(violated_rules(&reconfigured), [Rule::Drain]);
+    reconfigured.process_runs[0].reconfigured_at.push(ms(3200));
+    assert_eq!(violated_rules(&reconfigured), []);
     // A process that was started with a list that contains the change knows it from its start.
     let mut started = record_with_drain(4000);
     (started.process_runs[0].started_at, started.process_runs[0].initial_version) = (ms(2500), 2);
