--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -146,7 +146,10 @@
             Event::Reconfigure(number) => return self.reconfigure_discovery(number),
             Event::Shutdown(number) => {
                 let now = self.recorder.now();
-                self.sidecars[number].process_run.iter_mut().for_each(|process_run| process_run.sigterm_at = Some(now));
+                self.sidecars[number]
+                    .process_run
+                    .iter_mut()
+                    .for_each(|process_run| process_run.sigterm_at = Some(now));
                 self.process(number).into_iter().for_each(|process| process.terminate());
             }
             Event::Kill(number) => {
